--- a/sidecar/src/main/java/dapplequay/cli/KeptState.java
+++ b/sidecar/src/main/java/dapplequay/cli/KeptState.java
@@ -35,7 +35,8 @@
         if (path == null) {
             return new Sidecar(plan);
         }
-        folder = new StateFolder(path, "sidecar-" + Sockets.text(plan.listen()).replaceAll("[^0-9.]", "-"), clock);
+        folder = new StateFolder(path, "sidecar-" + Sockets.hostAndPort(plan.listen()).replaceAll("[^0-9.]", "-"),
+                clock);
         Snapshot kept = folder.read();
         Object tree = kept == null ? null : tree(kept);
         long now = clock.getAsLong();
--- a/sidecar/src/main/java/dapplequay/http/Body.java
+++ b/sidecar/src/main/java/dapplequay/http/Body.java
@@ -10,35 +10,35 @@
  */
 public final class Body {
     /** What tells where a body ends. */
-    public enum Framing { LENGTH, CHUNKED, TO_END }
+    public enum Framing { LENGTH, CHUNKED, CLOSE_DELIMITED }
 
-    private static final int MOST_TRAILERS = 20;
-    private static final int MOST_DIGITS = 15;
-    private static final int PIECE = 8 * 1024;
+    private static final int MAX_TRAILERS = 20;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 15;
+    private static final int COPY_BUFFER_BYTES = 8 * 1024;
     /** Chunks shorter than this are read through the buffer, many at once. */
-    private static final int CHUNK_READ = 32 * 1024;
+    private static final int CHUNKED_READ_BYTES = 32 * 1024;
 
     private final MessageReader reader;
     private final Framing framing;
     private final long length;
-    private final long most;
-    private final int status;
+    private final long maxBytes;
+    private final int errorStatus;
     /** Bytes still to come: of the body, or of the chunk in hand. */
-    private long left;
-    private long taken;
-    private boolean chunkEnds;
+    private long remaining;
+    private long bytesRead;
+    private boolean isChunkEndDue;
     /** Lines read after the last chunk, that one included. */
-    private int trailers;
-    private boolean whole;
+    private int trailerLines;
+    private boolean isComplete;
 
-    Body(MessageReader reader, Framing framing, long length, long most, int status) {
+    Body(MessageReader reader, Framing framing, long length, long maxBytes, int errorStatus) {
         this.reader = reader;
         this.framing = framing;
         this.length = length;
-        this.most = most;
-        this.status = status;
-        left = Math.max(0, length);
-        whole = framing == Framing.LENGTH && length == 0;
+        this.maxBytes = maxBytes;
+        this.errorStatus = errorStatus;
+        remaining = Math.max(0, length);
+        isComplete = framing == Framing.LENGTH && length == 0;
     }
 
     /** How long it is, in bytes; -1 where only its end will tell. */
@@ -51,134 +51,136 @@
     }
 
     /** Whether its last byte has been read. */
-    public boolean isWhole() {
-        return whole;
+    public boolean isComplete() {
+        return isComplete;
     }
 
     /** Whether it is known that fewer than so many bytes are still to come. */
-    public boolean isNearlyWhole(int bytes) {
-        return framing == Framing.LENGTH && left < bytes;
+    public boolean hasFewerLeftThan(int bytes) {
+        return framing == Framing.LENGTH && remaining < bytes;
     }
 
     /** Whether all of the rest is here already, so that no read of it waits for the other side. */
-    public boolean isBuffered() {
-        return whole || framing == Framing.LENGTH && reader.buffered() >= left;
+    public boolean isFullyBuffered() {
+        return isComplete || framing == Framing.LENGTH && reader.bufferedBytes() >= remaining;
     }
 
     /**
      * Up to {@code count} of the next bytes, at least one; -1 at the end. EOFException where the connection ended
      * before the body did. Of a body in chunks it takes as many as are here, as chunks may be small.
      */
-    public int read(byte[] to, int at, int count) throws IOException {
+    public int read(byte[] target, int offset, int count) throws IOException {
         if (framing == Framing.CHUNKED) {
-            return readChunks(to, at, count);
+            return readChunks(target, offset, count);
         }
-        if (whole) {
+        if (isComplete) {
             return -1;
         }
-        int read = reader.read(to, at, framing == Framing.TO_END ? count : (int) Math.min(count, left));
+        int read = reader.read(target, offset,
+                framing == Framing.CLOSE_DELIMITED ? count : (int) Math.min(count, remaining));
         if (read < 0) {
-            if (framing != Framing.TO_END) {
+            if (framing != Framing.CLOSE_DELIMITED) {
                 throw new EOFException("connection ended within a body");
             }
-            whole = true;
+            isComplete = true;
             return -1;
         }
-        taken += read;
-        if (taken > most) {
-            throw tooLarge();
+        bytesRead += read;
+        if (bytesRead > maxBytes) {
+            throw bodyTooLarge();
         }
         if (framing == Framing.LENGTH) {
-            left -= read;
-            whole = left == 0;
+            remaining -= read;
+            isComplete = remaining == 0;
         }
         return read;
     }
 
-    private int readChunks(byte[] to, int at, int count) throws IOException {
-        if (whole) {
+    private int readChunks(byte[] target, int offset, int count) throws IOException {
+        if (isComplete) {
             return -1;
         }
-        reader.want(CHUNK_READ);
-        int got = 0;
-        while (got < count && !whole) {
-            if (left == 0) {
-                if (got > 0 && !isNextChunkHere()) {
+        reader.setReadSize(CHUNKED_READ_BYTES);
+        int total = 0;
+        while (total < count && !isComplete) {
+            if (remaining == 0) {
+                if (total > 0 && !isNextChunkHeaderBuffered()) {
                     break;
                 }
-                nextChunk();
+                readChunkHeader();
                 continue;
             }
-            if (got > 0 && reader.buffered() == 0) {
+            if (total > 0 && reader.bufferedBytes() == 0) {
                 break;
             }
-            if (reader.buffered() == 0 && left < CHUNK_READ && !reader.fill()) {
+            if (reader.bufferedBytes() == 0 && remaining < CHUNKED_READ_BYTES && !reader.fill()) {
                 throw new EOFException("connection ended within a body");
             }
-            int read = reader.read(to, at + got, (int) Math.min(count - got, left));
+            int read = reader.read(target, offset + total, (int) Math.min(count - total, remaining));
             if (read < 0) {
                 throw new EOFException("connection ended within a body");
             }
-            left -= read;
-            got += read;
-            taken += read;
+            remaining -= read;
+            total += read;
+            bytesRead += read;
         }
-        if (whole) {
-            reader.want(0);
+        if (isComplete) {
+            reader.setReadSize(0);
         }
-        return got > 0 ? got : -1;
+        return total > 0 ? total : -1;
     }
 
     /** Whether the next chunk's first line, or the plain end of the body, can be read without waiting. */
-    private boolean isNextChunkHere() {
-        int at = 0;
-        if (chunkEnds) {
-            if (!reader.isBuffered(0, "\r\n")) {
+    private boolean isNextChunkHeaderBuffered() {
+        int offset = 0;
+        if (isChunkEndDue) {
+            if (!reader.isBufferedAt(0, "\r\n")) {
                 return false;
             }
-            at = 2;
+            offset = 2;
         }
-        return reader.isBuffered(at, "0") ? reader.isBuffered(at, "0\r\n\r\n") : reader.lineEnd(at) >= 0;
+        return reader.isBufferedAt(offset, "0") ? reader.isBufferedAt(offset, "0\r\n\r\n")
+                : reader.findLineEnd(offset) >= 0;
     }
 
-    private BadMessage tooLarge() {
-        return new BadMessage(status == 400 ? 413 : status, "body too large");
+    private BadMessageException bodyTooLarge() {
+        return new BadMessageException(errorStatus == 400 ? 413 : errorStatus, "body too large");
     }
 
-    private void nextChunk() throws IOException {
+    private void readChunkHeader() throws IOException {
         // A read may time out between any two lines: what has been read so far must not be expected again.
-        if (chunkEnds) {
-            if (!reader.line(status).isEmpty()) {
-                throw new BadMessage(status, "bad chunk end");
+        if (isChunkEndDue) {
+            if (!reader.readLine(errorStatus).isEmpty()) {
+                throw new BadMessageException(errorStatus, "bad chunk end");
             }
-            chunkEnds = false;
+            isChunkEndDue = false;
         }
-        if (trailers == 0) {
-            left = size(reader.line(status));
-            if (taken + left > most) {
-                throw tooLarge();
+        if (trailerLines == 0) {
+            remaining = parseChunkSize(reader.readLine(errorStatus));
+            if (bytesRead + remaining > maxBytes) {
+                throw bodyTooLarge();
             }
-            chunkEnds = left > 0;
-            trailers = chunkEnds ? 0 : 1;
+            isChunkEndDue = remaining > 0;
+            trailerLines = isChunkEndDue ? 0 : 1;
         }
-        for (; trailers > 0 && !reader.line(status).isEmpty(); trailers++) {
-            if (trailers > MOST_TRAILERS) {
-                throw new BadMessage(status, "too many trailers");
+        for (; trailerLines > 0 && !reader.readLine(errorStatus).isEmpty(); trailerLines++) {
+            if (trailerLines > MAX_TRAILERS) {
+                throw new BadMessageException(errorStatus, "too many trailers");
             }
         }
-        whole = trailers > 0;
+        isComplete = trailerLines > 0;
     }
 
     /** By hand, and not with an expression: a long body may come in hundreds of thousands of chunks. */
-    private long size(String line) throws BadMessage {
+    private long parseChunkSize(String line) throws BadMessageException {
         long size = 0;
         int digits = 0;
-        int end = line.length();
-        for (int at = 0; at < end; at++) {
-            char c = line.charAt(at);
+        int lineLength = line.length();
+        for (int offset = 0; offset < lineLength; offset++) {
+            char c = line.charAt(offset);
             int digit = c < 0x7f ? Character.digit(c, 16) : -1;
             if (digit < 0) {
-                String rest = line.substring(at).stripLeading();
+                String rest = line.substring(offset).stripLeading();
                 if (rest.isEmpty() || rest.charAt(0) == ';') {
                     break;
                 }
@@ -188,24 +190,24 @@
             size = size * 16 + digit;
             digits++;
         }
-        if (digits < 1 || digits > MOST_DIGITS) {
-            throw new BadMessage(status, "bad chunk size");
+        if (digits < 1 || digits > MAX_CHUNK_SIZE_DIGITS) {
+            throw new BadMessageException(errorStatus, "bad chunk size");
         }
         return size;
     }
 
     /** All of it; nothing may have been read before. */
-    byte[] all() throws IOException {
-        if (length >= 0 && length <= PIECE) {
+    byte[] readAll() throws IOException {
+        if (length >= 0 && length <= COPY_BUFFER_BYTES) {
             byte[] bytes = new byte[(int) length];
-            for (int at = 0; at < bytes.length; ) {
-                at += read(bytes, at, bytes.length - at);
+            for (int offset = 0; offset < bytes.length; ) {
+                offset += read(bytes, offset, bytes.length - offset);
             }
             return bytes;
         }
-        ByteArrayOutputStream out = new ByteArrayOutputStream(PIECE);
-        byte[] piece = new byte[PIECE];
-        for (int read = read(piece, 0, PIECE); read >= 0; read = read(piece, 0, PIECE)) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream(COPY_BUFFER_BYTES);
+        byte[] piece = new byte[COPY_BUFFER_BYTES];
+        for (int read = read(piece, 0, COPY_BUFFER_BYTES); read >= 0; read = read(piece, 0, COPY_BUFFER_BYTES)) {
             out.write(piece, 0, read);
         }
         return out.toByteArray();
--- a/sidecar/src/main/java/dapplequay/http/Head.java
+++ b/sidecar/src/main/java/dapplequay/http/Head.java
@@ -13,29 +13,29 @@
     private static final int MAX_FIELDS = 100;
 
     /** Method, target, version of a request; version, status, reason of a response. */
-    public final String[] start;
+    public final String[] startLine;
     public final List<Field> fields = new ArrayList<>();
 
     public record Field(String name, String value) { }
 
-    private Head(String[] start) {
-        this.start = start;
+    private Head(String[] startLine) {
+        this.startLine = startLine;
     }
 
     /** {@code text}: all lines of the head, without the empty one that ends it. */
-    public static Head request(byte[] text) throws BadMessage {
+    public static Head parseRequest(byte[] text) throws BadMessageException {
         String[] lines = lines(text);
-        String[] start = lines[0].split(" ", -1);
-        if (start.length == 3) {
-            start[1] = originForm(start[1]);
+        String[] startLine = lines[0].split(" ", -1);
+        if (startLine.length == 3) {
+            startLine[1] = originForm(startLine[1]);
         }
-        if (start.length != 3 || !isToken(start[0]) || !isTarget(start[1])) {
-            throw new BadMessage(400, "bad request line");
+        if (startLine.length != 3 || !isToken(startLine[0]) || !isTarget(startLine[1])) {
+            throw new BadMessageException(400, "bad request line");
         }
-        if (!isVersion(start[2])) {
-            throw new BadMessage(start[2].startsWith("HTTP/") ? 505 : 400, "bad version");
+        if (!isVersion(startLine[2])) {
+            throw new BadMessageException(startLine[2].startsWith("HTTP/") ? 505 : 400, "bad version");
         }
-        return new Head(start).readFields(lines);
+        return new Head(startLine).readFields(lines);
     }
 
     /** A target that names the server too, as every server has to understand, as its path and query alone. */
@@ -47,29 +47,29 @@
         return path < 0 ? "/" : target.substring(path);
     }
 
-    public static Head response(byte[] text) throws BadMessage {
+    public static Head parseResponse(byte[] text) throws BadMessageException {
         String[] lines = lines(text);
-        String[] start = lines[0].split(" ", 3);
-        if (start.length < 2 || !isVersion(start[0]) || !start[1].matches("[1-5][0-9][0-9]")) {
-            throw new BadMessage(502, "bad status line");
+        String[] startLine = lines[0].split(" ", 3);
+        if (startLine.length < 2 || !isVersion(startLine[0]) || !startLine[1].matches("[1-5][0-9][0-9]")) {
+            throw new BadMessageException(502, "bad status line");
         }
-        return new Head(start).readFields(lines);
+        return new Head(startLine).readFields(lines);
     }
 
     private static String[] lines(byte[] text) {
         return new String(text, StandardCharsets.ISO_8859_1).split("\r\n", -1);
     }
 
-    private Head readFields(String[] lines) throws BadMessage {
+    private Head readFields(String[] lines) throws BadMessageException {
         if (lines.length - 1 > MAX_FIELDS) {
-            throw new BadMessage(431, "too many header fields");
+            throw new BadMessageException(431, "too many header fields");
         }
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
             String name = colon < 0 ? "" : lines[i].substring(0, colon);
             String value = lines[i].substring(colon + 1);
-            if (!isToken(name) || !isText(value)) {
-                throw new BadMessage(400, "bad header field");
+            if (!isToken(name) || !isFieldValue(value)) {
+                throw new BadMessageException(400, "bad header field");
             }
             fields.add(new Field(name, value.strip()));
         }
@@ -77,12 +77,12 @@
     }
 
     /** The value of the one field of this name, or null; where there are several, they must agree. */
-    public String get(String name) throws BadMessage {
+    public String get(String name) throws BadMessageException {
         String found = null;
         for (Field field : fields) {
             if (field.name().equalsIgnoreCase(name)) {
                 if (found != null && !found.equals(field.value())) {
-                    throw new BadMessage(400, "contradicting " + name);
+                    throw new BadMessageException(400, "contradicting " + name);
                 }
                 found = field.value();
             }
@@ -91,11 +91,11 @@
     }
 
     /** Whether a field that holds a list of words names this one. */
-    public boolean lists(String name, String word) {
+    public boolean hasToken(String name, String token) {
         for (Field field : fields) {
             if (field.name().equalsIgnoreCase(name)) {
-                for (String part : field.value().split(",")) {
-                    if (part.strip().equalsIgnoreCase(word)) {
+                for (String element : field.value().split(",")) {
+                    if (element.strip().equalsIgnoreCase(token)) {
                         return true;
                     }
                 }
@@ -105,16 +105,16 @@
     }
 
     /** Whether the connection ends after this message. */
-    public boolean closes(String version) {
-        return lists("Connection", "close")
-                || version.equals("HTTP/1.0") && !lists("Connection", "keep-alive");
+    public boolean closesConnection(String version) {
+        return hasToken("Connection", "close")
+                || version.equals("HTTP/1.0") && !hasToken("Connection", "keep-alive");
     }
 
     /** Adds the fields that concern the message and not this one connection, less those named. */
-    public void passOn(StringBuilder out, List<String> without) {
+    public void appendEndToEndFields(StringBuilder out, List<String> excluded) {
         for (Field field : fields) {
             String name = field.name().toLowerCase(Locale.ROOT);
-            if (!without.contains(name) && !HOP_BY_HOP.contains(name) && !lists("Connection", name)) {
+            if (!excluded.contains(name) && !HOP_BY_HOP.contains(name) && !hasToken("Connection", name)) {
                 out.append(field.name()).append(": ").append(field.value()).append("\r\n");
             }
         }
@@ -143,7 +143,7 @@
         return text.startsWith("/") && text.chars().allMatch(c -> c > ' ' && c < 0x7f);
     }
 
-    private static boolean isText(String text) {
+    private static boolean isFieldValue(String text) {
         return text.chars().allMatch(c -> c >= ' ' && c != 0x7f || c == '\t');
     }
 }
--- a/sidecar/src/main/java/dapplequay/http/MessageReader.java
+++ b/sidecar/src/main/java/dapplequay/http/MessageReader.java
@@ -7,40 +7,40 @@
 
 /** Reads one side's messages off a connection, as far as the limits allow. */
 public final class MessageReader {
-    public static final int MAX_HEAD = 8 * 1024;
+    public static final int MAX_HEAD_BYTES = 8 * 1024;
     /** Bodies up to this are short: they are read whole before anything is done with them. */
-    public static final int MAX_BODY = 64 * 1024;
+    public static final int SHORT_BODY_BYTES = 64 * 1024;
     /** Bodies beyond this are refused, so that one that never ends is seen as such. */
-    public static final int LONGEST_BODY = 40 * 1024 * 1024;
-    private static final int MAX_CHUNK_LINE = 1024;
+    public static final int MAX_BODY_BYTES = 40 * 1024 * 1024;
+    private static final int MAX_CHUNK_LINE_BYTES = 1024;
 
     /** Discovery's list of a large fleet is longer than any body that clients and hosts may send. */
-    public static final int MAX_LIST = 4 * 1024 * 1024;
+    public static final int MAX_SERVER_LIST_BYTES = 4 * 1024 * 1024;
 
     private final InputStream in;
-    private final int maxBody;
+    private final int maxBodyBytes;
     /** Holds heads and chunk lines; bodies pass by it, but for what came along with these. */
-    private final Buffer buffer = new Buffer(MAX_HEAD + MAX_BODY);
+    private final ReadBuffer buffer = new ReadBuffer(MAX_HEAD_BYTES + SHORT_BODY_BYTES);
 
     public MessageReader(InputStream in) {
-        this(in, MAX_BODY);
+        this(in, SHORT_BODY_BYTES);
     }
 
-    public MessageReader(InputStream in, int maxBody) {
+    public MessageReader(InputStream in, int maxBodyBytes) {
         this.in = in;
-        this.maxBody = maxBody;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    public boolean hasBytes() {
+    public boolean hasBufferedBytes() {
         return buffer.size() > 0;
     }
 
-    int buffered() {
+    int bufferedBytes() {
         return buffer.size();
     }
 
     /** Whether as much lies here unused as may. */
-    public boolean isFull() {
+    public boolean isBufferFull() {
         return buffer.isFull();
     }
 
@@ -50,17 +50,17 @@
     }
 
     /** How much is read at once from now on, as far as it is buffered; 0: little. */
-    void want(int bytes) {
-        buffer.want(bytes);
+    void setReadSize(int bytes) {
+        buffer.setReadSize(bytes);
     }
 
     /** Whether these bytes lie in the buffer from that place on. */
-    boolean isBuffered(int at, String bytes) {
-        if (buffer.size() < at + bytes.length()) {
+    boolean isBufferedAt(int offset, String expected) {
+        if (buffer.size() < offset + expected.length()) {
             return false;
         }
-        for (int i = 0; i < bytes.length(); i++) {
-            if (buffer.at(at + i) != bytes.charAt(i)) {
+        for (int i = 0; i < expected.length(); i++) {
+            if (buffer.at(offset + i) != expected.charAt(i)) {
                 return false;
             }
         }
@@ -68,8 +68,8 @@
     }
 
     /** Where a line ends that lies in the buffer from that place on; -1 where its end is not there. */
-    int lineEnd(int from) {
-        for (int at = from; at + 2 <= buffer.size(); at++) {
+    int findLineEnd(int offset) {
+        for (int at = offset; at + 2 <= buffer.size(); at++) {
             if (buffer.at(at) == '\r' && buffer.at(at + 1) == '\n') {
                 return at;
             }
@@ -83,14 +83,14 @@
     }
 
     /** Waits until there is something to read; false at the end of the stream. */
-    public boolean await() throws IOException {
+    public boolean awaitData() throws IOException {
         return buffer.size() > 0 || buffer.fill(in) > 0;
     }
 
     /** The same before a request: empty lines that come first, as some clients end a body with one, are passed over. */
     public boolean awaitRequest() throws IOException {
         while (true) {
-            while (isBuffered(0, "\r\n")) {
+            while (isBufferedAt(0, "\r\n")) {
                 buffer.skip(2);
             }
             if (buffer.size() > 1 || buffer.size() == 1 && buffer.at(0) != '\r') {
@@ -102,27 +102,27 @@
         }
     }
 
-    public Head request() throws IOException {
-        return Head.request(headText());
+    public Head readRequestHead() throws IOException {
+        return Head.parseRequest(readHead());
     }
 
     /** The final response's head: those that only tell of progress are passed over. */
-    public Head response() throws IOException {
+    public Head readResponseHead() throws IOException {
         while (true) {
-            Head head = Head.response(headText());
-            if (!head.start[1].startsWith("1")) {
+            Head head = Head.parseResponse(readHead());
+            if (!head.startLine[1].startsWith("1")) {
                 return head;
             }
-            if (head.start[1].equals("101")) {
-                throw new BadMessage(502, "upgrade that nobody asked for");
+            if (head.startLine[1].equals("101")) {
+                throw new BadMessageException(502, "upgrade that nobody asked for");
             }
         }
     }
 
-    private byte[] headText() throws IOException {
+    private byte[] readHead() throws IOException {
         int seen = 0;
         while (true) {
-            for (; seen + 4 <= buffer.size() && seen <= MAX_HEAD; seen++) {
+            for (; seen + 4 <= buffer.size() && seen <= MAX_HEAD_BYTES; seen++) {
                 if (buffer.at(seen) == '\r' && buffer.at(seen + 1) == '\n' && buffer.at(seen + 2) == '\r'
                         && buffer.at(seen + 3) == '\n') {
                     byte[] text = buffer.take(seen);
@@ -130,90 +130,90 @@
                     return text;
                 }
             }
-            if (buffer.size() >= MAX_HEAD) {
-                throw new BadMessage(431, "head too large");
+            if (buffer.size() >= MAX_HEAD_BYTES) {
+                throw new BadMessageException(431, "head too large");
             }
-            more();
+            fillOrThrow();
         }
     }
 
     /** The body of a request, to be read bit by bit; BadMessage where its framing is not clear. */
-    public Body body(Head request) throws BadMessage {
-        return body(request, 400, false);
+    public Body requestBody(Head request) throws BadMessageException {
+        return openBody(request, 400, false);
     }
 
     /** The body of a response to anything but HEAD. */
-    public Body bodyOf(Head response) throws BadMessage {
-        return body(response, 502, lastsToTheEnd(response));
+    public Body responseBody(Head response) throws BadMessageException {
+        return openBody(response, 502, isCloseDelimited(response));
     }
 
-    private Body body(Head head, int status, boolean toTheEnd) throws BadMessage {
-        if (head.start[1].equals("204") || head.start[1].equals("304")) {
-            return new Body(this, Body.Framing.LENGTH, 0, maxBody, status);
+    private Body openBody(Head head, int errorStatus, boolean isCloseDelimited) throws BadMessageException {
+        if (head.startLine[1].equals("204") || head.startLine[1].equals("304")) {
+            return new Body(this, Body.Framing.LENGTH, 0, maxBodyBytes, errorStatus);
         }
-        long length = length(head, status);
+        long length = contentLength(head, errorStatus);
         if (head.get("Transfer-Encoding") != null) {
             if (length >= 0 || !head.get("Transfer-Encoding").equalsIgnoreCase("chunked")
-                    || head.start[status == 400 ? 2 : 0].equals("HTTP/1.0")) {
-                throw new BadMessage(status, "bad Transfer-Encoding");
+                    || head.startLine[errorStatus == 400 ? 2 : 0].equals("HTTP/1.0")) {
+                throw new BadMessageException(errorStatus, "bad Transfer-Encoding");
             }
-            return new Body(this, Body.Framing.CHUNKED, -1, maxBody, status);
+            return new Body(this, Body.Framing.CHUNKED, -1, maxBodyBytes, errorStatus);
         }
-        return toTheEnd ? new Body(this, Body.Framing.TO_END, -1, maxBody, status)
-                : new Body(this, Body.Framing.LENGTH, Math.max(0, length), maxBody, status);
+        return isCloseDelimited ? new Body(this, Body.Framing.CLOSE_DELIMITED, -1, maxBodyBytes, errorStatus)
+                : new Body(this, Body.Framing.LENGTH, Math.max(0, length), maxBodyBytes, errorStatus);
     }
 
-    public byte[] requestBody(Head head) throws IOException {
-        return body(head).all();
+    public byte[] readRequestBody(Head head) throws IOException {
+        return requestBody(head).readAll();
     }
 
-    public byte[] responseBody(Head head) throws IOException {
-        return bodyOf(head).all();
+    public byte[] readResponseBody(Head head) throws IOException {
+        return responseBody(head).readAll();
     }
 
     /** Whether only the end of the connection ends this answer's body. */
-    public static boolean lastsToTheEnd(Head response) throws BadMessage {
+    public static boolean isCloseDelimited(Head response) throws BadMessageException {
         return response.get("Content-Length") == null && response.get("Transfer-Encoding") == null
-                && !response.start[1].equals("204") && !response.start[1].equals("304");
+                && !response.startLine[1].equals("204") && !response.startLine[1].equals("304");
     }
 
-    private long length(Head head, int status) throws BadMessage {
+    private long contentLength(Head head, int errorStatus) throws BadMessageException {
         String text = head.get("Content-Length");
         if (text == null) {
             return -1;
         }
         if (!text.matches("[0-9]{1,18}")) {
-            throw new BadMessage(status, "bad Content-Length");
+            throw new BadMessageException(errorStatus, "bad Content-Length");
         }
         long length = Long.parseLong(text);
-        if (length > maxBody) {
-            throw new BadMessage(status == 400 ? 413 : status, "body too large");
+        if (length > maxBodyBytes) {
+            throw new BadMessageException(errorStatus == 400 ? 413 : errorStatus, "body too large");
         }
         return length;
     }
 
     /** Up to {@code most} bytes as they come, at least one; -1 at the end of the stream. */
-    int read(byte[] to, int at, int most) throws IOException {
-        return buffer.size() > 0 ? buffer.take(to, at, most) : in.read(to, at, most);
+    int read(byte[] target, int offset, int maxCount) throws IOException {
+        return buffer.size() > 0 ? buffer.take(target, offset, maxCount) : in.read(target, offset, maxCount);
     }
 
     /** A line of a chunked body, without its end. */
-    String line(int status) throws IOException {
-        int end = lineEnd(0);
+    String readLine(int errorStatus) throws IOException {
+        int end = findLineEnd(0);
         while (end < 0) {
-            if (buffer.size() > MAX_CHUNK_LINE) {
-                throw new BadMessage(status, "line too long");
+            if (buffer.size() > MAX_CHUNK_LINE_BYTES) {
+                throw new BadMessageException(errorStatus, "line too long");
             }
             int seen = Math.max(0, buffer.size() - 1);
-            more();
-            end = lineEnd(seen);
+            fillOrThrow();
+            end = findLineEnd(seen);
         }
         byte[] text = buffer.take(end);
         buffer.skip(2);
         return new String(text, StandardCharsets.ISO_8859_1);
     }
 
-    private void more() throws IOException {
+    private void fillOrThrow() throws IOException {
         if (buffer.fill(in) < 0) {
             throw new EOFException("connection ended within a message");
         }
--- a/sidecar/src/main/java/dapplequay/http/Buffer.java
+++ b/sidecar/src/main/java/dapplequay/http/ReadBuffer.java
@@ -5,19 +5,19 @@
 import java.util.Arrays;
 
 /** The one buffer of a connection: bytes read and not yet used. It grows as it needs, up to a limit. */
-final class Buffer {
-    private static final int FIRST_SIZE = 1024;
+final class ReadBuffer {
+    private static final int INITIAL_BYTES = 1024;
     /** What an empty buffer may keep: many connections that each once saw a long body fill the heap. */
-    private static final int KEPT_SIZE = 8 * 1024;
+    private static final int MAX_IDLE_BYTES = 8 * 1024;
 
-    private final int limit;
-    private byte[] data = new byte[FIRST_SIZE];
+    private final int maxBytes;
+    private byte[] data = new byte[INITIAL_BYTES];
     private int start;
     private int end;
-    private int wanted = FIRST_SIZE;
+    private int readSize = INITIAL_BYTES;
 
-    Buffer(int limit) {
-        this.limit = limit;
+    ReadBuffer(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     int size() {
@@ -25,7 +25,7 @@
     }
 
     boolean isFull() {
-        return size() == limit;
+        return size() == maxBytes;
     }
 
     byte at(int index) {
@@ -33,8 +33,8 @@
     }
 
     /** From the next read on it takes up so many bytes at once, within its limit; 0: few, as at first. */
-    void want(int bytes) {
-        wanted = Math.max(FIRST_SIZE, Math.min(limit, bytes));
+    void setReadSize(int bytes) {
+        readSize = Math.max(INITIAL_BYTES, Math.min(maxBytes, bytes));
         if (size() == 0) {
             skip(0);
         }
@@ -42,8 +42,8 @@
 
     /** Reads once, after what is there; the number of bytes read, or -1 at the end of the stream. */
     int fill(InputStream in) throws IOException {
-        if (size() == 0 && data.length < wanted) {
-            data = new byte[wanted];
+        if (size() == 0 && data.length < readSize) {
+            data = new byte[readSize];
             start = 0;
             end = 0;
         }
@@ -52,10 +52,10 @@
                 System.arraycopy(data, start, data, 0, end - start);
                 end -= start;
                 start = 0;
-            } else if (data.length < limit) {
-                data = Arrays.copyOf(data, Math.min(limit, data.length * 2));
+            } else if (data.length < maxBytes) {
+                data = Arrays.copyOf(data, Math.min(maxBytes, data.length * 2));
             } else {
-                throw new BadMessage(413, "message too large");
+                throw new BadMessageException(413, "message too large");
             }
         }
         int read = in.read(data, end, data.length - end);
@@ -66,9 +66,9 @@
     }
 
     /** Takes up to {@code most} bytes out; how many there were. */
-    int take(byte[] to, int at, int most) {
-        int count = Math.min(most, size());
-        System.arraycopy(data, start, to, at, count);
+    int take(byte[] target, int offset, int maxCount) {
+        int count = Math.min(maxCount, size());
+        System.arraycopy(data, start, target, offset, count);
         skip(count);
         return count;
     }
@@ -85,8 +85,8 @@
         if (start == end) {
             start = 0;
             end = 0;
-            if (data.length > Math.max(KEPT_SIZE, wanted)) {
-                data = new byte[FIRST_SIZE];
+            if (data.length > Math.max(MAX_IDLE_BYTES, readSize)) {
+                data = new byte[INITIAL_BYTES];
             }
         }
     }
--- a/sidecar/src/main/java/dapplequay/http/Sockets.java
+++ b/sidecar/src/main/java/dapplequay/http/Sockets.java
@@ -9,7 +9,7 @@
     private Sockets() { }
 
     /** Closes what may be null or closed already; that it fails then changes nothing for anybody. */
-    public static void close(Closeable socket) {
+    public static void closeQuietly(Closeable socket) {
         if (socket != null) {
             try {
                 socket.close();
@@ -19,7 +19,7 @@
         }
     }
 
-    public static String text(InetSocketAddress address) {
+    public static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/sidecar/src/main/java/dapplequay/management/ManagementSide.java
+++ b/sidecar/src/main/java/dapplequay/management/ManagementSide.java
@@ -1,6 +1,6 @@
 package dapplequay.management;
 
-import dapplequay.http.BadMessage;
+import dapplequay.http.BadMessageException;
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
 import dapplequay.http.Sockets;
@@ -79,7 +79,7 @@
                 start(caller);
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
                 if (!listener.isClosed()) {
-                    Sockets.close(socket);
+                    Sockets.closeQuietly(socket);
                     LOG.log(Level.SEVERE, "management call could not be accepted: {0}", e.toString());
                     pause();
                 }
@@ -131,7 +131,7 @@
 
     /** Ends this side: the listener and all callers. */
     public void close() {
-        Sockets.close(listener);
+        Sockets.closeQuietly(listener);
         List<Caller> left;
         synchronized (this) {
             left = new ArrayList<>(callers);
@@ -154,7 +154,7 @@
     }
 
     private Answer answer(Head call) {
-        String path = call.start[1].split("\\?", 2)[0];
+        String path = call.startLine[1].split("\\?", 2)[0];
         String method = switch (path) {
             case "/-/ready", "/-/metrics" -> "GET";
             case "/-/drain", "/-/resume" -> "PUT";
@@ -163,7 +163,7 @@
         if (method == null) {
             return Answer.plain("404 Not Found", "no such call");
         }
-        if (!call.start[0].equals(method) && !(method.equals("GET") && call.start[0].equals("HEAD"))) {
+        if (!call.startLine[0].equals(method) && !(method.equals("GET") && call.startLine[0].equals("HEAD"))) {
             return new Answer("405 Method Not Allowed", "Allow: " + (method.equals("GET") ? "GET, HEAD" : method)
                     + "\r\n", "only " + method + "\n");
         }
@@ -197,7 +197,7 @@
         }
 
         void close() {
-            Sockets.close(socket);
+            Sockets.closeQuietly(socket);
         }
 
         @Override
@@ -225,11 +225,11 @@
         private byte[] call() throws IOException {
             try {
                 MessageReader reader = new MessageReader(socket.getInputStream(), MAX_BODY);
-                Head head = reader.request();
-                reader.requestBody(head);
+                Head head = reader.readRequestHead();
+                reader.readRequestBody(head);
                 busy = true;
-                return answer(head).bytes(head.start[0].equals("HEAD"));
-            } catch (BadMessage e) {
+                return answer(head).bytes(head.startLine[0].equals("HEAD"));
+            } catch (BadMessageException e) {
                 busy = true;
                 return Answer.plain(e.status == 413 ? "413 Content Too Large" : "400 Bad Request", e.getMessage())
                         .bytes(false);
--- a/sidecar/src/main/java/dapplequay/net/Answers.java
+++ b/sidecar/src/main/java/dapplequay/net/Answers.java
@@ -36,14 +36,14 @@
 
     static Answer served(Head upstream, byte[] body) {
         StringBuilder head = start(200);
-        upstream.passOn(head, FOR_THE_SIDECAR);
+        upstream.appendEndToEndFields(head, FOR_THE_SIDECAR);
         return new Answer(head, body);
     }
 
     /** The start of a long answer: its head, framed for a client of this version, and what has come of the body. */
     static byte[] begun(Head upstream, Body body, byte[] start, String version, String connection) {
         StringBuilder head = start(200);
-        upstream.passOn(head, FOR_THE_SIDECAR);
+        upstream.appendEndToEndFields(head, FOR_THE_SIDECAR);
         if (body.length() >= 0) {
             head.append("Content-Length: ").append(body.length()).append("\r\n");
         } else if (!version.equals("HTTP/1.0")) {
--- a/sidecar/src/main/java/dapplequay/net/BodyReader.java
+++ b/sidecar/src/main/java/dapplequay/net/BodyReader.java
@@ -28,11 +28,11 @@
 
     /** All of a short body; of a long one as much as is held for another attempt. It grows as the body comes. */
     byte[] held(Body body) throws IOException {
-        int most = body.length() < 0 ? MessageReader.MAX_BODY
-                : body.length() > MessageReader.MAX_BODY ? HELD : (int) body.length();
+        int most = body.length() < 0 ? MessageReader.SHORT_BODY_BYTES
+                : body.length() > MessageReader.SHORT_BODY_BYTES ? HELD : (int) body.length();
         byte[] held = new byte[Math.min(most, FIRST_PIECE)];
         int size = 0;
-        while (size < most && !body.isWhole()) {
+        while (size < most && !body.isComplete()) {
             if (size == held.length) {
                 held = Arrays.copyOf(held, Math.min(most, 2 * size));
             }
@@ -43,7 +43,7 @@
 
     /** Up to so many of the next bytes. */
     int read(Body body, byte[] to, int at, int most) throws IOException {
-        if (body.isBuffered()) {
+        if (body.isFullyBuffered()) {
             return body.read(to, at, most);
         }
         if (pace == null) {
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -1,7 +1,7 @@
 package dapplequay.net;
 
 import dapplequay.facade.Call;
-import dapplequay.http.BadMessage;
+import dapplequay.http.BadMessageException;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
@@ -30,7 +30,7 @@
     /** A connection that has just come is not closed unheard: its first request is on its way. */
     private static final long FRESH_US = 100_000;
     /** Of a long request that was answered before it was whole: its client may read only after it has sent all. */
-    private static final int LONG_DRAINED = 2 * MessageReader.LONGEST_BODY;
+    private static final int LONG_DRAINED = 2 * MessageReader.MAX_BODY_BYTES;
     private static final long LONG_LINGER_US = 5_000_000;
     /** A client that does not take its answer must not hold the thread that writes it. */
     private static final long WRITE_US = 10_000_000;
@@ -90,7 +90,7 @@
         try {
             socket.setTcpNoDelay(true);
             input = new ClientInput(socket, side.deadlines()::now);
-            reader = new MessageReader(input, MessageReader.LONGEST_BODY);
+            reader = new MessageReader(input, MessageReader.MAX_BODY_BYTES);
             presence = new Presence(side, input, reader);
             while (reader.awaitRequest() && beginRequest()) {
                 readRequest();
@@ -171,15 +171,15 @@
         byte[] held;
         try {
             version = "HTTP/1.1";
-            head = reader.request();
+            head = reader.readRequestHead();
             side.deadlines().cancel(whole);
-            version = head.start[2];
-            body = reader.body(head);
-            if (head.lists("Expect", "100-continue") && !version.equals("HTTP/1.0") && !body.isBuffered()) {
+            version = head.startLine[2];
+            body = reader.requestBody(head);
+            if (head.hasToken("Expect", "100-continue") && !version.equals("HTTP/1.0") && !body.isFullyBuffered()) {
                 socket.getOutputStream().write(CONTINUE);
             }
             held = bodies.held(body);
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             lastRequest = true;         // where this message ends, and the next begins, nobody can say
             answer(Answers.plain(e.status, e.getMessage()));
             return;
@@ -195,20 +195,20 @@
         }
         requestIsWhole();
         // An answer to HEAD ends after its head, whatever length it names: not a method that is served here.
-        lastRequest = head.closes(version) || head.start[0].equals("HEAD");
-        uploading = !body.isWhole();
+        lastRequest = head.closesConnection(version) || head.startLine[0].equals("HEAD");
+        uploading = !body.isComplete();
         boolean counted = uploading;
         hasRoom = !counted || side.uploadBegins();
         try {
             if (!uploading) {
                 bodies.over();
             }
-            handle(head, held, body.isWhole() ? null : body, side.deadlines().now());
+            handle(head, held, body.isComplete() ? null : body, side.deadlines().now());
             if (uploading && current != null) {
                 carry(current, body);
                 bodies.over();
             }
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             answer(Answers.plain(e.status, e.getMessage()));
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "request could not be handled", e);
@@ -250,7 +250,7 @@
             Attempt attempt = null;
             while (uploading && !exchange.isOver()) {
                 int read = Math.max(0, bodies.read(body, piece, Chunks.ROOM, Pieces.SIZE));
-                boolean last = body.isWhole();
+                boolean last = body.isComplete();
                 uploading = !last;
                 // From the first piece on that is not held, no other attempt can follow: asked for once it is here.
                 while (attempt == null || !exchange.commit(attempt)) {
@@ -280,7 +280,7 @@
                 }
                 Pieces.gather(read, body, side.pauseMs());
             }
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             side.conductor().spoilt(exchange, Answers.plain(e.status, e.getMessage()));
         } catch (EOFException e) {
             if (!late) {
@@ -302,8 +302,8 @@
     }
 
     private void handle(Head head, byte[] held, Body rest, long receivedUs) throws IOException {
-        if (head.start[1].equals("/healthz")) {
-            answer(head.start[0].equals("GET") ? side.health() : Answers.plain(405, "only GET"));
+        if (head.startLine[1].equals("/healthz")) {
+            answer(head.startLine[0].equals("GET") ? side.health() : Answers.plain(405, "only GET"));
             return;
         }
         ClientRequest request = ClientRequest.check(head, held, rest, side.setup());
@@ -312,7 +312,7 @@
         }
         long callId = request.callId();
         if (!side.isNewId(callId, receivedUs)) {
-            throw new BadMessage(409, "X-Call-Id of another request");
+            throw new BadMessageException(409, "X-Call-Id of another request");
         }
         synchronized (this) {
             asked = true;
--- a/sidecar/src/main/java/dapplequay/net/ClientInput.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientInput.java
@@ -177,7 +177,7 @@
         socket.setSoTimeout(LOOK_MS);
         try {
             for (int sum = 0, count; sum < most; sum += count) {
-                if (reader != null && !reader.isFull()) {
+                if (reader != null && !reader.isBufferFull()) {
                     count = reader.readAhead();
                 } else if (spills) {
                     spilt = spilt == null ? new byte[PIECE] : spilt;
@@ -193,7 +193,7 @@
         } catch (SocketTimeoutException e) {
             heardUs = clock.getAsLong();        // nothing more, and no end: it is there
         } finally {
-            isInHand = reader != null && reader.hasBytes();
+            isInHand = reader != null && reader.hasBufferedBytes();
             looks = false;
         }
         return true;
--- a/sidecar/src/main/java/dapplequay/net/ClientRequest.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientRequest.java
@@ -2,7 +2,7 @@
 
 import dapplequay.BalancerApi.Semantics;
 import dapplequay.facade.Call;
-import dapplequay.http.BadMessage;
+import dapplequay.http.BadMessageException;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
 import dapplequay.http.Sockets;
@@ -23,31 +23,31 @@
     private static final String ABOUT = "obj=";
     private static final int LONGEST_ABOUT = 1_024;
 
-    static ClientRequest check(Head head, byte[] body, Body rest, Setup setup) throws BadMessage {
-        String[] target = head.start[1].split("\\?", 2);
+    static ClientRequest check(Head head, byte[] body, Body rest, Setup setup) throws BadMessageException {
+        String[] target = head.startLine[1].split("\\?", 2);
         String className = target[0].substring(1).split("/", 2)[0];
         Integer serviceClass = setup.classes().get(className);
         if (serviceClass == null) {
-            throw new BadMessage(400, "unknown class");
+            throw new BadMessageException(400, "unknown class");
         }
         Semantics semantics = setup.settings().classes().get(serviceClass).semantics();
-        if (!head.start[0].equals(semantics == Semantics.RETRYABLE ? "GET" : "POST")) {
-            throw new BadMessage(400, "wrong method for this class");
+        if (!head.startLine[0].equals(semantics == Semantics.RETRYABLE ? "GET" : "POST")) {
+            throw new BadMessageException(400, "wrong method for this class");
         }
         if (semantics == Semantics.RETRYABLE && (rest != null || body.length > 0)) {
-            throw new BadMessage(400, "a body with a class that is safe to repeat");
+            throw new BadMessageException(400, "a body with a class that is safe to repeat");
         }
         String key = head.get("Idempotency-Key");
         if (semantics == Semantics.DEDUP && (key == null || key.isEmpty())) {
-            throw new BadMessage(400, "missing Idempotency-Key");
+            throw new BadMessageException(400, "missing Idempotency-Key");
         }
         String id = head.get("X-Call-Id");
         if (id == null || !id.matches("[0-9a-fA-F]{1,16}")) {
-            throw new BadMessage(400, "missing or bad X-Call-Id");
+            throw new BadMessageException(400, "missing or bad X-Call-Id");
         }
         String budget = head.get("X-Budget-Ms");
         if (budget == null || !budget.matches("[0-9]{1,9}") || Long.parseLong(budget) < 1) {
-            throw new BadMessage(400, "missing or bad X-Budget-Ms");
+            throw new BadMessageException(400, "missing or bad X-Budget-Ms");
         }
         // No client waits for longer than its class grants: a greater figure would hold an attempt for good, and
         // make all others look like later tries to the module.
@@ -57,12 +57,12 @@
     }
 
     /** What the request is about, as its query says; null where it does not. */
-    private static String about(String[] target) throws BadMessage {
+    private static String about(String[] target) throws BadMessageException {
         String found = null;
         for (String pair : target.length < 2 ? new String[0] : target[1].split("&")) {
             if (pair.startsWith(ABOUT)) {
                 if (found != null || pair.length() == ABOUT.length() || pair.length() > LONGEST_ABOUT) {
-                    throw new BadMessage(400, "obj is empty, too long or there twice");
+                    throw new BadMessageException(400, "obj is empty, too long or there twice");
                 }
                 found = pair.substring(ABOUT.length());
             }
@@ -70,23 +70,23 @@
         return found;
     }
 
-    private static String tenant(Head head, Setup setup) throws BadMessage {
+    private static String tenant(Head head, Setup setup) throws BadMessageException {
         if (setup.tenants().isEmpty()) {
             return null;
         }
         String name = head.get("X-Caller");
         if (name == null || !setup.tenants().containsKey(name)) {
-            throw new BadMessage(name == null ? 400 : 403, "missing or unknown tenant");
+            throw new BadMessageException(name == null ? 400 : 403, "missing or unknown tenant");
         }
         return name;
     }
 
     /** The id as the number it is: other ways of writing it are no other ids. */
-    long callId() throws BadMessage {
+    long callId() throws BadMessageException {
         return Long.parseUnsignedLong(head.get("X-Call-Id"), 16);
     }
 
-    Call call(long leftUs) throws BadMessage {
+    Call call(long leftUs) throws BadMessageException {
         long hint = 0;
         String info = head.get("X-Call-Info");
         if (info != null) {
@@ -116,15 +116,15 @@
      */
     byte[] bytesFor(InetSocketAddress endpoint, long leftUs) {
         StringBuilder out = new StringBuilder(512);
-        out.append(head.start[0]).append(' ').append(head.start[1]).append(" HTTP/1.1\r\nHost: ")
-                .append(Sockets.text(endpoint)).append("\r\n");
-        head.passOn(out, REPLACED);
+        out.append(head.startLine[0]).append(' ').append(head.startLine[1]).append(" HTTP/1.1\r\nHost: ")
+                .append(Sockets.hostAndPort(endpoint)).append("\r\n");
+        head.appendEndToEndFields(out, REPLACED);
         out.append("X-Budget-Ms: ").append(Math.max(1, leftUs / 1000)).append("\r\n");
         if (isChunked()) {
             out.append("Transfer-Encoding: chunked\r\n");
             return message(out, Chunks.of(body));
         }
-        if (body.length > 0 || !head.start[0].equals("GET")) {
+        if (body.length > 0 || !head.startLine[0].equals("GET")) {
             out.append("Content-Length: ").append(isLong() ? rest.length() : body.length).append("\r\n");
         }
         return message(out, body);
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientSide.java
@@ -174,7 +174,7 @@
                     return;
                 }
                 if (leavesCrowd()) {
-                    Sockets.close(socket);
+                    Sockets.closeQuietly(socket);
                     door.shut();
                     return;
                 }
@@ -186,7 +186,7 @@
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
                 // Out of descriptors, threads or memory: others are about to end and give theirs back.
                 if (!door.isShut()) {
-                    Sockets.close(socket);
+                    Sockets.closeQuietly(socket);
                     LOG.log(Level.SEVERE, "connection could not be accepted: {0}", e.toString());
                     pause();
                 }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -156,7 +156,7 @@
             if (next.equals(discovery) || isEnded) {
                 return;
             }
-            LOG.log(Level.INFO, "discovery is at {0} now, {1}", new Object[] {Sockets.text(next),
+            LOG.log(Level.INFO, "discovery is at {0} now, {1}", new Object[] {Sockets.hostAndPort(next),
                 current == null ? "no call was out" : "the call that was out is still read"});
             discovery = next;
             hasMoved = true;
@@ -314,7 +314,7 @@
             notifyAll();
         } else if (takeSuperseded(its) != null) {
             LOG.log(Level.FINE, "superseded discovery call at {0} ended: {1}",
-                    new Object[] {Sockets.text(its.address()), failure});
+                    new Object[] {Sockets.hostAndPort(its.address()), failure});
         }
     }
 
@@ -347,7 +347,7 @@
         tellOfDoubt(applied.outcome());
         boolean isNews = isCurrent || !applied.outcome().news().lines().isEmpty();
         take(applied, isNews);
-        String source = "version " + update.revision() + " of " + Sockets.text(call.connection().address())
+        String source = "version " + update.revision() + " of " + Sockets.hostAndPort(call.connection().address())
                 + (isCurrent ? "" : ", on a superseded call") + ", asked for "
                 + (receivedUs - call.id().begunUs()) / 1_000 + " ms before";
         tell(applied.outcome(), source);
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
@@ -58,7 +58,7 @@
         connectWithinMs = itsConnectWithinMs;
         if (!isStarted) {
             isStarted = true;
-            Thread thread = new Thread(this, "discovery " + Sockets.text(address));
+            Thread thread = new Thread(this, "discovery " + Sockets.hostAndPort(address));
             thread.setDaemon(true);
             thread.start();
         }
@@ -71,7 +71,7 @@
             isClosed = true;
             notifyAll();
         }
-        Sockets.close(socket);
+        Sockets.closeQuietly(socket);
     }
 
     @Override
@@ -84,19 +84,19 @@
                 next = awaitCall();
             }
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
-            Sockets.close(socket);
+            Sockets.closeQuietly(socket);
             owner.failed(this, e, hasAnswered);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            Sockets.close(socket);
+            Sockets.closeQuietly(socket);
         }
     }
 
     private void connect() throws IOException {
         socket.connect(address, connectWithinMs);
         socket.setTcpNoDelay(true);
-        reader = new MessageReader(new AnswerInput(socket.getInputStream()), MessageReader.MAX_LIST);
+        reader = new MessageReader(new AnswerInput(socket.getInputStream()), MessageReader.MAX_SERVER_LIST_BYTES);
     }
 
     /** Null where the connection was closed. */
@@ -112,18 +112,20 @@
     private void exchange(String itsQuery) throws IOException {
         hasAnswered = false;
         answerHasBegun = false;
-        String request = "GET /v1/servers" + itsQuery + " HTTP/1.1\r\nHost: " + Sockets.text(address) + "\r\n\r\n";
+        String request = "GET /v1/servers" + itsQuery + " HTTP/1.1\r\nHost: " + Sockets.hostAndPort(address)
+                + "\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
-        Head head = reader.response();
-        byte[] body = reader.responseBody(head);
+        Head head = reader.readResponseHead();
+        byte[] body = reader.readResponseBody(head);
         long receivedUs = now.getAsLong();
-        if (!head.start[1].equals("200")) {
-            throw new IOException("discovery answered " + head.start[1]);
+        if (!head.startLine[1].equals("200")) {
+            throw new IOException("discovery answered " + head.startLine[1]);
         }
         hasAnswered = true;
         Endpoints.Update update = Endpoints.read(body);
         // Bytes that nobody asked for would be read as the next answer.
-        boolean stays = !head.closes(head.start[0]) && !MessageReader.lastsToTheEnd(head) && !reader.hasBytes();
+        boolean stays = !head.closesConnection(head.startLine[0]) && !MessageReader.isCloseDelimited(head)
+                && !reader.hasBufferedBytes();
         owner.answered(this, update, receivedUs, stays);
         if (!stays) {
             close();
--- a/sidecar/src/main/java/dapplequay/net/Door.java
+++ b/sidecar/src/main/java/dapplequay/net/Door.java
@@ -96,7 +96,7 @@
 
         @Override
         public void shut() {
-            Sockets.close(listener);
+            Sockets.closeQuietly(listener);
         }
 
         @Override
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -208,7 +208,7 @@
         for (Line line : registry.lines()) {
             Map<String, Object> target = new LinkedHashMap<>();
             target.put("uid", line.uid());
-            target.put("endpoint", Sockets.text(endpoints.get(line.uid()).address()));
+            target.put("endpoint", Sockets.hostAndPort(endpoints.get(line.uid()).address()));
             target.put("az", line.zone());
             target.put("pod_group", line.cell());
             target.put("state", line.state().name());
--- a/sidecar/src/main/java/dapplequay/net/LoadText.java
+++ b/sidecar/src/main/java/dapplequay/net/LoadText.java
@@ -1,7 +1,7 @@
 package dapplequay.net;
 
 import dapplequay.facade.HostLoad;
-import dapplequay.http.BadMessage;
+import dapplequay.http.BadMessageException;
 import dapplequay.http.Head;
 
 /** Reads {@code X-Load-Report}. */
@@ -15,7 +15,7 @@
     static HostLoad read(Head answer) {
         try {
             return read(answer.get("X-Load-Report"));
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             return null;
         }
     }
--- a/sidecar/src/main/java/dapplequay/net/LongAnswer.java
+++ b/sidecar/src/main/java/dapplequay/net/LongAnswer.java
@@ -59,11 +59,11 @@
         passed = held;
         try (Progress stuck = new Progress(deadlines, moves, ending::close)) {
             client.getOutputStream().write(begun);
-            while (!body.isWhole()) {
+            while (!body.isComplete()) {
                 moves.moved();
                 int read = next(body, piece, moves, dueUs);
                 moves.moved();
-                Chunks.Span out = Chunks.span(piece, read, chunked, body.isWhole());
+                Chunks.Span out = Chunks.span(piece, read, chunked, body.isComplete());
                 client.getOutputStream().write(piece, out.from(), out.length());
                 passed += read;
                 Pieces.gather(read, body, pauseMs.getAsLong());
@@ -104,7 +104,8 @@
      */
     private boolean isGivenUp(Body body, long dueUs) {
         long now = deadlines.now();
-        boolean isTimed = passed <= (body.length() > MessageReader.MAX_BODY ? 0 : MessageReader.MAX_BODY);
+        boolean isTimed = passed <= (body.length() > MessageReader.SHORT_BODY_BYTES
+                ? 0 : MessageReader.SHORT_BODY_BYTES);
         return isTimed && hostMovedUs <= dueUs && now >= dueUs + GRACE_US || now - hostMovedUs >= STALL_US;
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/OrderlyClose.java
+++ b/sidecar/src/main/java/dapplequay/net/OrderlyClose.java
@@ -65,7 +65,7 @@
         }
         closed = true;
         deadlines.cancel(bound);
-        Sockets.close(socket);
+        Sockets.closeQuietly(socket);
     }
 
     /** Whether an answer is on its way that a plain end would be taken for the end of: a close is a reset then. */
--- a/sidecar/src/main/java/dapplequay/net/Pieces.java
+++ b/sidecar/src/main/java/dapplequay/net/Pieces.java
@@ -46,11 +46,11 @@
      * Where short requests wait for the processor, a long body gives way: it pauses for {@code leastMs} in any case.
      */
     static void gather(int read, Body body, long leastMs) throws InterruptedIOException {
-        if (body.isWhole()) {
+        if (body.isComplete()) {
             return;
         }
         int gathered = body.framing() == Body.Framing.CHUNKED ? CHUNKS_GATHERED : GATHERED;
-        boolean small = read < gathered && !body.isNearlyWhole(gathered);
+        boolean small = read < gathered && !body.hasFewerLeftThan(gathered);
         long pauseMs = Math.max(small ? GATHER_MS : 0, leastMs);
         if (pauseMs > 0) {
             try {
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -218,7 +218,7 @@
             new Thread(clients, "listener").start();
             lifetime.listening();
         }
-        LOG.log(Level.INFO, "serving on {0}", Sockets.text(address()));
+        LOG.log(Level.INFO, "serving on {0}", Sockets.hostAndPort(address()));
     }
 
     /** What the management address is about. */
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -2,7 +2,7 @@
 
 import dapplequay.facade.HostLoad;
 import dapplequay.facade.AttemptEnd;
-import dapplequay.http.BadMessage;
+import dapplequay.http.BadMessageException;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
@@ -100,7 +100,7 @@
     }
 
     void close() {
-        Sockets.close(socket);
+        Sockets.closeQuietly(socket);
     }
 
     /** What became of an attempt that was to be written. */
@@ -273,8 +273,8 @@
         try {
             if (isConnected || (spareFor == null ? connect() : connectSpare())) {
                 MessageReader reader = new MessageReader(new Noting(socket.getInputStream()),
-                        MessageReader.LONGEST_BODY);
-                while (reader.await() && serve(reader)) { }
+                        MessageReader.MAX_BODY_BYTES);
+                while (reader.awaitData() && serve(reader)) { }
             }
         } catch (IOException e) {
             LOG.log(Level.FINE, "connection to {0} ended: {1}", new Object[] {endpoint.address(), e});
@@ -337,20 +337,20 @@
             return false;           // bytes that nobody asked for
         }
         try {
-            Head head = reader.response();
+            Head head = reader.readResponseHead();
             served.headCame(side.now());
             AttemptEnd end = end(head);
-            Body body = reader.bodyOf(head);
+            Body body = reader.responseBody(head);
             if (end == AttemptEnd.SERVED && served.isUploading()) {
-                throw new BadMessage(502, "served before it had the request");
+                throw new BadMessageException(502, "served before it had the request");
             }
-            boolean isLong = end == AttemptEnd.SERVED && body.length() > MessageReader.MAX_BODY;
+            boolean isLong = end == AttemptEnd.SERVED && body.length() > MessageReader.SHORT_BODY_BYTES;
             byte[] start = isLong ? new byte[0] : start(body);
-            if (end == AttemptEnd.SERVED && body.framing() == Body.Framing.TO_END && !served.awaitWritten()) {
+            if (end == AttemptEnd.SERVED && body.framing() == Body.Framing.CLOSE_DELIMITED && !served.awaitWritten()) {
                 throw new EOFException("ended under its request");
             }
             HostLoad load = LoadText.read(head);
-            boolean isPassedOn = end == AttemptEnd.SERVED && !body.isWhole();
+            boolean isPassedOn = end == AttemptEnd.SERVED && !body.isComplete();
             if (isPassedOn) {
                 socket.setSoTimeout(LongAnswer.LOOK_MS);
             }
@@ -370,7 +370,7 @@
                 }
                 return open;
             }
-            boolean open = body.isWhole() && isOpenAfter(head, body, reader) && !wasWriting;
+            boolean open = body.isComplete() && isOpenAfter(head, body, reader) && !wasWriting;
             if (open) {
                 rest();
                 side.free(this, served.order.host());
@@ -379,7 +379,7 @@
             }
             side.told(served, end, load, head, start);
             return open;
-        } catch (BadMessage e) {
+        } catch (BadMessageException e) {
             LOG.log(Level.WARNING, "rubbish from {0}: {1}", new Object[] {endpoint.address(), e.getMessage()});
             served.answered(AttemptEnd.ERROR);
             return false;
@@ -387,7 +387,8 @@
     }
 
     private static boolean isOpenAfter(Head head, Body body, MessageReader reader) {
-        return !head.closes(head.start[0]) && body.framing() != Body.Framing.TO_END && !reader.hasBytes();
+        return !head.closesConnection(head.startLine[0]) && body.framing() != Body.Framing.CLOSE_DELIMITED
+                && !reader.hasBufferedBytes();
     }
 
     /**
@@ -399,7 +400,7 @@
         byte[] piece = new byte[(int) (body.length() < 0 ? PIECE : Math.max(1, Math.min(PIECE, body.length())))];
         long untilUs = side.now() + HELD_US;
         try {
-            while (!body.isWhole() && start.size() < MessageReader.MAX_BODY) {
+            while (!body.isComplete() && start.size() < MessageReader.SHORT_BODY_BYTES) {
                 if (body.length() < 0) {
                     socket.setSoTimeout((int) Math.max(1, (untilUs - side.now()) / 1000));
                 }
@@ -419,8 +420,8 @@
         return start.toByteArray();
     }
 
-    private static AttemptEnd end(Head head) throws BadMessage {
-        String status = head.start[1];
+    private static AttemptEnd end(Head head) throws BadMessageException {
+        String status = head.startLine[1];
         if (status.equals("200")) {
             return AttemptEnd.SERVED;
         }
--- a/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
@@ -301,7 +301,7 @@
     /** Gives a connection its own thread. */
     void start(UpstreamConnection connection) {
         try {
-            new Thread(connection, "upstream " + Sockets.text(connection.endpoint.address())).start();
+            new Thread(connection, "upstream " + Sockets.hostAndPort(connection.endpoint.address())).start();
         } catch (OutOfMemoryError e) {
             // No thread to be had: what was not written never ran, and the module decides what to do instead.
             LOG.log(Level.SEVERE, "no thread for a connection", e);
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -67,17 +67,17 @@
 
     private void round(int number) throws IOException {
         MessageReader in = reader(requestText(number));
-        in.await();
-        Head head = in.request();
-        ClientRequest request = ClientRequest.check(head, in.requestBody(head), null, setup);
+        in.awaitData();
+        Head head = in.readRequestHead();
+        ClientRequest request = ClientRequest.check(head, in.readRequestBody(head), null, setup);
         long id = facade.nextId();
         Decision decision = facade.pick(id, request.call(request.budgetUs()));
         if (decision instanceof Decision.Send send) {
             Deadlines.Deadline deadline = deadlines.after(send.timeoutUs(), () -> { });
             request.bytesFor(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), send.timeoutUs());
             MessageReader back = reader(ANSWER);
-            Head answer = back.response();
-            byte[] body = back.responseBody(answer);
+            Head answer = back.readResponseHead();
+            byte[] body = back.readResponseBody(answer);
             facade.report(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
                     LoadText.read(answer));
             Answers.served(answer, body).bytes("");
--- a/sidecar/src/test/java/dapplequay/cli/DrainFleet.java
+++ b/sidecar/src/test/java/dapplequay/cli/DrainFleet.java
@@ -34,7 +34,7 @@
     final SharedDiscovery discovery;
     private final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
     private final Hosts servers = new Hosts(SERVERS, (server, head) -> {
-        String path = head.start[1];
+        String path = head.startLine[1];
         arrivals.add(new Arrival(path.charAt(path.length() - 1) - '0', server, System.nanoTime()));
         return "";
     });
--- a/sidecar/src/test/java/dapplequay/cli/Hosts.java
+++ b/sidecar/src/test/java/dapplequay/cli/Hosts.java
@@ -44,9 +44,9 @@
         try (socket) {
             socket.setTcpNoDelay(true);
             MessageReader reader = new MessageReader(socket.getInputStream());
-            while (reader.await()) {
-                Head head = reader.request();
-                reader.requestBody(head);
+            while (reader.awaitData()) {
+                Head head = reader.readRequestHead();
+                reader.readRequestBody(head);
                 socket.getOutputStream().write(("HTTP/1.1 200 OK\r\n" + script.fields(host, head) + "Content-Length: "
                         + BODY.length() + "\r\n\r\n" + BODY).getBytes(StandardCharsets.ISO_8859_1));
             }
--- a/sidecar/src/test/java/dapplequay/cli/LastMomentTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/LastMomentTest.java
@@ -69,10 +69,10 @@
 
     private static String status(Socket from) throws IOException {
         MessageReader reader = new MessageReader(from.getInputStream());
-        if (!reader.await()) {
+        if (!reader.awaitData()) {
             return "closed";
         }
-        return reader.response().start[1];
+        return reader.readResponseHead().startLine[1];
     }
 
     private void tellToEnd() {
--- a/sidecar/src/test/java/dapplequay/cli/RollClient.java
+++ b/sidecar/src/test/java/dapplequay/cli/RollClient.java
@@ -196,7 +196,7 @@
         } else if (habit == Habit.IDLE) {
             socket.setSoTimeout(pause);
             try {
-                if (reader.await()) {
+                if (reader.awaitData()) {
                     ledger.wrong.add("doubled: an answer that nobody asked for");
                 }
                 drop();
@@ -229,14 +229,14 @@
             long toldUs = target.toldUs();
             write(text);
             sentUs = now();
-            heard = reader.await();
+            heard = reader.awaitData();
             if (heard && habit == Habit.EAGER && !ledger.over) {
                 begin(next());
             }
-            Head head = reader.response();
-            String body = new String(reader.responseBody(head), StandardCharsets.ISO_8859_1);
+            Head head = reader.readResponseHead();
+            String body = new String(reader.readResponseBody(head), StandardCharsets.ISO_8859_1);
             answered(call, head, body, fromUs);
-            if (toldUs != 0 && !again && head.start[1].equals("200")) {
+            if (toldUs != 0 && !again && head.startLine[1].equals("200")) {
                 ledger.count("sent after SIGTERM, 200");
                 ledger.most("sent after SIGTERM, 200, at most us after", fromUs - toldUs);
             }
@@ -267,7 +267,7 @@
     }
 
     private void answered(Call call, Head head, String body, long fromUs) throws IOException {
-        String status = head.start[1];
+        String status = head.startLine[1];
         long lateUs = now() - fromUs - call.budgetMs() * 1000;
         ledger.count("answered " + status);
         ledger.most("late at most, us", lateUs);
@@ -277,17 +277,17 @@
         if (status.equals("200") ? !body.equals(call.id()) : !status.matches("50[34]")) {
             ledger.wrong.add("not its answer: " + status + " " + body + " to " + call);
         }
-        if (head.closes("HTTP/1.1")) {
+        if (head.closesConnection("HTTP/1.1")) {
             ledger.count("last answers");
             try {
-                if (reader.await()) {
+                if (reader.awaitData()) {
                     ledger.wrong.add("doubled: more after the last answer, to " + call);
                 }
             } catch (IOException e) {
                 ledger.wrong.add("lost to whoever reads slowly: " + e + " after the last answer, to " + call);
             }
             drop();
-        } else if (reader.hasBytes()) {
+        } else if (reader.hasBufferedBytes()) {
             ledger.wrong.add("doubled: more after the answer to " + call);
         }
     }
--- a/sidecar/src/test/java/dapplequay/cli/RollUnderLoadTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/RollUnderLoadTest.java
@@ -84,11 +84,11 @@
     private void serve(Socket socket, int group) throws Exception {
         socket.setTcpNoDelay(true);
         MessageReader reader = new MessageReader(socket.getInputStream());
-        while (reader.await()) {
-            Head head = reader.request();
-            reader.requestBody(head);
+        while (reader.awaitData()) {
+            Head head = reader.readRequestHead();
+            reader.readRequestBody(head);
             String id = head.get("X-Call-Id");
-            String[] path = head.start[1].split("/");
+            String[] path = head.startLine[1].split("/");
             ledger.ran(id, new RollClient.Run(path[1], group, head.get("X-Again") != null));
             long number = Long.parseLong(path[2]);
             Thread.sleep(number % 211 == 0 ? 1_200 : number % 17 == 0 || number % 100 == 0 ? 300 : 3 + number % 30);
--- a/sidecar/src/test/java/dapplequay/cli/SignalCrossingsTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/SignalCrossingsTest.java
@@ -75,7 +75,7 @@
             socket.connect(at, PATIENCE_MS);
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(PATIENCE_MS);
-            reader = new MessageReader(socket.getInputStream(), MessageReader.LONGEST_BODY);
+            reader = new MessageReader(socket.getInputStream(), MessageReader.MAX_BODY_BYTES);
         }
 
         private void write(String text) throws IOException {
@@ -116,9 +116,9 @@
         }
 
         int answer() throws IOException {
-            Head head = reader.response();
-            String body = new String(reader.responseBody(head), StandardCharsets.ISO_8859_1);
-            int status = Integer.parseInt(head.start[1]);
+            Head head = reader.readResponseHead();
+            String body = new String(reader.readResponseBody(head), StandardCharsets.ISO_8859_1);
+            int status = Integer.parseInt(head.startLine[1]);
             assertThat(status != 200 || body.equals(id)).as(body).isTrue();
             return status;
         }
@@ -175,7 +175,7 @@
         Client half = client().quotes();
         Upstream.Attempt begun = upstream.next();
         begun.write("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
-        Head answer = half.reader.response();
+        Head answer = half.reader.readResponseHead();
         program.signal("HUP");
         program.signal("TERM");
         program.awaitLog("ending: ");
@@ -188,7 +188,7 @@
         inBody.sendsTheRest();
         inBody.isServed();
         begun.write("x".repeat(100_000));
-        assertThat(half.reader.responseBody(answer)).hasSize(200_000);
+        assertThat(half.reader.readResponseBody(answer)).hasSize(200_000);
         for (int i = 0; i < 20; i++) {
             Client late = client().quotes();
             late.isServed();
@@ -228,7 +228,7 @@
             }
             Socket attempt = open(full.accept());
             MessageReader reader = new MessageReader(attempt.getInputStream());
-            new Upstream.Attempt(reader.request().get("X-Call-Id"), attempt).serve();
+            new Upstream.Attempt(reader.readRequestHead().get("X-Call-Id"), attempt).serve();
             assertThat(client.answer()).isEqualTo(200);
             client.close();
             awaitEnd();
--- a/sidecar/src/test/java/dapplequay/cli/StartTogetherTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/StartTogetherTest.java
@@ -48,9 +48,9 @@
 
     private static void serve(Socket socket) throws Exception {
         MessageReader reader = new MessageReader(socket.getInputStream());
-        while (reader.await()) {
-            Head head = reader.request();
-            reader.requestBody(head);
+        while (reader.awaitData()) {
+            Head head = reader.readRequestHead();
+            reader.readRequestBody(head);
             socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
                     .getBytes(StandardCharsets.ISO_8859_1));
         }
@@ -91,7 +91,7 @@
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), ports.get(i))) {
                 client.getOutputStream().write(("GET /quote/1 HTTP/1.1\r\nX-Call-Id: 1\r\nX-Caller: shop-a\r\n"
                         + "X-Budget-Ms: 1000\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
-                assertThat(new MessageReader(client.getInputStream()).response().start[1]).isEqualTo("200");
+                assertThat(new MessageReader(client.getInputStream()).readResponseHead().startLine[1]).isEqualTo("200");
             }
         }
         // Nine in ten are held to this where each has but a share of a core.
--- a/sidecar/src/test/java/dapplequay/cli/UpgradeTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/UpgradeTest.java
@@ -64,10 +64,10 @@
     }
 
     private void serve(Socket socket) throws Exception {
-        MessageReader reader = new MessageReader(socket.getInputStream(), MessageReader.LONGEST_BODY);
-        while (reader.await()) {
-            Head head = reader.request();
-            byte[] body = reader.requestBody(head);
+        MessageReader reader = new MessageReader(socket.getInputStream(), MessageReader.MAX_BODY_BYTES);
+        while (reader.awaitData()) {
+            Head head = reader.readRequestHead();
+            byte[] body = reader.readRequestBody(head);
             run.incrementAndGet();
             Thread.sleep(5);
             socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"
@@ -99,14 +99,14 @@
                         reader = new MessageReader(socket.getInputStream());
                     }
                     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-                    Head head = reader.response();
-                    String body = new String(reader.responseBody(head), StandardCharsets.ISO_8859_1);
-                    if (head.start[1].equals("200") && body.equals(id)) {
+                    Head head = reader.readResponseHead();
+                    String body = new String(reader.readResponseBody(head), StandardCharsets.ISO_8859_1);
+                    if (head.startLine[1].equals("200") && body.equals(id)) {
                         answered.incrementAndGet();
-                    } else if (!head.start[1].equals("503")) {      // one that is refused has its answer too
-                        wrong.add(head.start[1] + " " + body + " to " + id);
+                    } else if (!head.startLine[1].equals("503")) {      // one that is refused has its answer too
+                        wrong.add(head.startLine[1] + " " + body + " to " + id);
                     }
-                    if (head.closes("HTTP/1.1")) {
+                    if (head.closesConnection("HTTP/1.1")) {
                         socket.close();
                         socket = null;
                     }
@@ -190,10 +190,10 @@
             old.signal("TERM");
             assertThat(old.process.waitFor(500, TimeUnit.MILLISECONDS)).as("it holds a request").isFalse();
             socket.getOutputStream().write(half);
-            MessageReader reader = new MessageReader(socket.getInputStream(), MessageReader.LONGEST_BODY);
-            Head head = reader.response();
-            assertThat(head.start[1]).isEqualTo("200");
-            assertThat(reader.responseBody(head)).hasSize(600_000);
+            MessageReader reader = new MessageReader(socket.getInputStream(), MessageReader.MAX_BODY_BYTES);
+            Head head = reader.readResponseHead();
+            assertThat(head.startLine[1]).isEqualTo("200");
+            assertThat(reader.readResponseBody(head)).hasSize(600_000);
         }
         assertThat(old.process.waitFor(30, TimeUnit.SECONDS)).isTrue();
         assertThat(run).hasValue(1);
--- a/sidecar/src/test/java/dapplequay/cli/Upstream.java
+++ b/sidecar/src/test/java/dapplequay/cli/Upstream.java
@@ -49,9 +49,9 @@
     private void read(Socket socket) throws Exception {
         socket.setTcpNoDelay(true);
         MessageReader reader = new MessageReader(socket.getInputStream());
-        while (reader.await()) {
-            Head head = reader.request();
-            reader.requestBody(head);
+        while (reader.awaitData()) {
+            Head head = reader.readRequestHead();
+            reader.readRequestBody(head);
             attempts.add(new Attempt(head.get("X-Call-Id"), socket));
         }
     }
--- a/sidecar/src/test/java/dapplequay/http/BodyPropertyTest.java
+++ b/sidecar/src/test/java/dapplequay/http/BodyPropertyTest.java
@@ -81,10 +81,10 @@
             throws Exception {
         byte[] body = bytes(seed, length);
         MessageReader reader = new MessageReader(new Cut(framed(body, chunked, seed), seed, most, pauses),
-                MessageReader.LONGEST_BODY);
-        Head head = again(reader::request);
-        assertThat(head.start[1]).isEqualTo("/a");
-        Body read = reader.body(head);
+                MessageReader.MAX_BODY_BYTES);
+        Head head = again(reader::readRequestHead);
+        assertThat(head.startLine[1]).isEqualTo("/a");
+        Body read = reader.requestBody(head);
         ByteArrayOutputStream got = new ByteArrayOutputStream();
         byte[] piece = new byte[room + 2];
         while (true) {
@@ -96,8 +96,8 @@
             got.write(piece, 1, count);
         }
         assertThat(got.toByteArray()).isEqualTo(body);
-        assertThat(read.isWhole()).isTrue();
-        assertThat(again(reader::request).start[1]).isEqualTo("/next");
+        assertThat(read.isComplete()).isTrue();
+        assertThat(again(reader::readRequestHead).startLine[1]).isEqualTo("/next");
     }
 
     private interface Step<T> {
--- a/sidecar/src/test/java/dapplequay/http/HeadTest.java
+++ b/sidecar/src/test/java/dapplequay/http/HeadTest.java
@@ -33,9 +33,9 @@
         "GET / HTTP/1.0|A:b|A:b||; GET; /",
     })
     void requestsAreRead(String text, String method, String target) throws Exception {
-        Head head = trickle(text).request();
-        assertThat(head.start[0]).isEqualTo(method);
-        assertThat(head.start[1]).isEqualTo(target);
+        Head head = trickle(text).readRequestHead();
+        assertThat(head.startLine[0]).isEqualTo(method);
+        assertThat(head.startLine[1]).isEqualTo(target);
     }
 
     @ParameterizedTest
@@ -46,7 +46,8 @@
         "GET /a HTTP/1.1|A: b\u0001||; 400",
     })
     void badRequestHeadsAreNamed(String text, int status) {
-        BadMessage bad = catchThrowableOfType(BadMessage.class, () -> trickle(text).request());
+        BadMessageException bad = catchThrowableOfType(BadMessageException.class,
+                () -> trickle(text).readRequestHead());
         assertThat(bad).as(text).isNotNull();
         assertThat(bad.status).isEqualTo(status);
     }
@@ -60,8 +61,8 @@
     })
     void requestBodiesEndWhereTheyShould(String text, String body) throws Exception {
         MessageReader reader = trickle("POST / HTTP/1.1|" + text);
-        Head head = reader.request();
-        assertThat(new String(reader.requestBody(head), StandardCharsets.ISO_8859_1)).isEqualTo(body);
+        Head head = reader.readRequestHead();
+        assertThat(new String(reader.readRequestBody(head), StandardCharsets.ISO_8859_1)).isEqualTo(body);
     }
 
     @ParameterizedTest
@@ -74,8 +75,8 @@
     })
     void badFramingIsRefused(String text, int status) throws Exception {
         MessageReader reader = trickle("POST / HTTP/1.1|" + text);
-        Head head = reader.request();
-        BadMessage bad = catchThrowableOfType(BadMessage.class, () -> reader.requestBody(head));
+        Head head = reader.readRequestHead();
+        BadMessageException bad = catchThrowableOfType(BadMessageException.class, () -> reader.readRequestBody(head));
         assertThat(bad).as(text).isNotNull();
         assertThat(bad.status).isEqualTo(status);
     }
@@ -89,15 +90,15 @@
     })
     void responsesAreRead(String text, String status, String body) throws Exception {
         MessageReader reader = trickle(text);
-        Head head = reader.response();
-        assertThat(head.start[1]).isEqualTo(status);
-        assertThat(new String(reader.responseBody(head), StandardCharsets.ISO_8859_1)).isEqualTo(body);
+        Head head = reader.readResponseHead();
+        assertThat(head.startLine[1]).isEqualTo(status);
+        assertThat(new String(reader.readResponseBody(head), StandardCharsets.ISO_8859_1)).isEqualTo(body);
     }
 
     @ParameterizedTest
     @CsvSource({"'SSH-2.0-x||'", "'HTTP/1.1 abc||'", "'HTTP/1.1 101 Up||'", "'HTTP/1.1 999 x||'"})
     void rubbishIsNoResponse(String text) {
-        assertThat(catchThrowableOfType(BadMessage.class, () -> trickle(text).response())).isNotNull();
+        assertThat(catchThrowableOfType(BadMessageException.class, () -> trickle(text).readResponseHead())).isNotNull();
     }
 
     @ParameterizedTest
@@ -106,7 +107,7 @@
         String text = "GET /" + "x".repeat(length) + " HTTP/1.1||";
         InputStream whole = new ByteArrayInputStream(bytes(text));
         for (MessageReader reader : new MessageReader[] {trickle(text), new MessageReader(whole)}) {
-            BadMessage bad = catchThrowableOfType(BadMessage.class, reader::request);
+            BadMessageException bad = catchThrowableOfType(BadMessageException.class, reader::readRequestHead);
             assertThat(bad).isNotNull();
             assertThat(bad.status).isEqualTo(status);
         }
--- a/sidecar/src/test/java/dapplequay/http/BufferTest.java
+++ b/sidecar/src/test/java/dapplequay/http/ReadBufferTest.java
@@ -7,10 +7,10 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-class BufferTest {
+class ReadBufferTest {
 
-    private static Buffer filled(int limit, int count) throws IOException {
-        Buffer buffer = new Buffer(limit);
+    private static ReadBuffer filled(int limit, int count) throws IOException {
+        ReadBuffer buffer = new ReadBuffer(limit);
         ByteArrayInputStream in = new ByteArrayInputStream(new byte[count]);
         while (buffer.size() < count) {
             buffer.fill(in);
@@ -20,15 +20,15 @@
 
     @Test
     void growsToItsLimitAndNoFurther() throws IOException {
-        Buffer buffer = filled(3_000, 3_000);
+        ReadBuffer buffer = filled(3_000, 3_000);
         assertThat(buffer.capacity()).isEqualTo(3_000);
         assertThatThrownBy(() -> buffer.fill(new ByteArrayInputStream(new byte[1])))
-                .isInstanceOf(BadMessage.class);
+                .isInstanceOf(BadMessageException.class);
     }
 
     @Test
     void usedBytesMakeRoomBeforeItGrows() throws IOException {
-        Buffer buffer = filled(4_096, 1_024);
+        ReadBuffer buffer = filled(4_096, 1_024);
         buffer.take(1_000);
         assertThat(buffer.fill(new ByteArrayInputStream(new byte[500]))).isEqualTo(500);
         assertThat(buffer.capacity()).isEqualTo(1_024);
@@ -37,7 +37,7 @@
 
     @Test
     void emptyBufferGivesBackWhatALongMessageTook() throws IOException {
-        Buffer buffer = filled(70_000, 70_000);
+        ReadBuffer buffer = filled(70_000, 70_000);
         buffer.take(69_999);
         assertThat(buffer.capacity()).isEqualTo(70_000);
         buffer.skip(1);
--- a/sidecar/src/test/java/dapplequay/net/BrokenAnswersTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BrokenAnswersTest.java
@@ -108,10 +108,10 @@
         }));
         Host.Client client = open(new Host.Client(sidecar(Map.of(), host.port()).address()));
         client.send(pay(version));
-        Head head = client.reader.response();
-        assertThat(head.start[1]).isEqualTo("200");
+        Head head = client.reader.readResponseHead();
+        assertThat(head.startLine[1]).isEqualTo("200");
         passedOn.countDown();
-        assertThatThrownBy(() -> client.reader.responseBody(head))
+        assertThatThrownBy(() -> client.reader.readResponseBody(head))
                 .isInstanceOf(version.equals("1.0") ? SocketException.class : IOException.class);
         assertThat(host.seen).as("what has begun is not asked for anew").hasSize(1);
     }
@@ -128,9 +128,10 @@
         }));
         Host.Client client = open(new Host.Client(sidecar(Map.of(), host.port()).address()));
         client.send(pay("1.1"));
-        Head head = client.reader.response();
+        Head head = client.reader.readResponseHead();
         passedOn.countDown();
-        assertThat(client.reader.responseBody(head)).asString(StandardCharsets.ISO_8859_1).isEqualTo("half and half");
+        assertThat(client.reader.readResponseBody(head)).asString(StandardCharsets.ISO_8859_1)
+                .isEqualTo("half and half");
     }
 
     /**
@@ -155,7 +156,7 @@
                 bothAccept.countDown();
                 if (fillsOther) {
                     MessageReader reader = new MessageReader(first.getInputStream());
-                    reader.requestBody(reader.request());
+                    reader.readRequestBody(reader.readRequestHead());
                     seen.incrementAndGet();
                     fillers.add(new Socket());
                     fillers.get(0).connect(other.getLocalSocketAddress());
@@ -169,7 +170,7 @@
                     Socket late = open(own.accept());
                     Host.daemon(() -> {
                         MessageReader reader = new MessageReader(late.getInputStream());
-                        reader.requestBody(reader.request());
+                        reader.readRequestBody(reader.readRequestHead());
                         seen.incrementAndGet();
                         write(late, Host.ok("late"));
                     });
@@ -188,6 +189,6 @@
         windowOver.countDown();
         assertThat(client.answer().status()).isEqualTo(502);
         assertThat(seen.get()).isEqualTo(1);
-        fillers.forEach(Sockets::close);
+        fillers.forEach(Sockets::closeQuietly);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/ClientDepartureTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientDepartureTest.java
@@ -229,12 +229,12 @@
 
         private void serve(Socket socket) throws IOException {
             try (socket) {
-                MessageReader reader = new MessageReader(socket.getInputStream(), MessageReader.LONGEST_BODY);
-                while (reader.await()) {
-                    Head head = reader.request();
+                MessageReader reader = new MessageReader(socket.getInputStream(), MessageReader.MAX_BODY_BYTES);
+                while (reader.awaitData()) {
+                    Head head = reader.readRequestHead();
                     String key = head.get("Idempotency-Key");
                     try {
-                        reader.requestBody(head);
+                        reader.readRequestBody(head);
                     } catch (IOException e) {
                         key += " in part";
                     }
@@ -312,15 +312,15 @@
         private void serve(Socket socket) throws Exception {
             try (socket) {
                 MessageReader reader = new MessageReader(socket.getInputStream());
-                while (reader.await()) {
-                    Head head = reader.request();
+                while (reader.awaitData()) {
+                    Head head = reader.readRequestHead();
                     got.add(head.get("Idempotency-Key"));
                     if (head.get("Idempotency-Key").equals("held")) {
                         breaks.await();
                         socket.setSoLinger(true, 0);
                         return;
                     }
-                    reader.requestBody(head);
+                    reader.readRequestBody(head);
                     socket.getOutputStream().write(Host.ok("done").getBytes(StandardCharsets.ISO_8859_1));
                 }
             }
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -157,7 +157,7 @@
     }
 
     private static String query(Host.Seen seen) {
-        return seen.head().start[1];
+        return seen.head().startLine[1];
     }
 
     /** Lost, the new address was asked at the end of the pause after the old one's failure. */
--- a/sidecar/src/test/java/dapplequay/net/Host.java
+++ b/sidecar/src/test/java/dapplequay/net/Host.java
@@ -58,9 +58,10 @@
     private void serve(Socket socket) throws Exception {
         try (socket) {
             MessageReader reader = new MessageReader(socket.getInputStream());
-            while (reader.await()) {
-                Head head = reader.request();
-                Seen now = new Seen(head, new String(reader.requestBody(head), StandardCharsets.ISO_8859_1), socket);
+            while (reader.awaitData()) {
+                Head head = reader.readRequestHead();
+                Seen now = new Seen(head, new String(reader.readRequestBody(head), StandardCharsets.ISO_8859_1),
+                        socket);
                 seen.add(now);
                 String answer = script.answer(head, now);
                 if (answer == null) {
@@ -111,13 +112,13 @@
 
         /** Status, and the head for what else a test asks. */
         Answer answer() throws IOException {
-            Head head = reader.response();
-            String body = new String(reader.responseBody(head), StandardCharsets.ISO_8859_1);
-            return new Answer(Integer.parseInt(head.start[1]), head, body);
+            Head head = reader.readResponseHead();
+            String body = new String(reader.readResponseBody(head), StandardCharsets.ISO_8859_1);
+            return new Answer(Integer.parseInt(head.startLine[1]), head, body);
         }
 
         boolean atEnd() throws IOException {
-            return !reader.await();
+            return !reader.awaitData();
         }
 
         @Override
--- a/sidecar/src/test/java/dapplequay/net/LongAnswerTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LongAnswerTest.java
@@ -98,10 +98,10 @@
         rig.stopClock(0);
         client = rig.client();
         client.send(ClientRig.pay("long", BUDGET_MS, 0).replace("HTTP/1.1", "HTTP/" + version));
-        reader = new MessageReader(client.socket.getInputStream(), MessageReader.LONGEST_BODY);
-        Head head = reader.response();
-        assertThat(head.start[1]).isEqualTo("200");
-        Body body = reader.bodyOf(head);
+        reader = new MessageReader(client.socket.getInputStream(), MessageReader.MAX_BODY_BYTES);
+        Head head = reader.readResponseHead();
+        assertThat(head.startLine[1]).isEqualTo("200");
+        Body body = reader.responseBody(head);
         read(body, least);
         return body;
     }
@@ -213,7 +213,7 @@
         assertThat(ends.await(SOON_S, TimeUnit.SECONDS)).isTrue();
         client.send("and more");
         assertThat(rest(body)).isEqualTo(LENGTH - 5);
-        assertThat(reader.await()).as("more than the end, which is no reset").isFalse();
+        assertThat(reader.awaitData()).as("more than the end, which is no reset").isFalse();
         client.close();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         host.next();
--- a/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
@@ -66,9 +66,9 @@
                 Socket socket = listener.accept();
                 Host.daemon(() -> {
                     try (socket) {
-                        MessageReader reader = new MessageReader(socket.getInputStream(), MessageReader.LONGEST_BODY);
-                        while (reader.await()) {
-                            script.serve(reader.request(), reader, socket);
+                        MessageReader reader = new MessageReader(socket.getInputStream(), MessageReader.MAX_BODY_BYTES);
+                        while (reader.awaitData()) {
+                            script.serve(reader.readRequestHead(), reader, socket);
                         }
                     } catch (IOException e) {
                         ends.add(e.toString());
@@ -116,7 +116,7 @@
     private MessageReader asked(int port, String version) throws Exception {
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 0").replace("HTTP/1.1", "HTTP/" + version));
-        return new MessageReader(client.getInputStream(), MessageReader.LONGEST_BODY);
+        return new MessageReader(client.getInputStream(), MessageReader.MAX_BODY_BYTES);
     }
 
     private static byte[] piece(int number, int length) {
@@ -162,16 +162,16 @@
     @ParameterizedTest
     @CsvSource({"false,33554432", "true,8388608", "false,65537", "true,65537", "true,65536", "false,65536"})
     void requestsPassThrough(boolean chunked, int length) throws Exception {
-        int port = host((head, reader, socket) -> ok(socket, Long.toString(sum(reader.body(head), 0))));
+        int port = host((head, reader, socket) -> ok(socket, Long.toString(sum(reader.requestBody(head), 0))));
         Socket client = client(sidecar(port));
         MessageReader in = new MessageReader(client.getInputStream());
         for (int i = 0; i < 2; i++) {           // and the connection is good for another
             send(client, head(chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + length));
             long sum = write(client.getOutputStream(), length, chunked);
-            Head answer = in.response();
-            assertThat(answer.start[1]).isEqualTo("200");
-            assertThat(new String(in.responseBody(answer), StandardCharsets.ISO_8859_1)).isEqualTo("" + sum);
-            assertThat(answer.closes("HTTP/1.1")).isFalse();
+            Head answer = in.readResponseHead();
+            assertThat(answer.startLine[1]).isEqualTo("200");
+            assertThat(new String(in.readResponseBody(answer), StandardCharsets.ISO_8859_1)).isEqualTo("" + sum);
+            assertThat(answer.closesConnection("HTTP/1.1")).isFalse();
         }
     }
 
@@ -181,7 +181,7 @@
     void answersPassThrough(String framing, String version, int length) throws Exception {
         AtomicLong sum = new AtomicLong();
         int port = host((head, reader, socket) -> {
-            sum(reader.body(head), 0);
+            sum(reader.requestBody(head), 0);
             send(socket, "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Kept: yes\r\n"
                     + (framing.equals("length") ? "Content-Length: " + length + "\r\n"
                     : framing.equals("chunked") ? "Transfer-Encoding: Chunked\r\n" : "") + "\r\n");
@@ -191,20 +191,20 @@
             }
         });
         MessageReader in = asked(port, version);
-        Head answer = in.response();
-        assertThat(answer.start[1]).isEqualTo("200");
+        Head answer = in.readResponseHead();
+        assertThat(answer.startLine[1]).isEqualTo("200");
         assertThat(answer.get("X-Kept")).isEqualTo("yes");
         if (version.equals("1.0")) {
             assertThat(answer.get("Transfer-Encoding")).as("not known to HTTP/1.0").isNull();
         }
-        long got = sum(in.bodyOf(answer), 0);
+        long got = sum(in.responseBody(answer), 0);
         assertThat(got).isEqualTo(sum.get());
     }
 
     @Test
     void manyLongBodiesWithSlowPeersLeaveSmallRequestsInTime() throws Exception {
         int port = host((head, reader, socket) -> {
-            long sum = sum(reader.body(head), head.get("Slow") == null ? 0 : 20);
+            long sum = sum(reader.requestBody(head), head.get("Slow") == null ? 0 : 20);
             if (head.get("Down") == null) {
                 ok(socket, "" + sum);
             } else {
@@ -222,15 +222,15 @@
                 try {
                     send(client, head("Slow: 1\r\n" + (up ? "" : "Down: 1\r\n") + "Content-Length: " + (up ? LONG : 0)));
                     long sent = up ? write(client.getOutputStream(), LONG, false) : 0;
-                    MessageReader in = new MessageReader(client.getInputStream(), MessageReader.LONGEST_BODY);
-                    Head answer = in.response();
-                    if (answer.start[1].equals("503")) {
+                    MessageReader in = new MessageReader(client.getInputStream(), MessageReader.MAX_BODY_BYTES);
+                    Head answer = in.readResponseHead();
+                    if (answer.startLine[1].equals("503")) {
                         whole.incrementAndGet();        // turned away by the decisions, which is an answer too
                     } else if (up) {
-                        String body = new String(in.responseBody(answer), StandardCharsets.ISO_8859_1);
+                        String body = new String(in.readResponseBody(answer), StandardCharsets.ISO_8859_1);
                         whole.addAndGet(body.equals("" + sent) ? 1 : 0);
                     } else {
-                        sum(in.bodyOf(answer), 20);
+                        sum(in.responseBody(answer), 20);
                         whole.incrementAndGet();
                     }
                 } catch (Exception e) {
@@ -244,9 +244,9 @@
         MessageReader in = new MessageReader(small.getInputStream());
         for (int i = 0; i < 100; i++) {
             send(small, head("Content-Length: 3") + "abc");
-            Head answer = in.response();
-            in.responseBody(answer);
-            assertThat(answer.start[1]).isIn("200", "503");
+            Head answer = in.readResponseHead();
+            in.readResponseBody(answer);
+            assertThat(answer.startLine[1]).isIn("200", "503");
         }
         for (Thread thread : long32) {
             thread.join();
@@ -258,15 +258,15 @@
     void whatIsHeldGoesToAnotherHostWhereTheFirstIsGone() throws Exception {
         ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         gone.close();
-        int port = host((head, reader, socket) -> ok(socket, "" + sum(reader.body(head), 0)));
+        int port = host((head, reader, socket) -> ok(socket, "" + sum(reader.requestBody(head), 0)));
         for (int[] ports : new int[][] {{gone.getLocalPort(), port}, {port, gone.getLocalPort()}}) {
             Socket client = client(sidecar(ports));
             send(client, head("Content-Length: 300000"));
             long sum = write(client.getOutputStream(), 300_000, false);
             MessageReader in = new MessageReader(client.getInputStream());
-            Head answer = in.response();
-            assertThat(answer.start[1]).isEqualTo("200");
-            assertThat(new String(in.responseBody(answer), StandardCharsets.ISO_8859_1)).isEqualTo("" + sum);
+            Head answer = in.readResponseHead();
+            assertThat(answer.startLine[1]).isEqualTo("200");
+            assertThat(new String(in.readResponseBody(answer), StandardCharsets.ISO_8859_1)).isEqualTo("" + sum);
         }
     }
 
@@ -277,7 +277,7 @@
         AtomicInteger seen = new AtomicInteger();
         int port = host((head, reader, socket) -> {
             seen.incrementAndGet();
-            Body body = reader.body(head);
+            Body body = reader.requestBody(head);
             byte[] piece = new byte[1000];
             for (int sum = 0; sum < after; ) {
                 sum += body.read(piece, 0, Math.min(piece.length, after - sum));
@@ -292,8 +292,8 @@
             Thread.sleep(after < 300_000 ? 500 : 0);
             write(client.getOutputStream(), 700_000, false);
         });
-        Head answer = in.response();
-        assertThat(answer.start[1]).isEqualTo("" + status);
+        Head answer = in.readResponseHead();
+        assertThat(answer.startLine[1]).isEqualTo("" + status);
         assertThat(answer.get("Retry-After") != null).isEqualTo(status == 503);
         assertThat(seen.get()).as("never sent again").isEqualTo(1);
     }
@@ -302,7 +302,7 @@
     @CsvSource({"length,1.1", "chunked,1.1", "chunked,1.0"})
     void aBreakWithinAnAnswerShows(String framing, String version) throws Exception {
         int port = host((head, reader, socket) -> {
-            reader.body(head);
+            reader.requestBody(head);
             send(socket, "HTTP/1.1 200 OK\r\n" + (framing.equals("length") ? "Content-Length: 500000"
                     : "Transfer-Encoding: chunked") + "\r\n\r\n");
             byte[] piece = piece(1, 200_000);
@@ -310,20 +310,21 @@
             socket.close();
         });
         MessageReader in = asked(port, version);
-        Head answer = in.response();
-        assertThat(answer.start[1]).isEqualTo("200");
-        assertThatThrownBy(() -> sum(in.bodyOf(answer), 0)).isInstanceOf(version.equals("1.0") ? SocketException.class
+        Head answer = in.readResponseHead();
+        assertThat(answer.startLine[1]).isEqualTo("200");
+        assertThatThrownBy(() -> sum(in.responseBody(answer), 0))
+                .isInstanceOf(version.equals("1.0") ? SocketException.class
                 : IOException.class);
     }
 
     @Test
     void aClientThatStopsIsToldSoAndItsHostLetGo() throws Exception {
-        int port = host((head, reader, socket) -> sum(reader.body(head), 0));
+        int port = host((head, reader, socket) -> sum(reader.requestBody(head), 0));
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 1000000"));
         client.getOutputStream().write(new byte[70_000]);
         MessageReader in = new MessageReader(client.getInputStream());
-        assertThat(in.response().start[1]).isEqualTo("408");
+        assertThat(in.readResponseHead().startLine[1]).isEqualTo("408");
         assertThat(ends.poll(PATIENCE_MS, TimeUnit.MILLISECONDS)).isNotNull();
     }
 
@@ -334,7 +335,7 @@
         int port = host((head, reader, socket) -> {
             begun.countDown();
             if (whileItSends) {
-                sum(reader.body(head), 0);
+                sum(reader.requestBody(head), 0);
             } else {
                 send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n");
                 write(socket.getOutputStream(), LONG, false);
@@ -352,18 +353,18 @@
     void anAnswerBeforeTheRequestIsWholeEndsItsConnection() throws Exception {
         int port = host((head, reader, socket) -> {
             send(socket, "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
-            reader.body(head).read(new byte[1000], 0, 1000);
+            reader.requestBody(head).read(new byte[1000], 0, 1000);
             socket.close();
         });
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 5000000"));
         Host.daemon(() -> write(client.getOutputStream(), 5_000_000, false));
         MessageReader in = new MessageReader(client.getInputStream());
-        Head answer = in.response();
-        assertThat(answer.start[1]).isEqualTo("503");
-        assertThat(answer.closes("HTTP/1.1")).isTrue();
-        in.responseBody(answer);
-        assertThat(in.await()).isFalse();
+        Head answer = in.readResponseHead();
+        assertThat(answer.startLine[1]).isEqualTo("503");
+        assertThat(answer.closesConnection("HTTP/1.1")).isTrue();
+        in.readResponseBody(answer);
+        assertThat(in.awaitData()).isFalse();
     }
 
     @ParameterizedTest
@@ -372,8 +373,8 @@
     void formsOfARequestThatServersHaveToUnderstand(String start) throws Exception {
         BlockingQueue<String> targets = new LinkedBlockingQueue<>();
         int port = host((head, reader, socket) -> {
-            targets.add(head.start[1]);
-            ok(socket, "" + sum(reader.body(head), 0));
+            targets.add(head.startLine[1]);
+            ok(socket, "" + sum(reader.requestBody(head), 0));
         });
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 3").replace("POST /pay/x HTTP/1.1", start));
@@ -382,7 +383,7 @@
             assertThat(new String(raw.readNBytes(25), StandardCharsets.ISO_8859_1)).startsWith("HTTP/1.1 100 ");
         }
         send(client, "abc");
-        assertThat(new MessageReader(raw).response().start[1]).isEqualTo("200");
+        assertThat(new MessageReader(raw).readResponseHead().startLine[1]).isEqualTo("200");
         assertThat(targets.poll(PATIENCE_MS, TimeUnit.MILLISECONDS)).isEqualTo("/pay/x");
     }
 
@@ -393,7 +394,7 @@
         int port = host((head, reader, socket) -> ends.add("came"));
         Socket client = client(sidecar(port));
         send(client, head(framing) + "0\r\n\r\n");
-        assertThat(new MessageReader(client.getInputStream()).response().start[1]).isEqualTo("400");
+        assertThat(new MessageReader(client.getInputStream()).readResponseHead().startLine[1]).isEqualTo("400");
         assertThat(ends).isEmpty();
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/OrderlyCloseTest.java
+++ b/sidecar/src/test/java/dapplequay/net/OrderlyCloseTest.java
@@ -91,7 +91,7 @@
         half.send(request.substring(40));
         Host.Answer answer = half.answer();
         assertThat(answer.status()).isEqualTo(200);
-        assertThat(answer.head().closes("HTTP/1.1")).isTrue();
+        assertThat(answer.head().closesConnection("HTTP/1.1")).isTrue();
         assertThat(half.atEnd()).isTrue();
     }
 
@@ -113,7 +113,7 @@
         });
         Host.Answer answer = client.answer();
         assertThat(answer.status()).isEqualTo(200);
-        assertThat(answer.head().closes("HTTP/1.1")).isTrue();
+        assertThat(answer.head().closesConnection("HTTP/1.1")).isTrue();
         assertThat(client.atEnd()).isTrue();
     }
 
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -103,7 +103,7 @@
         String call = pay(1, 900, "abc");
         client.send(call);
         Host.Seen seen = host.next();
-        assertThat(seen.head().start).containsExactly("POST", "/pay/x?y=z", "HTTP/1.1");
+        assertThat(seen.head().startLine).containsExactly("POST", "/pay/x?y=z", "HTTP/1.1");
         assertThat(call).contains("X-Call-Id: " + seen.head().get("X-Call-Id") + "\r\n");
         assertThat(seen.head().get("Idempotency-Key")).isEqualTo("k1");
         assertThat(Integer.parseInt(seen.head().get("X-Budget-Ms"))).isBetween(1, 900);
@@ -174,7 +174,7 @@
                 for (int h = 0; h < hosts.size(); h++) {
                     Host.Seen seen = hosts.get(h).seen.poll();
                     if (seen != null) {
-                        assertThat(seen.head().start[1]).endsWith("?y=z&obj=o" + about);
+                        assertThat(seen.head().startLine[1]).endsWith("?y=z&obj=o" + about);
                         met.add(h);
                     }
                 }
@@ -264,14 +264,14 @@
             Host.Client once = client(sidecar);
             once.send(pay(1, 900, ""));
             answer = once.answer();
-            assertThat(answer.head().closes("HTTP/1.1")).as("alone").isFalse();
+            assertThat(answer.head().closesConnection("HTTP/1.1")).as("alone").isFalse();
         }
         sockets = 8;                // two do
         Sidecar small = sidecar(host.port());
         client(small);
         Host.Client last = client(small);
         last.send(pay(1, 900, ""));
-        assertThat(last.answer().head().closes("HTTP/1.1")).isTrue();
+        assertThat(last.answer().head().closesConnection("HTTP/1.1")).isTrue();
     }
 
     /** A young stranger held up each new connection for as long as it takes to come of age. */
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -137,9 +137,10 @@
 
     private Attempt attempt(String host, long beginByUs, String head, boolean isLong, int held) {
         try {
-            Head read = Head.request(head.getBytes(StandardCharsets.US_ASCII));
-            MessageReader reader = new MessageReader(new ByteArrayInputStream(new byte[0]), MessageReader.LONGEST_BODY);
-            ClientRequest request = new ClientRequest(read, new byte[held], isLong ? reader.body(read) : null,
+            Head read = Head.parseRequest(head.getBytes(StandardCharsets.US_ASCII));
+            MessageReader reader = new MessageReader(new ByteArrayInputStream(new byte[0]),
+                    MessageReader.MAX_BODY_BYTES);
+            ClientRequest request = new ClientRequest(read, new byte[held], isLong ? reader.requestBody(read) : null,
                     "pay", null, null, TIME_US);
             return new Attempt(new Listening(++ids, request),
                     new Decision.Send(0, host, TIME_US, beginByUs), now.get());
--- a/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
@@ -52,7 +52,7 @@
     }
 
     private static Attempt attempt(UpstreamSide side) throws IOException {
-        Head head = Head.request("POST /pay HTTP/1.1".getBytes(StandardCharsets.US_ASCII));
+        Head head = Head.parseRequest("POST /pay HTTP/1.1".getBytes(StandardCharsets.US_ASCII));
         ClientRequest request = new ClientRequest(head, new byte[0], null, "pay", null, null, 10_000_000);
         return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), side.now());
     }
