--- a/sidecar/src/main/java/dapplequay/management/ManagementSide.java
+++ b/sidecar/src/main/java/dapplequay/management/ManagementSide.java
@@ -4,7 +4,7 @@
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
 import dapplequay.http.Sockets;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -49,12 +49,12 @@
     }
 
     private final ServerSocket listener = new ServerSocket();
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final Service service;
     private final Set<Caller> callers = new LinkedHashSet<>();
 
     /** Listens from here on; IOException where the address is not to be had. */
-    public ManagementSide(InetSocketAddress address, Deadlines deadlines, Service service) throws IOException {
+    public ManagementSide(InetSocketAddress address, DeadlineQueue deadlines, Service service) throws IOException {
         this.deadlines = deadlines;
         this.service = service;
         listener.bind(address, BACKLOG);
@@ -202,7 +202,7 @@
 
         @Override
         public void run() {
-            Deadlines.Deadline late = deadlines.after(CALL_US, this::close);
+            DeadlineQueue.Deadline late = deadlines.schedule(CALL_US, this::close);
             try {
                 socket.setTcpNoDelay(true);
                 socket.getOutputStream().write(call());
--- a/sidecar/src/main/java/dapplequay/net/Attempt.java
+++ b/sidecar/src/main/java/dapplequay/net/Attempt.java
@@ -2,7 +2,7 @@
 
 import dapplequay.facade.Decision;
 import dapplequay.facade.AttemptEnd;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.InterruptedIOException;
 import java.util.function.LongSupplier;
 
@@ -23,7 +23,7 @@
     private long headUs;
     private long writtenAtUs = -1;       // -1: not written whole
     private UpstreamConnection connection;
-    private Deadlines.Deadline deadline;
+    private DeadlineQueue.Deadline deadline;
 
     Attempt(Exchange exchange, Decision.Send order, long startUs) {
         this.exchange = exchange;
@@ -88,7 +88,7 @@
      * The last piece of a long request is about to be written: from here on it may have run. False where the attempt
      * has ended, and the piece must not go out. Its time begins now.
      */
-    synchronized boolean lastPiece(Deadlines.Deadline itsDeadline, long until) {
+    synchronized boolean lastPiece(DeadlineQueue.Deadline itsDeadline, long until) {
         if (end != null || !writing) {
             return false;
         }
@@ -99,7 +99,7 @@
     }
 
     /** The deadline that cuts it; null while a long request is still coming. */
-    synchronized void endsWith(Deadlines.Deadline itsDeadline) {
+    synchronized void endsWith(DeadlineQueue.Deadline itsDeadline) {
         deadline = itsDeadline;
     }
 
@@ -114,7 +114,7 @@
         return idleUs;
     }
 
-    synchronized Deadlines.Deadline deadline() {
+    synchronized DeadlineQueue.Deadline deadline() {
         return deadline;
     }
 
--- a/sidecar/src/main/java/dapplequay/net/BodyReader.java
+++ b/sidecar/src/main/java/dapplequay/net/BodyReader.java
@@ -2,7 +2,7 @@
 
 import dapplequay.http.Body;
 import dapplequay.http.MessageReader;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
 import java.util.Arrays;
 
@@ -15,13 +15,13 @@
     private static final long BODY_US = 1_500_000;
     private static final long BODY_RATE = 48_000;
 
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final Runnable tooLate;
     private volatile Progress.Pace pace;
     private Progress tooSlow;
 
     /** {@code tooLate}: called once the client has fallen behind. */
-    BodyReader(Deadlines deadlines, Runnable tooLate) {
+    BodyReader(DeadlineQueue deadlines, Runnable tooLate) {
         this.deadlines = deadlines;
         this.tooLate = tooLate;
     }
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -5,7 +5,7 @@
 import dapplequay.http.Body;
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import dapplequay.management.Counts.End;
 import java.io.EOFException;
 import java.io.IOException;
@@ -54,7 +54,7 @@
     private State state = State.IDLE;
     private boolean asked;
     private volatile boolean late;
-    private Deadlines.Deadline idleEnd;
+    private DeadlineQueue.Deadline idleEnd;
     private volatile boolean lastRequest;
     private volatile boolean uploading;
     private volatile boolean hasRoom;
@@ -70,7 +70,7 @@
         ending = new OrderlyClose(socket, side.deadlines());
         bodies = new BodyReader(side.deadlines(), this::requestIsLate);
         sinceUs = side.deadlines().now();
-        idleEnd = side.deadlines().after(IDLE_US, () -> side.idleForLong(this));
+        idleEnd = side.deadlines().schedule(IDLE_US, () -> side.idleForLong(this));
     }
 
     void close() {
@@ -165,7 +165,7 @@
     }
 
     private void readRequest() throws IOException {
-        Deadlines.Deadline whole = side.deadlines().after(HEAD_US, this::requestIsLate);
+        DeadlineQueue.Deadline whole = side.deadlines().schedule(HEAD_US, this::requestIsLate);
         Head head;
         Body body;
         byte[] held;
@@ -342,7 +342,7 @@
     /** Writes the answer to the request in hand. Only who claimed the exchange may call this. */
     void answer(Answers.Answer answer) {
         boolean last = isLast();
-        Deadlines.Deadline stuck = side.deadlines().after(WRITE_US, this::close);
+        DeadlineQueue.Deadline stuck = side.deadlines().schedule(WRITE_US, this::close);
         try {
             socket.getOutputStream().write(answer.bytes(connectionField(last)));
             if (last) {
@@ -362,7 +362,7 @@
         state = last ? State.CLOSED : State.IDLE;
         input.answerDue(false);
         if (!last) {
-            idleEnd = side.deadlines().after(IDLE_US, () -> side.idleForLong(this));
+            idleEnd = side.deadlines().schedule(IDLE_US, () -> side.idleForLong(this));
         }
         notifyAll();
     }
@@ -419,7 +419,7 @@
     /** It has rested for too long; what has just come, and may be no request, is waited for once more. */
     synchronized void restedTooLong(long lingerUs) {
         if (!closeIfIdle(lingerUs) && state == State.IDLE) {
-            idleEnd = side.deadlines().after(lingerUs, () -> side.idleForLong(this));
+            idleEnd = side.deadlines().schedule(lingerUs, () -> side.idleForLong(this));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientSide.java
@@ -4,7 +4,7 @@
 import dapplequay.http.Sockets;
 import dapplequay.management.Counts;
 import dapplequay.settings.SettingsReader.Setup;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -42,7 +42,7 @@
     private final Supplier<Setup> setup;
     private final Facade facade;
     private final Conductor conductor;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final int most;
     private final int crowd;
     private final int mostUploads;
@@ -63,7 +63,7 @@
     private int bound;
 
     ClientSide(Door door, Supplier<Setup> setup, Facade facade, Conductor conductor,
-                 Deadlines deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int most,
+                 DeadlineQueue deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int most,
                  int crowd, int mostUploads, ThreadReserve threads) {
         this.mostUploads = mostUploads;
         this.door = door;
@@ -104,7 +104,7 @@
         return conductor;
     }
 
-    Deadlines deadlines() {
+    DeadlineQueue deadlines() {
         return deadlines;
     }
 
--- a/sidecar/src/main/java/dapplequay/net/LongAnswer.java
+++ b/sidecar/src/main/java/dapplequay/net/LongAnswer.java
@@ -2,7 +2,7 @@
 
 import dapplequay.http.Body;
 import dapplequay.http.MessageReader;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.EOFException;
 import java.io.IOException;
 import java.net.Socket;
@@ -27,13 +27,13 @@
     private final Socket client;
     private final ClientInput input;
     private final OrderlyClose ending;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final LongSupplier pauseMs;
     private long hostMovedUs;
     private long passed;
 
     /** {@code pauseMs}: how long to pause after a piece, for the sake of others, ms. */
-    LongAnswer(Socket client, ClientInput input, OrderlyClose ending, Deadlines deadlines, LongSupplier pauseMs) {
+    LongAnswer(Socket client, ClientInput input, OrderlyClose ending, DeadlineQueue deadlines, LongSupplier pauseMs) {
         this.client = client;
         this.input = input;
         this.ending = ending;
--- a/sidecar/src/main/java/dapplequay/net/OrderlyClose.java
+++ b/sidecar/src/main/java/dapplequay/net/OrderlyClose.java
@@ -1,7 +1,7 @@
 package dapplequay.net;
 
 import dapplequay.http.Sockets;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.Socket;
@@ -21,13 +21,13 @@
     private static final int PIECE = 4 * 1024;
 
     private final Socket socket;
-    private final Deadlines deadlines;
-    private Deadlines.Deadline bound;
+    private final DeadlineQueue deadlines;
+    private DeadlineQueue.Deadline bound;
     private long boundUs = Long.MAX_VALUE;
     private boolean closed;
     private boolean breaksOff;
 
-    OrderlyClose(Socket socket, Deadlines deadlines) {
+    OrderlyClose(Socket socket, DeadlineQueue deadlines) {
         this.socket = socket;
         this.deadlines = deadlines;
     }
@@ -51,7 +51,7 @@
         }
         deadlines.cancel(bound);
         boundUs = untilUs;
-        bound = deadlines.after(lingerUs, this::close);
+        bound = deadlines.schedule(lingerUs, this::close);
     }
 
     /** At once. */
--- a/sidecar/src/main/java/dapplequay/net/Progress.java
+++ b/sidecar/src/main/java/dapplequay/net/Progress.java
@@ -1,6 +1,6 @@
 package dapplequay.net;
 
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.util.function.LongSupplier;
 
 /**
@@ -8,14 +8,14 @@
  * it passes: a long body moves in thousands of pieces, and each may be a single byte.
  */
 final class Progress implements AutoCloseable {
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final LongSupplier leftUs;
     private final Runnable cut;
-    private Deadlines.Deadline next;
+    private DeadlineQueue.Deadline next;
     private boolean closed;
 
     /** {@code leftUs}: how long it may go on as it stands, microseconds; with 0 or less, {@code cut} is called. */
-    Progress(Deadlines deadlines, LongSupplier leftUs, Runnable cut) {
+    Progress(DeadlineQueue deadlines, LongSupplier leftUs, Runnable cut) {
         this.deadlines = deadlines;
         this.leftUs = leftUs;
         this.cut = cut;
@@ -30,7 +30,7 @@
         }
         synchronized (this) {
             if (!closed) {
-                next = deadlines.after(left, this::look);
+                next = deadlines.schedule(left, this::look);
             }
         }
     }
@@ -43,12 +43,12 @@
 
     /** Transfers: each piece that moved, on either side, makes the wait for the next one begin anew. */
     static final class Moves implements LongSupplier {
-        private final Deadlines deadlines;
+        private final DeadlineQueue deadlines;
         private final long mostUs;
         private volatile long movedUs;
 
         /** {@code mostUs}: how long nothing may move. */
-        Moves(Deadlines deadlines, long mostUs) {
+        Moves(DeadlineQueue deadlines, long mostUs) {
             this.deadlines = deadlines;
             this.mostUs = mostUs;
             moved();
@@ -69,14 +69,14 @@
      * pace. Only time in which somebody waits for it counts. One thread waits; another looks.
      */
     static final class Pace implements LongSupplier {
-        private final Deadlines deadlines;
+        private final DeadlineQueue deadlines;
         private final long startUs;
         private final long bytesPerS;
         private volatile long sinceUs = -1;
         private volatile long waitedUs;
         private volatile long bytes;
 
-        Pace(Deadlines deadlines, long startUs, long bytesPerS) {
+        Pace(DeadlineQueue deadlines, long startUs, long bytesPerS) {
             this.deadlines = deadlines;
             this.startUs = startUs;
             this.bytesPerS = bytesPerS;
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -10,8 +10,8 @@
 import dapplequay.management.ManagementSide;
 import dapplequay.membership.ListClock;
 import dapplequay.settings.SettingsReader.Setup;
-import dapplequay.time.Deadlines;
-import dapplequay.time.ProcessorTime;
+import dapplequay.time.DeadlineQueue;
+import dapplequay.time.ProcessCpuTime;
 import dapplequay.time.UnixClock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -48,7 +48,7 @@
     /** Turns between two looks at what the module passes over. */
     private static final int PASSED_OVER_TURNS = 10;
 
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final Facade facade;
     private final Plan plan;
     private final Conductor conductor;
@@ -149,7 +149,7 @@
         this.plan = plan;
         this.opener = opener;
         UnixClock clock = new UnixClock();
-        deadlines = new Deadlines(clock);
+        deadlines = new DeadlineQueue(clock);
         setup = plan.setup();
         facade = new Facade(setup, plan.seed(), clock, Sidecar::tell);
         lifetime = new Lifetime(clock);
@@ -293,7 +293,7 @@
         for (long turn = 0; ; turn++) {
             try {
                 conductor.cut(facade.tick());
-                deadlines.sweep();
+                deadlines.runExpired();
                 discovery.turn(deadlines.now());
                 threads.turn();
                 if (management != null && turn % PASSED_OVER_TURNS == 0) {
@@ -303,7 +303,7 @@
                 if (side != null) {
                     side.turn();
                 }
-                headroom.turn(deadlines.await(TURN_US));
+                headroom.turn(deadlines.awaitNext(TURN_US));
                 lookAtHeadroom();
             } catch (InterruptedException e) {
                 return;
@@ -329,7 +329,7 @@
         if (now - lookedUs < LOOK_US || !Pieces.areInUse()) {
             return;
         }
-        long used = ProcessorTime.usedUs();
+        long used = ProcessCpuTime.usedUs();
         if (now - lookedUs < 2 * LOOK_US) {
             headroom.used(used - usedUs, now - lookedUs);
         }
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -7,7 +7,7 @@
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
 import dapplequay.http.Sockets;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.ByteArrayOutputStream;
 import java.io.EOFException;
 import java.io.FilterInputStream;
@@ -44,7 +44,7 @@
     private boolean begun;
     /** Something was read, or the end, before an attempt began: it is no attempt's answer, and none may begin here. */
     private boolean unfit;
-    private Deadlines.Deadline idleEnd;
+    private DeadlineQueue.Deadline idleEnd;
     private long idleSinceUs;
     /** Under the side's lock. */
     private Attempt promisedTo;
@@ -77,7 +77,7 @@
         handed = true;
     }
 
-    void idle(long sinceUs, Deadlines.Deadline end) {
+    void idle(long sinceUs, DeadlineQueue.Deadline end) {
         idleSinceUs = sinceUs;
         idleEnd = end;
     }
@@ -95,7 +95,7 @@
         return promisedTo;
     }
 
-    Deadlines.Deadline idleEnd() {
+    DeadlineQueue.Deadline idleEnd() {
         return idleEnd;
     }
 
--- a/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
@@ -8,7 +8,7 @@
 import dapplequay.management.Counts;
 import dapplequay.management.DiscoveryFigures;
 import dapplequay.settings.SettingsReader.Setup;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.net.Socket;
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -52,7 +52,7 @@
     private static final Deque<UpstreamConnection> NONE = new ArrayDeque<>();
 
     private final Endpoints table;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final Supplier<Setup> setup;
     private final int most;
     private final Map<Endpoints.Endpoint, Deque<UpstreamConnection>> idle = new HashMap<>();
@@ -69,13 +69,13 @@
     private Conductor conductor;
     private volatile Runnable threadShortage = () -> { };
 
-    UpstreamSide(Endpoints table, Deadlines deadlines, Supplier<Setup> setup, int most, Counts counts,
+    UpstreamSide(Endpoints table, DeadlineQueue deadlines, Supplier<Setup> setup, int most, Counts counts,
             DiscoveryFigures figures) {
         this(table, deadlines, setup, most, counts, figures, Socket::new);
     }
 
     /** {@code sockets}: where its connections get theirs, not connected yet. */
-    UpstreamSide(Endpoints table, Deadlines deadlines, Supplier<Setup> setup, int most, Counts counts,
+    UpstreamSide(Endpoints table, DeadlineQueue deadlines, Supplier<Setup> setup, int most, Counts counts,
             DiscoveryFigures figures, Supplier<Socket> sockets) {
         this.table = table;
         this.deadlines = deadlines;
@@ -129,7 +129,7 @@
         }
         // The time of a long request begins with its last byte.
         attempt.endsWith(attempt.isUploading() ? null
-                : deadlines.after(attempt.untilUs() - now(), () -> attempt.cut(AttemptEnd.TIMED_OUT)));
+                : deadlines.schedule(attempt.untilUs() - now(), () -> attempt.cut(AttemptEnd.TIMED_OUT)));
         synchronized (this) {
             pace.sent(endpoint, now());
         }
@@ -265,7 +265,7 @@
         Deque<UpstreamConnection> ready = idle.computeIfAbsent(connection.endpoint, e -> new ArrayDeque<>());
         long idleUs = (long) (setup.get().connIdleUs() * IDLE_SHARE);
         long stayUs = ready.isEmpty() ? idleUs : Math.min(idleUs, SPARE_US);
-        connection.idle(sinceUs, deadlines.after(stayUs, () -> retire(connection)));
+        connection.idle(sinceUs, deadlines.schedule(stayUs, () -> retire(connection)));
         ready.addLast(connection);
     }
 
@@ -377,7 +377,7 @@
 
     /** The last piece of a long request is about to go out; false where its attempt has ended. */
     boolean lastPiece(Attempt attempt, long budgetUs) {
-        Deadlines.Deadline late = deadlines.after(budgetUs, () -> attempt.cut(AttemptEnd.TIMED_OUT));
+        DeadlineQueue.Deadline late = deadlines.schedule(budgetUs, () -> attempt.cut(AttemptEnd.TIMED_OUT));
         boolean goes = attempt.lastPiece(late, now() + budgetUs);
         if (!goes) {
             deadlines.cancel(late);
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -8,7 +8,7 @@
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
 import dapplequay.settings.SettingsReader.Setup;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -35,11 +35,11 @@
             + "Content-Type: text/plain\r\nContent-Length: 4\r\n\r\ndone";
 
     private final Setup setup;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final Facade facade;
 
     /** Its facade is its own and is thrown away: nothing made up here may be taken for news of a host. */
-    WarmUp(Setup setup, Deadlines deadlines) {
+    WarmUp(Setup setup, DeadlineQueue deadlines) {
         this.setup = setup;
         this.deadlines = deadlines;
         facade = new Facade(setup, 1, deadlines::now, line -> { });
@@ -73,7 +73,7 @@
         long id = facade.nextId();
         Decision decision = facade.pick(id, request.call(request.budgetUs()));
         if (decision instanceof Decision.Send send) {
-            Deadlines.Deadline deadline = deadlines.after(send.timeoutUs(), () -> { });
+            DeadlineQueue.Deadline deadline = deadlines.schedule(send.timeoutUs(), () -> { });
             request.bytesFor(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), send.timeoutUs());
             MessageReader back = reader(ANSWER);
             Head answer = back.readResponseHead();
--- a/sidecar/src/main/java/dapplequay/time/Deadlines.java
+++ b/sidecar/src/main/java/dapplequay/time/DeadlineQueue.java
@@ -9,28 +9,28 @@
 import java.util.logging.Logger;
 
 /** All deadlines of the process, sorted; the timekeeper sweeps those that have passed each turn. */
-public final class Deadlines {
-    private static final Logger LOG = Logger.getLogger(Deadlines.class.getName());
+public final class DeadlineQueue {
+    private static final Logger LOG = Logger.getLogger(DeadlineQueue.class.getName());
 
     private final LongSupplier clock;
-    private final TreeSet<Deadline> sorted =
-            new TreeSet<>(Comparator.comparingLong((Deadline d) -> d.atUs).thenComparingLong(d -> d.number));
-    private long numbers;
+    private final TreeSet<Deadline> pending =
+            new TreeSet<>(Comparator.comparingLong((Deadline d) -> d.dueUs).thenComparingLong(d -> d.sequence));
+    private long nextSequence;
 
     /** One entry. What it does must not block: it closes something or opens something's eyes. */
     public static final class Deadline {
-        private final long atUs;
-        private final long number;
-        private final Runnable passed;
+        private final long dueUs;
+        private final long sequence;
+        private final Runnable action;
 
-        private Deadline(long atUs, long number, Runnable passed) {
-            this.atUs = atUs;
-            this.number = number;
-            this.passed = passed;
+        private Deadline(long dueUs, long sequence, Runnable action) {
+            this.dueUs = dueUs;
+            this.sequence = sequence;
+            this.action = action;
         }
     }
 
-    public Deadlines(LongSupplier clock) {
+    public DeadlineQueue(LongSupplier clock) {
         this.clock = clock;
     }
 
@@ -38,10 +38,10 @@
         return clock.getAsLong();
     }
 
-    public synchronized Deadline after(long delayUs, Runnable passed) {
-        Deadline deadline = new Deadline(now() + delayUs, numbers++, passed);
-        sorted.add(deadline);
-        if (sorted.first() == deadline) {
+    public synchronized Deadline schedule(long delayUs, Runnable action) {
+        Deadline deadline = new Deadline(now() + delayUs, nextSequence++, action);
+        pending.add(deadline);
+        if (pending.first() == deadline) {
             notifyAll();
         }
         return deadline;
@@ -49,35 +49,35 @@
 
     public synchronized void cancel(Deadline deadline) {
         if (deadline != null) {
-            sorted.remove(deadline);
+            pending.remove(deadline);
         }
     }
 
     /** Waits until the first deadline passes, but no longer than this; how much later it came back, or less than 0. */
-    public synchronized long await(long longestUs) throws InterruptedException {
-        long sinceUs = now();
-        long waitUs = longestUs;
-        if (!sorted.isEmpty()) {
-            waitUs = Math.min(waitUs, sorted.first().atUs - now());
+    public synchronized long awaitNext(long maxWaitUs) throws InterruptedException {
+        long startUs = now();
+        long waitUs = maxWaitUs;
+        if (!pending.isEmpty()) {
+            waitUs = Math.min(waitUs, pending.first().dueUs - now());
         }
         if (waitUs > 0) {
             wait(waitUs / 1000, (int) (waitUs % 1000) * 1000);
         }
-        return now() - sinceUs - Math.max(0, waitUs);
+        return now() - startUs - Math.max(0, waitUs);
     }
 
     /** Carries out all that have passed, outside the lock; one that fails does not keep the others. */
-    public void sweep() {
-        List<Deadline> due = new ArrayList<>();
+    public void runExpired() {
+        List<Deadline> expired = new ArrayList<>();
         synchronized (this) {
             long now = now();
-            while (!sorted.isEmpty() && sorted.first().atUs <= now) {
-                due.add(sorted.pollFirst());
+            while (!pending.isEmpty() && pending.first().dueUs <= now) {
+                expired.add(pending.pollFirst());
             }
         }
-        for (Deadline deadline : due) {
+        for (Deadline deadline : expired) {
             try {
-                deadline.passed.run();
+                deadline.action.run();
             } catch (RuntimeException | OutOfMemoryError e) {
                 LOG.log(Level.SEVERE, "a deadline could not be carried out", e);
             }
--- a/sidecar/src/test/java/dapplequay/management/ManagementSideTest.java
+++ b/sidecar/src/test/java/dapplequay/management/ManagementSideTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -20,7 +20,7 @@
 
 @Timeout(60)
 class ManagementSideTest {
-    private final Deadlines deadlines = new Deadlines(() -> System.nanoTime() / 1000);
+    private final DeadlineQueue deadlines = new DeadlineQueue(() -> System.nanoTime() / 1000);
     private final List<String> orders = new ArrayList<>();
     private final List<Socket> sockets = new ArrayList<>();
     private volatile boolean ready = true;
@@ -129,8 +129,8 @@
         Thread sweeper = new Thread(() -> {
             try {
                 while (!half.isClosed()) {
-                    deadlines.await(10_000);
-                    deadlines.sweep();
+                    deadlines.awaitNext(10_000);
+                    deadlines.runExpired();
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
--- a/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
@@ -108,7 +108,7 @@
     @Test
     void itsTimeEnds() throws Exception {
         rig.now.addAndGet(UpstreamRig.TIME_US);
-        rig.deadlines.sweep();
+        rig.deadlines.runExpired();
         assertEnded(AttemptEnd.NOT_CONNECTED);
     }
 
@@ -117,7 +117,7 @@
     void itsTimeEndsInTheMomentInWhichItIsWhole() throws Exception {
         rig.atLook(writer, () -> {
             rig.now.addAndGet(UpstreamRig.TIME_US);
-            rig.deadlines.sweep();
+            rig.deadlines.runExpired();
         });
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
         assertEnded(AttemptEnd.TIMED_OUT);
@@ -128,7 +128,7 @@
     void itsTimeEndsWhileItsAnswerIsRead() throws Exception {
         rig.atLook(null, () -> {
             rig.now.addAndGet(UpstreamRig.TIME_US);
-            rig.deadlines.sweep();
+            rig.deadlines.runExpired();
         });
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
         writer.join();
@@ -142,7 +142,7 @@
         rig.atEnd = ended -> {
             rig.atEnd = next -> { };
             rig.now.addAndGet(UpstreamRig.TIME_US);
-            rig.deadlines.sweep();
+            rig.deadlines.runExpired();
             attempt.cut(AttemptEnd.TIMED_OUT);
             go.countDown();
         };
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -7,7 +7,7 @@
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
 import dapplequay.settings.SettingsReader.Setup;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import dapplequay.time.UnixClock;
 import java.io.FilterInputStream;
 import java.io.FilterOutputStream;
@@ -133,7 +133,7 @@
     final Lifetime lifetime;
     private final List<AutoCloseable> toClose = new ArrayList<>();
     private final ClientSide side;
-    private final Deadlines deadlines;
+    private final DeadlineQueue deadlines;
     private final UnixClock running = new UnixClock();
     private volatile long stoppedUs = -1;
     private volatile boolean tellsTurns = true;
@@ -151,7 +151,7 @@
 
     /** {@code crowd}: of so many clients. */
     ClientRig(Hooks hooks, int most, int crowd, Supplier<Socket> sockets, int... ports) throws IOException {
-        deadlines = new Deadlines(() -> stoppedUs >= 0 ? stoppedUs : running.getAsLong());
+        deadlines = new DeadlineQueue(() -> stoppedUs >= 0 ? stoppedUs : running.getAsLong());
         String text = Files.readString(Path.of("example/config.json"))
                 .replaceAll("\"connect_timeout_us\": \\d+", "\"connect_timeout_us\": 8000000")
                 .replaceAll("\"deadline_us\": \\d+", "\"deadline_us\": 20000000");
@@ -176,11 +176,11 @@
         Host.daemon(() -> {
             while (!closed) {
                 conductor.cut(facade.tick());
-                deadlines.sweep();
+                deadlines.runExpired();
                 if (tellsTurns) {
                     side.turn();
                 }
-                deadlines.await(10_000);
+                deadlines.awaitNext(10_000);
             }
         });
         toClose.add(door::shut);
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -10,7 +10,7 @@
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
 import dapplequay.settings.SettingsReader.Setup;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -130,7 +130,7 @@
         table.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         facade.watchAnew();
-        UpstreamSide upstreams = new UpstreamSide(table, new Deadlines(clock::get), () -> setup, 4, new Counts(),
+        UpstreamSide upstreams = new UpstreamSide(table, new DeadlineQueue(clock::get), () -> setup, 4, new Counts(),
                 new DiscoveryFigures());
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(7));
         Sidecar.Memory memory = new Sidecar.Memory(true, list -> { });
--- a/sidecar/src/test/java/dapplequay/net/ProgressTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ProgressTest.java
@@ -2,19 +2,19 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
 class ProgressTest {
     private final AtomicLong now = new AtomicLong(1_000);
-    private final Deadlines deadlines = new Deadlines(now::get);
+    private final DeadlineQueue deadlines = new DeadlineQueue(now::get);
     private final AtomicInteger cuts = new AtomicInteger();
 
     private void at(long us) {
         now.set(us);
-        deadlines.sweep();
+        deadlines.runExpired();
     }
 
     @Test
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -8,7 +8,7 @@
 import dapplequay.management.Counts;
 import dapplequay.management.DiscoveryFigures;
 import dapplequay.settings.SettingsReader;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -57,7 +57,7 @@
     final BlockingQueue<Ended> ends = new LinkedBlockingQueue<>();
     /** The attempts that are held back no longer, in the order told. */
     final BlockingQueue<Attempt> started = new LinkedBlockingQueue<>();
-    final Deadlines deadlines = new Deadlines(this::look);
+    final DeadlineQueue deadlines = new DeadlineQueue(this::look);
     final UpstreamSide side;
     volatile Consumer<Ended> atEnd = ended -> { };
     /** When the listed hosts started, as the next list says. */
--- a/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
@@ -9,7 +9,7 @@
 import dapplequay.management.Counts;
 import dapplequay.management.DiscoveryFigures;
 import dapplequay.settings.SettingsReader;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.Socket;
@@ -37,7 +37,7 @@
         }
     }
 
-    private static UpstreamSide side(Endpoints table, Deadlines deadlines, BlockingQueue<AttemptEnd> ends) {
+    private static UpstreamSide side(Endpoints table, DeadlineQueue deadlines, BlockingQueue<AttemptEnd> ends) {
         UpstreamSide side = new UpstreamSide(table, deadlines, () -> SETUP, 10, new Counts(), new DiscoveryFigures());
         side.conductor(new Conductor(null, side) {
             @Override
@@ -68,7 +68,7 @@
             return Host.ok("done");
         })) {
             list(table, host.port(), "SERVING");
-            UpstreamSide side = side(table, new Deadlines(() -> System.nanoTime() / 1000), ends);
+            UpstreamSide side = side(table, new DeadlineQueue(() -> System.nanoTime() / 1000), ends);
             List<Socket> used = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 side.send(attempt(side));
@@ -87,7 +87,7 @@
         Endpoints table = new Endpoints();
         BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
         AtomicLong now = new AtomicLong(1_000_000);
-        Deadlines deadlines = new Deadlines(now::get);
+        DeadlineQueue deadlines = new DeadlineQueue(now::get);
         Semaphore answers = new Semaphore(0);
         try (Host host = new Host((head, seen) -> {
             answers.acquire();
@@ -98,7 +98,7 @@
             List<Socket> used = new ArrayList<>();
             for (long pauseUs : new long[] {0, UpstreamSide.SPARE_US + 1}) {
                 now.addAndGet(pauseUs);
-                deadlines.sweep();
+                deadlines.runExpired();
                 for (int i = 0; i < 2; i++) {           // two at once
                     side.send(attempt(side));
                     used.add(host.next().socket());
@@ -121,7 +121,7 @@
         BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
         try (Host host = new Host((head, seen) -> Host.ok("done"))) {
             list(table, host.port(), "SERVING");
-            Deadlines deadlines = new Deadlines(() -> {
+            DeadlineQueue deadlines = new DeadlineQueue(() -> {
                 if (Thread.currentThread().getName().startsWith("upstream")) {
                     list(table, host.port(), "DRAINING");
                 }
--- a/sidecar/src/test/java/dapplequay/net/WarmUpTest.java
+++ b/sidecar/src/test/java/dapplequay/net/WarmUpTest.java
@@ -4,7 +4,7 @@
 
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
-import dapplequay.time.Deadlines;
+import dapplequay.time.DeadlineQueue;
 import dapplequay.time.UnixClock;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,7 +18,7 @@
     void walksRoundAfterRoundUnderAnySettings() throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
         WarmUp walk = new WarmUp(SettingsReader.of(example.get("settings"), "example"),
-                new Deadlines(new UnixClock()));
+                new DeadlineQueue(new UnixClock()));
         assertThat(walk.run()).isGreaterThan(20);
     }
 
@@ -27,7 +27,7 @@
     void memoryThatRunsOutEndsTheWalkAlone() throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
         AtomicLong asked = new AtomicLong();
-        WarmUp walk = new WarmUp(SettingsReader.of(example.get("settings"), "example"), new Deadlines(() -> {
+        WarmUp walk = new WarmUp(SettingsReader.of(example.get("settings"), "example"), new DeadlineQueue(() -> {
             if (asked.incrementAndGet() > 200) {
                 throw new OutOfMemoryError("made up");
             }
--- a/sidecar/src/test/java/dapplequay/time/UnixClockTest.java
+++ b/sidecar/src/test/java/dapplequay/time/UnixClockTest.java
@@ -7,7 +7,7 @@
 
 class UnixClockTest {
     @Test
-    void clockNeverRunsBackwardsAndTellsUnixTime() {
+    void clockIsMonotonicAndReturnsUnixTime() {
         UnixClock clock = new UnixClock();
         long first = clock.getAsLong();
         assertThat(first / 1000).isCloseTo(System.currentTimeMillis(), Offset.offset(5_000L));
