--- a/sidecar/src/main/java/dapplequay/cli/KeptState.java
+++ b/sidecar/src/main/java/dapplequay/cli/KeptState.java
@@ -42,7 +42,7 @@
         long now = clock.getAsLong();
         Beginning.Known own = tree == null ? null : new Beginning.Known(revision(tree), kept.takenUs());
         Beginning beginning = Beginning.choose(revision(plan.known()), own, now, Sidecar.versionCountsUs());
-        Sidecar.Memory memory = new Sidecar.Memory(beginning.binds(), folder::keep);
+        Sidecar.Memory memory = new Sidecar.Memory(beginning.binds(), folder::scheduleWrite);
         if (beginning.from() != Beginning.From.KEPT) {
             return new Sidecar(plan, memory);
         }
@@ -53,7 +53,7 @@
             return new Sidecar(plan.beginningWith(tree), memory);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "the kept list is no good here and not used: {0}", e.toString());
-            return new Sidecar(plan, new Sidecar.Memory(false, folder::keep));
+            return new Sidecar(plan, new Sidecar.Memory(false, folder::scheduleWrite));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/snapshot/Disk.java
+++ b/sidecar/src/main/java/dapplequay/snapshot/FileOperations.java
@@ -10,11 +10,11 @@
 import java.nio.file.StandardOpenOption;
 
 /** The steps of keeping a file, one at a time, so that a test can end the world between any two of them. */
-class Disk {
+class FileOperations {
     /** The file's bytes, or null where there is none; IOException where it is longer than {@code most}. */
-    byte[] read(Path file, long most) throws IOException {
+    byte[] read(Path file, long maxBytes) throws IOException {
         try {
-            if (Files.size(file) > most) {
+            if (Files.size(file) > maxBytes) {
                 throw new IOException("oversized: " + Files.size(file) + " bytes");
             }
             return Files.readAllBytes(file);
@@ -30,9 +30,9 @@
 
     void write(Path file, byte[] bytes) throws IOException {
         try (FileChannel out = FileChannel.open(file, StandardOpenOption.WRITE)) {
-            ByteBuffer left = ByteBuffer.wrap(bytes);
-            while (left.hasRemaining()) {
-                out.write(left);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            while (remaining.hasRemaining()) {
+                out.write(remaining);
             }
         }
     }
--- a/sidecar/src/main/java/dapplequay/snapshot/SnapshotFile.java
+++ b/sidecar/src/main/java/dapplequay/snapshot/SnapshotFile.java
@@ -13,34 +13,34 @@
  */
 public final class SnapshotFile {
     private static final Logger LOG = Logger.getLogger(SnapshotFile.class.getName());
-    private static final int HEAD_ROOM = 1024;
+    private static final int MAX_HEADER_BYTES = 1024;
 
     private final Path folder;
     private final Path file;
-    private final Path beside;
-    private final Path aside;
-    private final Disk disk;
+    private final Path temporaryFile;
+    private final Path rejectedFile;
+    private final FileOperations files;
 
     /** {@code name}: letters, digits, dots, dashes and underscores. */
     public SnapshotFile(Path folder, String name) {
-        this(folder, name, new Disk());
+        this(folder, name, new FileOperations());
     }
 
-    SnapshotFile(Path folder, String name, Disk disk) {
+    SnapshotFile(Path folder, String name, FileOperations files) {
         if (!name.matches("[A-Za-z0-9_][A-Za-z0-9_.-]{0,99}")) {
             throw new IllegalArgumentException("not a name for a file: " + name);
         }
         this.folder = folder;
-        this.disk = disk;
+        this.files = files;
         file = folder.resolve(name + ".list");
-        beside = folder.resolve(name + ".list.new");
-        aside = folder.resolve(name + ".list.bad");
+        temporaryFile = folder.resolve(name + ".list.new");
+        rejectedFile = folder.resolve(name + ".list.bad");
     }
 
     /** The last one kept, or null where there is none that can be used. */
     public Snapshot read() {
         try {
-            byte[] bytes = disk.read(file, Snapshot.MOST_BYTES + HEAD_ROOM);
+            byte[] bytes = files.read(file, Snapshot.MOST_BYTES + MAX_HEADER_BYTES);
             if (bytes == null) {
                 return null;
             }
@@ -48,17 +48,18 @@
             if (read.snapshot() != null) {
                 return read.snapshot();
             }
-            setAside(read.fault());
+            reject(read.fault());
         } catch (IOException e) {
-            setAside(e.getMessage());
+            reject(e.getMessage());
         }
         return null;
     }
 
-    private void setAside(String why) {
-        LOG.log(Level.WARNING, "{0} is not used and kept as {1}: {2}", new Object[] {file, aside.getFileName(), why});
+    private void reject(String reason) {
+        LOG.log(Level.WARNING, "{0} is not used and kept as {1}: {2}",
+                new Object[] {file, rejectedFile.getFileName(), reason});
         try {
-            disk.rename(file, aside);
+            files.rename(file, rejectedFile);
         } catch (IOException e) {
             LOG.log(Level.WARNING, "{0} stays where it is: {1}", new Object[] {file, e.toString()});
         }
@@ -66,10 +67,10 @@
 
     /** Keeps this one in place of the last; IOException where that failed, and then the last one is still there. */
     public void write(Snapshot snapshot) throws IOException {
-        disk.create(beside);
-        disk.write(beside, snapshot.encode());
-        disk.sync(beside);
-        disk.rename(beside, file);
-        disk.syncFolder(folder);
+        files.create(temporaryFile);
+        files.write(temporaryFile, snapshot.encode());
+        files.sync(temporaryFile);
+        files.rename(temporaryFile, file);
+        files.syncFolder(folder);
     }
 }
--- a/sidecar/src/main/java/dapplequay/snapshot/StateFolder.java
+++ b/sidecar/src/main/java/dapplequay/snapshot/StateFolder.java
@@ -20,15 +20,15 @@
  */
 public final class StateFolder implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(StateFolder.class.getName());
-    private static final long EVERY_US = 50_000;
-    private static final long AFTER_FAILURE_US = 1_000_000;
+    private static final long MIN_WRITE_INTERVAL_US = 50_000;
+    private static final long RETRY_DELAY_US = 1_000_000;
 
     private final SnapshotFile file;
     private final Path lockFile;
     private final LongSupplier clock;
-    private final WritePace pace = new WritePace(EVERY_US, AFTER_FAILURE_US);
-    private Supplier<byte[]> list;
-    private boolean ended;
+    private final WritePace pace = new WritePace(MIN_WRITE_INTERVAL_US, RETRY_DELAY_US);
+    private Supplier<byte[]> latestList;
+    private boolean isClosed;
     private FileLock lock;
     private Thread writer;
 
@@ -45,20 +45,20 @@
     }
 
     /** The list was heard; {@code text} gives it in discovery's form when it is written. */
-    public synchronized void keep(Supplier<byte[]> text) {
-        list = text;
+    public synchronized void scheduleWrite(Supplier<byte[]> list) {
+        latestList = list;
         pace.changed();
-        if (writer == null && !ended) {
-            writer = new Thread(this::run, "state");
+        if (writer == null && !isClosed) {
+            writer = new Thread(this::writeWhenDue, "state");
             writer.setDaemon(true);
             writer.start();
         }
         notifyAll();
     }
 
-    private void run() {
+    private void writeWhenDue() {
         try {
-            while (awaitDue()) {
+            while (awaitNextWrite()) {
                 write();
             }
         } catch (InterruptedException e) {
@@ -67,8 +67,8 @@
     }
 
     /** Waits until there is something to write; false once it was closed. */
-    private synchronized boolean awaitDue() throws InterruptedException {
-        while (!ended) {
+    private synchronized boolean awaitNextWrite() throws InterruptedException {
+        while (!isClosed) {
             long now = clock.getAsLong();
             if (pace.dueUs() <= now) {
                 return true;
@@ -79,16 +79,16 @@
     }
 
     private void write() {
-        Supplier<byte[]> text;
+        Supplier<byte[]> list;
         synchronized (this) {
             pace.begun(clock.getAsLong());
-            text = list;
+            list = latestList;
         }
         try {
-            if (!holdsLock()) {
+            if (!acquireLock()) {
                 throw new IOException(lockFile + " is held by another process, and nothing is written over its state");
             }
-            file.write(new Snapshot(clock.getAsLong(), text.get()));
+            file.write(new Snapshot(clock.getAsLong(), list.get()));
         } catch (IOException | RuntimeException e) {
             synchronized (this) {
                 if (pace.failed(clock.getAsLong())) {
@@ -98,7 +98,7 @@
         }
     }
 
-    private boolean holdsLock() throws IOException {
+    private boolean acquireLock() throws IOException {
         if (lock != null) {
             return true;
         }
@@ -117,20 +117,20 @@
     /** Writes what is not written yet, and gives the lock back. */
     @Override
     public void close() throws InterruptedException {
-        Thread last;
-        boolean dirty;
+        Thread lastWriter;
+        boolean isWritePending;
         synchronized (this) {
-            ended = true;
+            isClosed = true;
             notifyAll();
-            last = writer;
+            lastWriter = writer;
         }
-        if (last != null) {
-            last.join();
+        if (lastWriter != null) {
+            lastWriter.join();
         }
         synchronized (this) {
-            dirty = pace.dueUs() != Long.MAX_VALUE;
+            isWritePending = pace.dueUs() != Long.MAX_VALUE;
         }
-        if (dirty) {
+        if (isWritePending) {
             write();
         }
         if (lock != null) {
--- a/sidecar/src/test/java/dapplequay/snapshot/SnapshotFileTest.java
+++ b/sidecar/src/test/java/dapplequay/snapshot/SnapshotFileTest.java
@@ -23,63 +23,63 @@
     private Path folder;
 
     /** The end of the world: nothing after it happens. */
-    private static final class Ended extends RuntimeException {
+    private static final class SimulatedCrash extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
     /** A disk on which the world ends at one step: before it, or in the middle of a write. */
-    private static final class Mortal extends Disk {
-        private final int last;
-        private int step;
+    private static final class CrashingFileOperations extends FileOperations {
+        private final int crashStep;
+        private int nextStep;
 
-        Mortal(int last) {
-            this.last = last;
+        CrashingFileOperations(int crashStep) {
+            this.crashStep = crashStep;
         }
 
-        private void step() {
-            if (step++ == last) {
-                throw new Ended();
+        private void countStep() {
+            if (nextStep++ == crashStep) {
+                throw new SimulatedCrash();
             }
         }
 
         @Override
         void create(Path file) throws IOException {
-            step();
+            countStep();
             super.create(file);
         }
 
         @Override
         void write(Path file, byte[] bytes) throws IOException {
-            step();
-            if (step == last) {
+            countStep();
+            if (nextStep == crashStep) {
                 super.write(file, Arrays.copyOf(bytes, bytes.length / 2));
-                throw new Ended();
+                throw new SimulatedCrash();
             }
             super.write(file, bytes);
-            step();
+            countStep();
         }
 
         @Override
         void sync(Path file) throws IOException {
-            step();
+            countStep();
             super.sync(file);
         }
 
         @Override
         void rename(Path from, Path to) throws IOException {
-            step();
+            countStep();
             super.rename(from, to);
         }
 
         @Override
         void syncFolder(Path of) throws IOException {
-            step();
+            countStep();
             super.syncFolder(of);
         }
     }
 
     @Test
-    void theLastOneWrittenIsTheOneRead() throws IOException {
+    void readReturnsTheLastSnapshotWritten() throws IOException {
         SnapshotFile file = new SnapshotFile(folder, "n1");
         assertThat(file.read()).isNull();
         file.write(OLD);
@@ -90,15 +90,15 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6})
-    void whereverAWriteEndsThereIsTheOldOneOrTheNewOne(int step) throws IOException {
+    void crashDuringAWriteLeavesTheOldOrTheNewSnapshot(int step) throws IOException {
         new SnapshotFile(folder, "n1").write(OLD);
-        boolean ended = false;
+        boolean crashed = false;
         try {
-            new SnapshotFile(folder, "n1", new Mortal(step)).write(NEW);
-        } catch (Ended e) {
-            ended = true;
+            new SnapshotFile(folder, "n1", new CrashingFileOperations(step)).write(NEW);
+        } catch (SimulatedCrash e) {
+            crashed = true;
         }
-        assertThat(ended).isEqualTo(step < 6);
+        assertThat(crashed).isEqualTo(step < 6);
         Snapshot found = new SnapshotFile(folder, "n1").read();
         assertThat(found).isIn(OLD, NEW);
         assertThat(folder.resolve("n1.list.bad")).doesNotExist();
@@ -108,7 +108,7 @@
 
     @ParameterizedTest
     @CsvSource({"torn", "''", "DQSNAPxxxxxxxxxxxxxxxxxxxxxxxxxxx"})
-    void whatCantBeReadIsKeptAsideAndStopsNothing(String text) throws IOException {
+    void unreadableFileIsRenamedAndDoesNotStopLaterWrites(String text) throws IOException {
         Files.writeString(folder.resolve("n1.list"), text);
         SnapshotFile file = new SnapshotFile(folder, "n1");
         assertThat(file.read()).isNull();
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aMissingFolderIsAFailedWriteAndNoMore() {
+    void missingFolderFailsOnlyTheWrite() {
         SnapshotFile file = new SnapshotFile(folder.resolve("gone"), "n1");
         assertThat(file.read()).isNull();
         assertThatThrownBy(() -> file.write(OLD)).isInstanceOf(IOException.class);
@@ -127,7 +127,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "../n1", "a/b", ".hidden", "a b"})
-    void aNameThatLeavesTheFolderIsRefused(String name) {
+    void invalidFileNameIsRefused(String name) {
         assertThatThrownBy(() -> new SnapshotFile(folder, name)).isInstanceOf(IllegalArgumentException.class);
     }
 }
