--- a/sidecar/src/main/java/dapplequay/management/DiscoveryFigures.java
+++ b/sidecar/src/main/java/dapplequay/management/DiscoveryMetrics.java
@@ -6,7 +6,7 @@
 /**
  * What discovery's news did to the servers, and to the sends that they stopped. Thread-safe.
  */
-public final class DiscoveryFigures {
+public final class DiscoveryMetrics {
     /** Upper bounds of the histograms' buckets, microseconds. */
     private static final long[] BOUNDS_US = {0, 10_000, 50_000, 100_000, 250_000, 500_000, 1_000_000, 5_000_000};
 
@@ -20,47 +20,49 @@
         private final long[] counts = new long[BOUNDS_US.length + 1];
         private long sumUs;
 
-        void add(long us) {
+        void observe(long durationUs) {
             int bucket = 0;
-            while (bucket < BOUNDS_US.length && us > BOUNDS_US[bucket]) {
+            while (bucket < BOUNDS_US.length && durationUs > BOUNDS_US[bucket]) {
                 bucket++;
             }
             counts[bucket]++;
-            sumUs += us;
+            sumUs += durationUs;
         }
     }
 
     /** A server came to have that status. */
-    public synchronized void transition(String status) {
+    public synchronized void countTransition(String status) {
         transitions.merge(status, 1L, Long::sum);
     }
 
     /** A send was stopped before its first byte, for that reason. */
-    public synchronized void stopped(String reason) {
+    public synchronized void countStoppedSend(String reason) {
         stoppedSends.merge(reason, 1L, Long::sum);
     }
 
     /** A list left a server unconfirmed for so long, microseconds. */
-    public synchronized void unconfirmed(long us) {
-        unconfirmed.add(us);
+    public synchronized void recordUnconfirmed(long durationUs) {
+        unconfirmed.observe(durationUs);
     }
 
     /** From the news that took a server out to the last send to it, microseconds; 0 where there was none after it. */
-    public synchronized void lastSend(long us) {
-        lastSends.add(us);
+    public synchronized void recordLastSend(long durationUs) {
+        lastSends.observe(durationUs);
     }
 
     /** All of it in the exposition format. */
     public synchronized String text() {
-        Exposition text = new Exposition();
-        text.labelled("server_transitions_total", "Changes of servers' status by discovery's news.", "to", transitions);
-        text.labelled("stopped_sends_total", "Sends stopped before their first byte.", "reason", stoppedSends);
-        add(text, "unconfirmed_seconds", "For how long a list left servers unconfirmed.", unconfirmed);
-        add(text, "last_send_after_news_seconds", "From news that took a server out to its last send.", lastSends);
-        return text.toString();
+        MetricsText output = new MetricsText();
+        output.labelledCounter("server_transitions_total", "Changes of servers' status by discovery's news.", "to",
+                transitions);
+        output.labelledCounter("stopped_sends_total", "Sends stopped before their first byte.", "reason", stoppedSends);
+        addHistogram(output, "unconfirmed_seconds", "For how long a list left servers unconfirmed.", unconfirmed);
+        addHistogram(output, "last_send_after_news_seconds", "From news that took a server out to its last send.",
+                lastSends);
+        return output.toString();
     }
 
-    private static void add(Exposition text, String name, String help, Histogram histogram) {
-        text.histogram(name, help, BOUNDS_US, histogram.counts, histogram.sumUs);
+    private static void addHistogram(MetricsText output, String name, String help, Histogram histogram) {
+        output.histogram(name, help, BOUNDS_US, histogram.counts, histogram.sumUs);
     }
 }
--- a/sidecar/src/main/java/dapplequay/management/ManagementSide.java
+++ b/sidecar/src/main/java/dapplequay/management/ManagementServer.java
@@ -22,17 +22,17 @@
  * The second address: questions and orders of those who run the sidecar, one call a connection. Its callers are few
  * and bounded; one that says nothing, or half a call, makes room as soon as another comes.
  */
-public final class ManagementSide implements Runnable {
-    private static final Logger LOG = Logger.getLogger(ManagementSide.class.getName());
+public final class ManagementServer implements Runnable {
+    private static final Logger LOG = Logger.getLogger(ManagementServer.class.getName());
     /** Callers at once. */
-    private static final int MOST = 16;
+    private static final int MAX_CONNECTIONS = 16;
     /** Descriptors that this side needs at the most: its callers, one that is just accepted, the listener. */
-    public static final int DESCRIPTORS = MOST + 2;
+    public static final int MAX_DESCRIPTORS = MAX_CONNECTIONS + 2;
     private static final int BACKLOG = 128;
-    private static final int MAX_BODY = 4 * 1024;
+    private static final int MAX_BODY_BYTES = 4 * 1024;
     /** A call has to come whole, and its answer to be taken, within this. */
-    private static final long CALL_US = 1_500_000;
-    private static final long PAUSE_MS = 20;
+    private static final long CALL_TIMEOUT_US = 1_500_000;
+    private static final long RETRY_PAUSE_MS = 20;
 
     /** What stands behind the address. No call may block for longer than some milliseconds. */
     public interface Service {
@@ -40,7 +40,7 @@
         boolean isReady();
 
         /** The figures, as text. */
-        String figures();
+        String metrics();
 
         void drain();
 
@@ -51,10 +51,10 @@
     private final ServerSocket listener = new ServerSocket();
     private final DeadlineQueue deadlines;
     private final Service service;
-    private final Set<Caller> callers = new LinkedHashSet<>();
+    private final Set<Connection> connections = new LinkedHashSet<>();
 
     /** Listens from here on; IOException where the address is not to be had. */
-    public ManagementSide(InetSocketAddress address, DeadlineQueue deadlines, Service service) throws IOException {
+    public ManagementServer(InetSocketAddress address, DeadlineQueue deadlines, Service service) throws IOException {
         this.deadlines = deadlines;
         this.service = service;
         listener.bind(address, BACKLOG);
@@ -70,13 +70,13 @@
         while (!listener.isClosed()) {
             Socket socket = null;
             try {
-                awaitRoom();
+                awaitConnectionSlot();
                 socket = listener.accept();
-                Caller caller = new Caller(socket);
+                Connection connection = new Connection(socket);
                 synchronized (this) {
-                    callers.add(caller);
+                    connections.add(connection);
                 }
-                start(caller);
+                start(connection);
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
                 if (!listener.isClosed()) {
                     Sockets.closeQuietly(socket);
@@ -89,41 +89,41 @@
         }
     }
 
-    private void start(Caller caller) {
+    private void start(Connection connection) {
         try {
-            Thread thread = new Thread(caller, "management");
+            Thread thread = new Thread(connection, "management");
             thread.setDaemon(true);
             thread.start();
         } catch (OutOfMemoryError e) {
-            ended(caller);
+            remove(connection);
             throw e;
         }
     }
 
     /** The oldest that is owed no answer makes room; where all are, their answers are due at once. */
-    private synchronized void awaitRoom() throws InterruptedException {
-        while (callers.size() >= MOST) {
-            Iterator<Caller> oldest = callers.iterator();
-            while (oldest.hasNext()) {
-                Caller caller = oldest.next();
-                if (!caller.busy) {
-                    oldest.remove();
-                    caller.close();
+    private synchronized void awaitConnectionSlot() throws InterruptedException {
+        while (connections.size() >= MAX_CONNECTIONS) {
+            Iterator<Connection> oldestFirst = connections.iterator();
+            while (oldestFirst.hasNext()) {
+                Connection connection = oldestFirst.next();
+                if (!connection.isAnswering) {
+                    oldestFirst.remove();
+                    connection.close();
                     return;
                 }
             }
-            wait(PAUSE_MS);
+            wait(RETRY_PAUSE_MS);
         }
     }
 
-    private synchronized void ended(Caller caller) {
-        callers.remove(caller);
+    private synchronized void remove(Connection connection) {
+        connections.remove(connection);
         notifyAll();
     }
 
     private static void pause() {
         try {
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(RETRY_PAUSE_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -132,17 +132,17 @@
     /** Ends this side: the listener and all callers. */
     public void close() {
         Sockets.closeQuietly(listener);
-        List<Caller> left;
+        List<Connection> open;
         synchronized (this) {
-            left = new ArrayList<>(callers);
+            open = new ArrayList<>(connections);
         }
-        left.forEach(Caller::close);
+        open.forEach(Connection::close);
     }
 
     /** An answer: its status with the reason, further header lines, and the body. */
-    private record Answer(String status, String headers, String body) {
-        static Answer plain(String status, String body) {
-            return new Answer(status, "Content-Type: text/plain\r\n", body + "\n");
+    private record Response(String status, String headers, String body) {
+        static Response plainText(String status, String body) {
+            return new Response(status, "Content-Type: text/plain\r\n", body + "\n");
         }
 
         byte[] bytes(boolean headOnly) {
@@ -153,46 +153,46 @@
         }
     }
 
-    private Answer answer(Head call) {
-        String path = call.startLine[1].split("\\?", 2)[0];
+    private Response responseTo(Head request) {
+        String path = request.startLine[1].split("\\?", 2)[0];
         String method = switch (path) {
             case "/-/ready", "/-/metrics" -> "GET";
             case "/-/drain", "/-/resume" -> "PUT";
             default -> null;
         };
         if (method == null) {
-            return Answer.plain("404 Not Found", "no such call");
+            return Response.plainText("404 Not Found", "no such call");
         }
-        if (!call.startLine[0].equals(method) && !(method.equals("GET") && call.startLine[0].equals("HEAD"))) {
-            return new Answer("405 Method Not Allowed", "Allow: " + (method.equals("GET") ? "GET, HEAD" : method)
+        if (!request.startLine[0].equals(method) && !(method.equals("GET") && request.startLine[0].equals("HEAD"))) {
+            return new Response("405 Method Not Allowed", "Allow: " + (method.equals("GET") ? "GET, HEAD" : method)
                     + "\r\n", "only " + method + "\n");
         }
         switch (path) {
             case "/-/ready" -> {
-                return service.isReady() ? Answer.plain("200 OK", "ready")
-                        : Answer.plain("503 Service Unavailable", "takes no clients");
+                return service.isReady() ? Response.plainText("200 OK", "ready")
+                        : Response.plainText("503 Service Unavailable", "takes no clients");
             }
             case "/-/metrics" -> {
-                return new Answer("200 OK", "Content-Type: " + Exposition.TYPE + "\r\n", service.figures());
+                return new Response("200 OK", "Content-Type: " + MetricsText.CONTENT_TYPE + "\r\n", service.metrics());
             }
             case "/-/drain" -> {
                 service.drain();
-                return Answer.plain("200 OK", "draining");
+                return Response.plainText("200 OK", "draining");
             }
             default -> {
-                return service.resume() ? Answer.plain("200 OK", "takes clients")
-                        : Answer.plain("409 Conflict", "ending");
+                return service.resume() ? Response.plainText("200 OK", "takes clients")
+                        : Response.plainText("409 Conflict", "ending");
             }
         }
     }
 
     /** One connection, its one call and the thread that serves it. */
-    private final class Caller implements Runnable {
+    private final class Connection implements Runnable {
         private final Socket socket;
         /** From the call on that came whole until its answer is written. */
-        private volatile boolean busy;
+        private volatile boolean isAnswering;
 
-        Caller(Socket socket) {
+        Connection(Socket socket) {
             this.socket = socket;
         }
 
@@ -202,36 +202,36 @@
 
         @Override
         public void run() {
-            DeadlineQueue.Deadline late = deadlines.schedule(CALL_US, this::close);
+            DeadlineQueue.Deadline timeout = deadlines.schedule(CALL_TIMEOUT_US, this::close);
             try {
                 socket.setTcpNoDelay(true);
-                socket.getOutputStream().write(call());
-                busy = false;
+                socket.getOutputStream().write(handleCall());
+                isAnswering = false;
                 socket.shutdownOutput();
                 // Closing over unread bytes would reset the connection, and take the answer from the caller.
-                byte[] rest = new byte[256];
-                for (int i = 0; i < 64 && socket.getInputStream().read(rest) >= 0; i++) { }
+                byte[] discarded = new byte[256];
+                for (int i = 0; i < 64 && socket.getInputStream().read(discarded) >= 0; i++) { }
             } catch (IOException e) {
                 LOG.log(Level.FINE, "management call ended: {0}", e.toString());
             } catch (RuntimeException e) {
                 LOG.log(Level.SEVERE, "management call failed", e);
             } finally {
-                deadlines.cancel(late);
+                deadlines.cancel(timeout);
                 close();
-                ended(this);
+                remove(this);
             }
         }
 
-        private byte[] call() throws IOException {
+        private byte[] handleCall() throws IOException {
             try {
-                MessageReader reader = new MessageReader(socket.getInputStream(), MAX_BODY);
+                MessageReader reader = new MessageReader(socket.getInputStream(), MAX_BODY_BYTES);
                 Head head = reader.readRequestHead();
                 reader.readRequestBody(head);
-                busy = true;
-                return answer(head).bytes(head.startLine[0].equals("HEAD"));
+                isAnswering = true;
+                return responseTo(head).bytes(head.startLine[0].equals("HEAD"));
             } catch (BadMessageException e) {
-                busy = true;
-                return Answer.plain(e.status == 413 ? "413 Content Too Large" : "400 Bad Request", e.getMessage())
+                isAnswering = true;
+                return Response.plainText(e.status == 413 ? "413 Content Too Large" : "400 Bad Request", e.getMessage())
                         .bytes(false);
             }
         }
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -6,7 +6,7 @@
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
 import dapplequay.time.DeadlineQueue;
-import dapplequay.management.Counts.End;
+import dapplequay.management.RequestCounts.End;
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InterruptedIOException;
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientSide.java
@@ -2,7 +2,7 @@
 
 import dapplequay.facade.Facade;
 import dapplequay.http.Sockets;
-import dapplequay.management.Counts;
+import dapplequay.management.RequestCounts;
 import dapplequay.settings.SettingsReader.Setup;
 import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
@@ -51,7 +51,7 @@
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final CallIds callIds = new CallIds();
-    private final Counts counts;
+    private final RequestCounts counts;
     private final Lifetime lifetime;
     private volatile boolean isOver;
     /** The accepting thread's: there was a crowd since the ending began. */
@@ -63,7 +63,7 @@
     private int bound;
 
     ClientSide(Door door, Supplier<Setup> setup, Facade facade, Conductor conductor,
-                 DeadlineQueue deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int most,
+                 DeadlineQueue deadlines, RequestCounts counts, Lifetime lifetime, Headroom headroom, int most,
                  int crowd, int mostUploads, ThreadReserve threads) {
         this.mostUploads = mostUploads;
         this.door = door;
@@ -116,7 +116,7 @@
         return connections.size() >= crowd;
     }
 
-    Counts counts() {
+    RequestCounts counts() {
         return counts;
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Conductor.java
+++ b/sidecar/src/main/java/dapplequay/net/Conductor.java
@@ -8,7 +8,7 @@
 import dapplequay.facade.Upload;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
-import dapplequay.management.Counts.End;
+import dapplequay.management.RequestCounts.End;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -8,7 +8,7 @@
 import dapplequay.facade.Facade;
 import dapplequay.facade.ListNews;
 import dapplequay.http.Sockets;
-import dapplequay.management.DiscoveryFigures;
+import dapplequay.management.DiscoveryMetrics;
 import dapplequay.membership.ListClock;
 import dapplequay.settings.Json;
 import java.net.InetSocketAddress;
@@ -61,7 +61,7 @@
     private final Sidecar.Memory memory;
     private final ListClock clock;
     private final LongSupplier now;
-    private final DiscoveryFigures figures;
+    private final DiscoveryMetrics figures;
 
     // All that follows changes under the lock.
     private InetSocketAddress discovery;
@@ -78,7 +78,7 @@
 
     /** {@code now}: microseconds, never backwards. */
     DiscoveryClient(InetSocketAddress discovery, Endpoints table, Facade facade, UpstreamSide upstreams,
-            Sidecar.Memory memory, ListClock clock, LongSupplier now, DiscoveryFigures figures) {
+            Sidecar.Memory memory, ListClock clock, LongSupplier now, DiscoveryMetrics figures) {
         this.discovery = discovery;
         this.memory = memory;
         this.clock = clock;
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -1,14 +1,14 @@
 package dapplequay.net;
 
 import dapplequay.facade.Upload;
-import dapplequay.management.Counts;
+import dapplequay.management.RequestCounts;
 
 /** One request of the client's, until its one answer. Whoever claims it first answers it, or drops it. */
 class Exchange {
     final long id;
     final ClientConnection from;
     final ClientRequest request;
-    private final Counts counts;
+    private final RequestCounts counts;
     private boolean over;
     private boolean timedOut;
     private Attempt attempt;
@@ -17,7 +17,7 @@
     private volatile long dueUs;
 
     /** Counts as taken from here on; a long one, once its last byte has come. */
-    Exchange(long id, ClientConnection from, ClientRequest request, Counts counts) {
+    Exchange(long id, ClientConnection from, ClientRequest request, RequestCounts counts) {
         this.id = id;
         this.from = from;
         this.request = request;
@@ -36,7 +36,7 @@
     synchronized void taken() {
         if (!taken) {
             taken = true;
-            counts.taken();
+            counts.accepted();
         }
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Only who claimed it calls this, once. */
-    void ended(Counts.End how) {
+    void ended(RequestCounts.End how) {
         taken();
         counts.ended(request.className(), how);
     }
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -4,10 +4,10 @@
 import dapplequay.facade.ListNews;
 import dapplequay.http.Sockets;
 import dapplequay.lifecycle.Ending;
-import dapplequay.management.Counts;
-import dapplequay.management.DiscoveryFigures;
-import dapplequay.management.Exposition;
-import dapplequay.management.ManagementSide;
+import dapplequay.management.DiscoveryMetrics;
+import dapplequay.management.ManagementServer;
+import dapplequay.management.MetricsText;
+import dapplequay.management.RequestCounts;
 import dapplequay.membership.ListClock;
 import dapplequay.settings.SettingsReader.Setup;
 import dapplequay.time.DeadlineQueue;
@@ -54,9 +54,9 @@
     private final Conductor conductor;
     private final Endpoints table;
     private final DiscoveryClient discovery;
-    private final DiscoveryFigures figures = new DiscoveryFigures();
+    private final DiscoveryMetrics figures = new DiscoveryMetrics();
     private final UpstreamSide upstreams;
-    private final Counts counts = new Counts();
+    private final RequestCounts counts = new RequestCounts();
     private final Lifetime lifetime;
     private final Headroom headroom;
     private final ThreadReserve threads;
@@ -67,7 +67,7 @@
     private volatile Setup setup;
     private volatile int passedOver;
     private volatile ClientSide clients;
-    private volatile ManagementSide management;
+    private volatile ManagementServer management;
     private final Door.Opener opener;
     /** Held while the door is opened, and while an ending begins: one of the two comes first. */
     private final Object opening = new Object();
@@ -92,7 +92,7 @@
         int mostConnections() {
             int processes = inherits ? 2 : 1;
             double byMemory = (memoryMb - processes * BASE_MB) / CONNECTION_MB;
-            int own = OWN_DESCRIPTORS + (management == null ? 0 : ManagementSide.DESCRIPTORS);
+            int own = OWN_DESCRIPTORS + (management == null ? 0 : ManagementServer.MAX_DESCRIPTORS);
             return (int) Math.max(FEWEST, Math.min(sockets - processes * own, byMemory) / processes);
         }
 
@@ -155,7 +155,7 @@
         lifetime = new Lifetime(clock);
         headroom = new Headroom(plan.cores());
         threads = new ThreadReserve(clock);
-        counts.know(setup.classes().keySet());
+        counts.addClasses(setup.classes().keySet());
         table = restored(plan, facade, memory.binds());
         upstreams = new UpstreamSide(table, deadlines, () -> setup, plan.mostUpstreams(), counts, figures);
         conductor = new Conductor(facade, upstreams);
@@ -203,7 +203,7 @@
     public void start() throws IOException {
         daemon(this::keepTime, "timekeeper");
         if (plan.management() != null) {
-            management = new ManagementSide(plan.management(), deadlines, new Service());
+            management = new ManagementServer(plan.management(), deadlines, new Service());
             daemon(management, "management");
         }
         new WarmUp(plan.setup(), deadlines).run();
@@ -222,16 +222,16 @@
     }
 
     /** What the management address is about. */
-    private final class Service implements ManagementSide.Service {
+    private final class Service implements ManagementServer.Service {
         @Override
         public boolean isReady() {
             return lifetime.wantsClients();
         }
 
         @Override
-        public String figures() {
-            return Exposition.text(counts.read(),
-                    new Exposition.Gauges(table.size(), passedOver, cfgAccepted.get(), cfgInvalid.get(),
+        public String metrics() {
+            return MetricsText.render(counts.read(),
+                    new MetricsText.ProcessValues(table.size(), passedOver, cfgAccepted.get(), cfgInvalid.get(),
                             facade.faults())) + figures.text();
         }
 
@@ -266,7 +266,7 @@
      */
     public List<String> retune(Plan next) {
         facade.retune(next.setup());            // before the clients' side: no class is let in that is not known
-        counts.know(next.setup().classes().keySet());
+        counts.addClasses(next.setup().classes().keySet());
         setup = next.setup();
         discovery.moveTo(next.discovery());
         List<String> kept = new ArrayList<>();
--- a/sidecar/src/main/java/dapplequay/net/TransitionLog.java
+++ b/sidecar/src/main/java/dapplequay/net/TransitionLog.java
@@ -3,7 +3,7 @@
 import dapplequay.discovery.ServerRegistry.Outcome;
 import dapplequay.discovery.ServerStatus;
 import dapplequay.discovery.Transition;
-import dapplequay.management.DiscoveryFigures;
+import dapplequay.management.DiscoveryMetrics;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -35,13 +35,13 @@
         return line.toString();
     }
 
-    static void count(Outcome outcome, DiscoveryFigures figures) {
+    static void count(Outcome outcome, DiscoveryMetrics figures) {
         for (Transition transition : outcome.transitions()) {
-            figures.transition(transition.to().name().toLowerCase(Locale.ROOT));
+            figures.countTransition(transition.to().name().toLowerCase(Locale.ROOT));
             if (transition.from() == ServerStatus.UNCONFIRMED) {
-                figures.unconfirmed(transition.heldUs());
+                figures.recordUnconfirmed(transition.heldUs());
             }
         }
-        outcome.takenOut().forEach(server -> figures.lastSend(server.lastSendUs()));
+        outcome.takenOut().forEach(server -> figures.recordLastSend(server.lastSendUs()));
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
@@ -5,8 +5,8 @@
 import dapplequay.http.Body;
 import dapplequay.http.Head;
 import dapplequay.http.Sockets;
-import dapplequay.management.Counts;
-import dapplequay.management.DiscoveryFigures;
+import dapplequay.management.RequestCounts;
+import dapplequay.management.DiscoveryMetrics;
 import dapplequay.settings.SettingsReader.Setup;
 import dapplequay.time.DeadlineQueue;
 import java.net.Socket;
@@ -57,8 +57,8 @@
     private final int most;
     private final Map<Endpoints.Endpoint, Deque<UpstreamConnection>> idle = new HashMap<>();
     private final IdleRisk risk;
-    private final Counts counts;
-    private final DiscoveryFigures figures;
+    private final RequestCounts counts;
+    private final DiscoveryMetrics figures;
     private final Supplier<Socket> sockets;
     /** They wait for connections to have rested: no more at once than there are such connections. */
     private final Executor waiters = new ThreadPoolExecutor(0, Integer.MAX_VALUE, WAITER_MS, TimeUnit.MILLISECONDS,
@@ -69,14 +69,14 @@
     private Conductor conductor;
     private volatile Runnable threadShortage = () -> { };
 
-    UpstreamSide(Endpoints table, DeadlineQueue deadlines, Supplier<Setup> setup, int most, Counts counts,
-            DiscoveryFigures figures) {
+    UpstreamSide(Endpoints table, DeadlineQueue deadlines, Supplier<Setup> setup, int most, RequestCounts counts,
+            DiscoveryMetrics figures) {
         this(table, deadlines, setup, most, counts, figures, Socket::new);
     }
 
     /** {@code sockets}: where its connections get theirs, not connected yet. */
-    UpstreamSide(Endpoints table, DeadlineQueue deadlines, Supplier<Setup> setup, int most, Counts counts,
-            DiscoveryFigures figures, Supplier<Socket> sockets) {
+    UpstreamSide(Endpoints table, DeadlineQueue deadlines, Supplier<Setup> setup, int most, RequestCounts counts,
+            DiscoveryMetrics figures, Supplier<Socket> sockets) {
         this.table = table;
         this.deadlines = deadlines;
         this.setup = setup;
@@ -101,7 +101,7 @@
         return deadlines.now();
     }
 
-    Counts counts() {
+    RequestCounts counts() {
         return counts;
     }
 
@@ -117,7 +117,7 @@
     void send(Attempt attempt) {
         Endpoints.Endpoint endpoint = table.endpointOf(attempt.order.host());
         if (endpoint == null) {
-            figures.stopped(stoppedBy(attempt));
+            figures.countStoppedSend(stoppedBy(attempt));
         }
         if (endpoint == null || attempt.isUploading() && !attempt.exchange.from.hasRoom()) {
             conductor.attemptEnded(attempt, AttemptEnd.NOT_SENT, null, null, null);
@@ -280,7 +280,7 @@
                 : !attempt.mayBeginAt(now) ? "late"
                 : !endpoint.equals(table.endpointToSend(attempt.order.host(), now)) ? stoppedBy(attempt) : null;
         if (reason != null) {
-            figures.stopped(reason);
+            figures.countStoppedSend(reason);
             attempt.answered(AttemptEnd.NOT_SENT);      // unless it has ended otherwise
         }
         return reason == null;
--- a/sidecar/src/test/java/dapplequay/management/ManagementSideTest.java
+++ b/sidecar/src/test/java/dapplequay/management/ManagementServerTest.java
@@ -19,62 +19,62 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 @Timeout(60)
-class ManagementSideTest {
+class ManagementServerTest {
     private final DeadlineQueue deadlines = new DeadlineQueue(() -> System.nanoTime() / 1000);
-    private final List<String> orders = new ArrayList<>();
+    private final List<String> commands = new ArrayList<>();
     private final List<Socket> sockets = new ArrayList<>();
     private volatile boolean ready = true;
     private volatile boolean ending;
-    private ManagementSide side;
+    private ManagementServer server;
 
     @BeforeEach
     void listen() throws IOException {
-        side = new ManagementSide(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), deadlines,
-                new ManagementSide.Service() {
+        server = new ManagementServer(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), deadlines,
+                new ManagementServer.Service() {
                     @Override
                     public boolean isReady() {
                         return ready;
                     }
 
                     @Override
-                    public String figures() {
+                    public String metrics() {
                         return "svc_open_requests 0\n";
                     }
 
                     @Override
                     public void drain() {
-                        orders.add("drain");
+                        commands.add("drain");
                     }
 
                     @Override
                     public boolean resume() {
-                        orders.add("resume");
+                        commands.add("resume");
                         return !ending;
                     }
                 });
-        Thread thread = new Thread(side);
+        Thread thread = new Thread(server);
         thread.setDaemon(true);
         thread.start();
     }
 
     @AfterEach
     void close() throws IOException {
-        side.close();
+        server.close();
         for (Socket socket : sockets) {
             socket.close();
         }
     }
 
-    private Socket caller(String text) throws IOException {
+    private Socket connect(String text) throws IOException {
         Socket socket = new Socket();
         sockets.add(socket);
-        socket.connect(side.address());
+        socket.connect(server.address());
         socket.setSoTimeout(20_000);
         socket.getOutputStream().write(text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         return socket;
     }
 
-    private static String all(Socket socket) throws IOException {
+    private static String readAll(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
@@ -89,11 +89,11 @@
         "PUT /-/drain HTTP/1.1|Content-Length: 99999||; 413; ''",
         "PUT /-/drain HTTP/1.1|Content-Length: 1|Content-Length: 2||; 400; ''",
     })
-    void callsAreAnsweredAndTheConnectionEnds(String call, int status, String ordered) throws IOException {
-        String answer = all(caller(call));
+    void callsAreAnsweredAndTheConnectionIsClosed(String call, int status, String expectedCommands) throws IOException {
+        String answer = readAll(connect(call));
         assertThat(answer).startsWith("HTTP/1.1 " + status + " ");
         assertThat(answer).contains("Connection: close\r\n");
-        assertThat(String.join(",", orders)).isEqualTo(ordered);
+        assertThat(String.join(",", commands)).isEqualTo(expectedCommands);
         if (status == 405) {
             assertThat(answer).contains("Allow: " + (call.contains("drain") ? "PUT" : "GET, HEAD") + "\r\n");
         }
@@ -103,32 +103,32 @@
     }
 
     @Test
-    void noIsSaidWithAStatus() throws IOException {
+    void negativeAnswersHaveAnErrorStatus() throws IOException {
         ready = false;
         ending = true;
-        assertThat(all(caller("GET /-/ready HTTP/1.1||"))).startsWith("HTTP/1.1 503 ");
-        assertThat(all(caller("PUT /-/resume HTTP/1.1||"))).startsWith("HTTP/1.1 409 ");
+        assertThat(readAll(connect("GET /-/ready HTTP/1.1||"))).startsWith("HTTP/1.1 503 ");
+        assertThat(readAll(connect("PUT /-/resume HTTP/1.1||"))).startsWith("HTTP/1.1 409 ");
     }
 
     /** Many more than are held at once; each call among them is answered, and none by waiting for their end. */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /-/rea", "GET /-/ready HTTP/1.1||"})
-    void callersWhoSayLittleOrStayAfterTheirAnswerKeepNobodyAway(String said) throws IOException {
+    void idleAndLingeringConnectionsDoNotBlockNewCalls(String sent) throws IOException {
         for (int i = 0; i < 60; i++) {
-            caller(said);
+            connect(sent);
             if (i % 10 == 0) {
-                assertThat(all(caller("GET /-/ready HTTP/1.1||"))).startsWith("HTTP/1.1 200 ");
+                assertThat(readAll(connect("GET /-/ready HTTP/1.1||"))).startsWith("HTTP/1.1 200 ");
             }
         }
-        assertThat(all(caller("GET /-/metrics HTTP/1.1||"))).endsWith("svc_open_requests 0\n");
+        assertThat(readAll(connect("GET /-/metrics HTTP/1.1||"))).endsWith("svc_open_requests 0\n");
     }
 
     @Test
-    void halfACallEndsByItsDeadline() throws Exception {
-        Socket half = caller("GET /-/ready HTTP/1.1|A:");
+    void incompleteCallIsClosedAtItsDeadline() throws Exception {
+        Socket incomplete = connect("GET /-/ready HTTP/1.1|A:");
         Thread sweeper = new Thread(() -> {
             try {
-                while (!half.isClosed()) {
+                while (!incomplete.isClosed()) {
                     deadlines.awaitNext(10_000);
                     deadlines.runExpired();
                 }
@@ -138,6 +138,6 @@
         });
         sweeper.setDaemon(true);
         sweeper.start();
-        assertThat(half.getInputStream().read()).isEqualTo(-1);
+        assertThat(incomplete.getInputStream().read()).isEqualTo(-1);
     }
 }
--- a/sidecar/src/test/java/dapplequay/management/ExpositionTest.java
+++ b/sidecar/src/test/java/dapplequay/management/MetricsTextTest.java
@@ -2,22 +2,22 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dapplequay.management.Counts.End;
+import dapplequay.management.RequestCounts.End;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ExpositionTest {
+class MetricsTextTest {
     @Test
-    void figuresAreNamedTypedAndLabelled() {
-        Counts counts = new Counts();
-        counts.know(List.of("order", "a\"b\\"));
+    void metricsHaveNamesTypesAndLabels() {
+        RequestCounts counts = new RequestCounts();
+        counts.addClasses(List.of("order", "a\"b\\"));
         for (End end : List.of(End.FULFILLED, End.FULFILLED, End.THROTTLED, End.FAULTED)) {
-            counts.taken();
+            counts.accepted();
             counts.ended("order", end);
         }
-        counts.taken();
+        counts.accepted();
         counts.relayed();
-        String text = Exposition.text(counts.read(), new Exposition.Gauges(7, 2, 3, 1, 4));
+        String text = MetricsText.render(counts.read(), new MetricsText.ProcessValues(7, 2, 3, 1, 4));
         assertThat(text.lines()).contains("svc_fulfilled_total{priority=\"order\"} 2",
                 "svc_throttled_total{priority=\"order\"} 1", "svc_faulted_total{priority=\"order\"} 1",
                 "svc_fulfilled_total{priority=\"a\\\"b\\\\\"} 0", "svc_relayed_total 1", "svc_open_requests 1",
@@ -27,15 +27,15 @@
     }
 
     @Test
-    void showsWhatDiscoverysNewsDid() {
-        DiscoveryFigures figures = new DiscoveryFigures();
-        figures.transition("draining");
-        figures.transition("draining");
-        figures.stopped("removed");
-        figures.unconfirmed(100_000);
-        figures.lastSend(0);
-        figures.lastSend(60_000);
-        figures.lastSend(9_000_000);
+    void discoveryMetricsHaveLabelsAndCumulativeBuckets() {
+        DiscoveryMetrics figures = new DiscoveryMetrics();
+        figures.countTransition("draining");
+        figures.countTransition("draining");
+        figures.countStoppedSend("removed");
+        figures.recordUnconfirmed(100_000);
+        figures.recordLastSend(0);
+        figures.recordLastSend(60_000);
+        figures.recordLastSend(9_000_000);
         assertThat(figures.text().lines()).contains("svc_server_transitions_total{to=\"draining\"} 2",
                 "svc_stopped_sends_total{reason=\"removed\"} 1", "# TYPE svc_unconfirmed_seconds histogram",
                 "svc_unconfirmed_seconds_bucket{le=\"0.05\"} 0", "svc_unconfirmed_seconds_bucket{le=\"0.1\"} 1",
@@ -47,25 +47,25 @@
 
     /** At each reading, what was taken has ended or is open, whoever counts meanwhile. */
     @Test
-    void readingsAddUpWhileOthersCount() throws InterruptedException {
-        Counts counts = new Counts();
+    void readingsAreConsistentDuringConcurrentUpdates() throws InterruptedException {
+        RequestCounts counts = new RequestCounts();
         Thread[] threads = new Thread[4];
         for (int i = 0; i < threads.length; i++) {
             String name = "c" + i % 2;
             threads[i] = new Thread(() -> {
                 for (int n = 0; n < 20_000; n++) {
-                    counts.taken();
+                    counts.accepted();
                     counts.ended(name, End.values()[n % 3]);
                 }
             });
             threads[i].start();
         }
-        Counts.Reading reading;
+        RequestCounts.Reading reading;
         do {
             reading = counts.read();
             long ended = reading.ended().values().stream().flatMapToLong(java.util.Arrays::stream).sum();
-            assertThat(reading.taken()).isEqualTo(ended + reading.open());
-        } while (reading.taken() < 80_000);
+            assertThat(reading.accepted()).isEqualTo(ended + reading.open());
+        } while (reading.accepted() < 80_000);
         for (Thread thread : threads) {
             thread.join();
         }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -2,8 +2,8 @@
 
 import dapplequay.facade.Facade;
 import dapplequay.facade.ListNews;
-import dapplequay.management.Counts;
-import dapplequay.management.DiscoveryFigures;
+import dapplequay.management.DiscoveryMetrics;
+import dapplequay.management.RequestCounts;
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
 import dapplequay.settings.SettingsReader.Setup;
@@ -162,10 +162,11 @@
         Endpoints.Update known = Endpoints.read(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
         table.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
-        Counts counts = new Counts();
-        counts.know(setup.classes().keySet());
+        RequestCounts counts = new RequestCounts();
+        counts.addClasses(setup.classes().keySet());
         lifetime = new Lifetime(deadlines::now);
-        UpstreamSide upstreams = new UpstreamSide(table, deadlines, () -> setup, 100, counts, new DiscoveryFigures(), sockets);
+        UpstreamSide upstreams = new UpstreamSide(table, deadlines, () -> setup, 100, counts, new DiscoveryMetrics(),
+                sockets);
         Conductor conductor = new Conductor(facade, upstreams);
         upstreams.conductor(conductor);
         Door door = door(hooks, accepted);
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -4,8 +4,8 @@
 
 import dapplequay.facade.Facade;
 import dapplequay.facade.ListNews;
-import dapplequay.management.Counts;
-import dapplequay.management.DiscoveryFigures;
+import dapplequay.management.DiscoveryMetrics;
+import dapplequay.management.RequestCounts;
 import dapplequay.membership.ListClock;
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
@@ -130,15 +130,15 @@
         table.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         facade.watchAnew();
-        UpstreamSide upstreams = new UpstreamSide(table, new DeadlineQueue(clock::get), () -> setup, 4, new Counts(),
-                new DiscoveryFigures());
+        UpstreamSide upstreams = new UpstreamSide(table, new DeadlineQueue(clock::get), () -> setup, 4,
+                new RequestCounts(), new DiscoveryMetrics());
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(7));
         Sidecar.Memory memory = new Sidecar.Memory(true, list -> { });
         discoveryClient = new DiscoveryClient(at(first), table, facade, upstreams, memory, listClock,
                 () -> {
                     atClock.run();
                     return clock.get();
-                }, new DiscoveryFigures());
+                }, new DiscoveryMetrics());
         thread = new Thread(discoveryClient, "discovery");
         thread.setDaemon(true);
         thread.start();
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -5,8 +5,8 @@
 import dapplequay.facade.AttemptEnd;
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
-import dapplequay.management.Counts;
-import dapplequay.management.DiscoveryFigures;
+import dapplequay.management.RequestCounts;
+import dapplequay.management.DiscoveryMetrics;
 import dapplequay.settings.SettingsReader;
 import dapplequay.time.DeadlineQueue;
 import java.io.ByteArrayInputStream;
@@ -45,7 +45,7 @@
     /** An exchange without a client's connection: its client is there. */
     static final class Listening extends Exchange {
         Listening(long id, ClientRequest request) {
-            super(id, null, request, new Counts());
+            super(id, null, request, new RequestCounts());
         }
 
         @Override
@@ -69,7 +69,7 @@
 
     UpstreamRig(int most) {
         SettingsReader.Setup setup = new SettingsReader.Setup(null, Map.of(), Map.of(), TIME_US, 3 * TIME_US);
-        side = new UpstreamSide(table, deadlines, () -> setup, most, new Counts(), new DiscoveryFigures());
+        side = new UpstreamSide(table, deadlines, () -> setup, most, new RequestCounts(), new DiscoveryMetrics());
         side.conductor(new Conductor(null, side) {
             @Override
             void attemptStarted(Attempt attempt) {
--- a/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
@@ -6,8 +6,8 @@
 import dapplequay.facade.HostLoad;
 import dapplequay.facade.AttemptEnd;
 import dapplequay.http.Head;
-import dapplequay.management.Counts;
-import dapplequay.management.DiscoveryFigures;
+import dapplequay.management.RequestCounts;
+import dapplequay.management.DiscoveryMetrics;
 import dapplequay.settings.SettingsReader;
 import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
@@ -38,7 +38,8 @@
     }
 
     private static UpstreamSide side(Endpoints table, DeadlineQueue deadlines, BlockingQueue<AttemptEnd> ends) {
-        UpstreamSide side = new UpstreamSide(table, deadlines, () -> SETUP, 10, new Counts(), new DiscoveryFigures());
+        UpstreamSide side = new UpstreamSide(table, deadlines, () -> SETUP, 10, new RequestCounts(),
+                new DiscoveryMetrics());
         side.conductor(new Conductor(null, side) {
             @Override
             void attemptStarted(Attempt attempt) { }
