--- a/sidecar/src/main/java/dapplequay/benchlink/Event.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/Event.java
@@ -10,27 +10,27 @@
  */
 final class Event {
     String kind;
-    String instance;
+    String instanceName;
     Long seed;
     Long request;
     Long attempt;
-    Long took;
-    Long code;
-    Long left;
-    Long costHint;
-    Long bits;
-    Long token;
-    Long sheet;
-    Boolean closed;
+    Long tookUs;
+    Long outcomeCode;
+    Long leftUs;
+    Long costHintUs;
+    Long stateBits;
+    Long timerToken;
+    Long sheetNumber;
+    Boolean isFinal;
     String host;
     String serviceClass;
     String tenant;
     String key;
-    String how;
+    String listKind;
     SettingsReader.Setup setup;
     List<Entry> entries;
-    Map<String, Double> report;
+    Map<String, Double> loadReport;
 
     /** One line of a sheet, with names in place of the indexes that the settings give them. */
-    record Entry(String host, String zone, long cell, String state, double weight, long started) { }
+    record Entry(String host, String zone, long cell, String state, double weight, long startedUs) { }
 }
--- a/sidecar/src/main/java/dapplequay/benchlink/SimHost.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/SimHost.java
@@ -10,7 +10,7 @@
 
 /** The simulator's side of the program: events on the input, actions on the output, nothing else there. */
 public final class SimHost {
-    static final int BAD_INPUT = 3;
+    static final int EXIT_BAD_INPUT = 3;
 
     private SimHost() { }
 
@@ -23,20 +23,20 @@
         WireReader reader = null;
         try {
             reader = new WireReader(in);
-            Instances instances = new Instances(new WireWriter(out));
+            InstanceDispatcher dispatcher = new InstanceDispatcher(new WireWriter(out));
             Batch batch;
-            while ((batch = reader.next()) != null) {
-                instances.play(batch);
+            while ((batch = reader.nextBatch()) != null) {
+                dispatcher.process(batch);
             }
             return 0;
-        } catch (WireException | SettingsException e) {
+        } catch (WireFormatException | SettingsException e) {
             err.println("simhost: " + e.getMessage());
         } catch (IOException e) {
             // Jackson's messages span lines and carry the source; the first line says what is wrong.
-            String what = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            String place = reader == null ? "" : reader.place() + ": ";
-            err.println("simhost: " + place + "unreadable: " + what);
+            String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+            String position = reader == null ? "" : reader.position() + ": ";
+            err.println("simhost: " + position + "unreadable: " + reason);
         }
-        return BAD_INPUT;
+        return EXIT_BAD_INPUT;
     }
 }
--- a/sidecar/src/main/java/dapplequay/benchlink/WireActions.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/WireActions.java
@@ -9,7 +9,7 @@
 final class WireActions implements BalancerApi.Actions {
     private final WireWriter out;
     private final String instance;
-    private final List<Long> issued = new ArrayList<>();
+    private final List<Long> issuedRequests = new ArrayList<>();
 
     WireActions(WireWriter out, String instance) {
         this.out = out;
@@ -18,72 +18,72 @@
 
     /** {@code beginBy} says nothing here: the simulator issues the attempt at the moment of the decision. */
     @Override
-    public void send(long id, String host, long timeoutUs, long beginBy) {
-        issued.add(id);
-        out.action("ISSUE", instance).field("req", id).field("within_us", timeoutUs)
-                .field("host", host).end();
+    public void send(long requestId, String host, long timeoutUs, long beginBy) {
+        issuedRequests.add(requestId);
+        out.beginAction("ISSUE", instance).field("req", requestId).field("within_us", timeoutUs)
+                .field("host", host).endAction();
     }
 
     /** The requests of which an attempt was sent since this was last asked. */
-    List<Long> takeIssued() {
-        List<Long> taken = List.copyOf(issued);
-        issued.clear();
-        return taken;
+    List<Long> takeIssuedRequests() {
+        List<Long> result = List.copyOf(issuedRequests);
+        issuedRequests.clear();
+        return result;
     }
 
     @Override
-    public void cancel(long id, int attempt) {
-        out.action("RETRACT", instance).field("req", id).field("shot", attempt).end();
+    public void cancel(long requestId, int attempt) {
+        out.beginAction("RETRACT", instance).field("req", requestId).field("shot", attempt).endAction();
     }
 
     @Override
-    public void refuse(long id, long pauseUs) {
-        out.action("NOT_NOW", instance).field("req", id).field("pause_us", pauseUs).end();
+    public void refuse(long requestId, long pauseUs) {
+        out.beginAction("NOT_NOW", instance).field("req", requestId).field("pause_us", pauseUs).endAction();
     }
 
     @Override
-    public void fail(long id) {
-        out.action("LOSE", instance).field("req", id).end();
+    public void fail(long requestId) {
+        out.beginAction("LOSE", instance).field("req", requestId).endAction();
     }
 
     @Override
     public void timer(long afterUs, long token) {
-        out.action("SET_TIMER", instance).field("after_us", afterUs).field("cookie", token).end();
+        out.beginAction("SET_TIMER", instance).field("after_us", afterUs).field("cookie", token).endAction();
     }
 
     @Override
     public void watchFleet(boolean on) {
-        out.action("FOLLOW", instance).field("active", on).end();
+        out.beginAction("FOLLOW", instance).field("active", on).endAction();
     }
 
     @Override
     public void fetchFleet() {
-        out.action("QUERY_ALL", instance).end();
+        out.beginAction("QUERY_ALL", instance).endAction();
     }
 
     @Override
     public void probe(String host) {
-        out.action("TEST", instance).field("host", host).end();
+        out.beginAction("TEST", instance).field("host", host).endAction();
     }
 
     @Override
     public void closeIdle(String host) {
-        out.action("RELEASE", instance).field("host", host).end();
+        out.beginAction("RELEASE", instance).field("host", host).endAction();
     }
 
     @Override
     public void tell(int position, byte[] note) {
-        out.action("WRITE_PEER", instance);
+        out.beginAction("WRITE_PEER", instance);
         if (position < 0) {
             out.field("peer", "all");
         } else {
             out.field("peer", position);
         }
-        out.field("body", Base64.getEncoder().encodeToString(note)).end();
+        out.field("body", Base64.getEncoder().encodeToString(note)).endAction();
     }
 
     @Override
     public void log(String line) {
-        out.action("DEBUG", instance).field("what", line).end();
+        out.beginAction("DEBUG", instance).field("what", line).endAction();
     }
 }
--- a/sidecar/src/main/java/dapplequay/benchlink/WireReader.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/WireReader.java
@@ -13,177 +13,178 @@
 
 /** Reads batches. It knows the wire's field names and types, and nothing of what they mean. */
 final class WireReader {
-    private final JsonParser in;
+    private final JsonParser parser;
     private long lastTurn = -1;
 
     WireReader(InputStream stream) throws IOException {
-        in = new JsonFactory().createParser(stream);
+        parser = new JsonFactory().createParser(stream);
     }
 
     /** Where reading stands, for messages. */
-    String place() {
+    String position() {
         return lastTurn < 0 ? "first batch" : "batch after turn " + lastTurn;
     }
 
     /** The next batch, or null at the end of input. */
-    Batch next() throws IOException {
-        JsonToken token = in.nextToken();
+    Batch nextBatch() throws IOException {
+        JsonToken token = parser.nextToken();
         if (token == null) {
             return null;
         }
         if (token != JsonToken.START_OBJECT) {
-            throw bad("a batch must be an object");
+            throw error("a batch must be an object");
         }
         Long turn = null;
-        Long now = null;
+        Long nowUs = null;
         List<Event> events = null;
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-            String field = in.currentName();
-            in.nextToken();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String field = parser.currentName();
+            parser.nextToken();
             switch (field) {
-                case "turn" -> turn = whole(field);
-                case "now_us" -> now = whole(field);
-                case "msgs" -> events = events();
-                default -> in.skipChildren();
+                case "turn" -> turn = readLong(field);
+                case "now_us" -> nowUs = readLong(field);
+                case "msgs" -> events = readEvents();
+                default -> parser.skipChildren();
             }
         }
-        if (turn == null || now == null || events == null) {
-            throw bad("missing field " + (turn == null ? "turn" : now == null ? "now_us" : "msgs"));
+        if (turn == null || nowUs == null || events == null) {
+            throw error("missing field " + (turn == null ? "turn" : nowUs == null ? "now_us" : "msgs"));
         }
         lastTurn = turn;
-        return new Batch(turn, now, events);
+        return new Batch(turn, nowUs, events);
     }
 
-    private WireException bad(String what) {
-        return new WireException(place() + ": " + what);
+    private WireFormatException error(String message) {
+        return new WireFormatException(position() + ": " + message);
     }
 
-    private List<Event> events() throws IOException {
+    private List<Event> readEvents() throws IOException {
         expect(JsonToken.START_ARRAY, "msgs");
         List<Event> events = new ArrayList<>();
-        while (in.nextToken() != JsonToken.END_ARRAY) {
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
             expect(JsonToken.START_OBJECT, "msgs");
-            events.add(event());
+            events.add(readEvent());
         }
         return events;
     }
 
-    private Event event() throws IOException {
-        Event e = new Event();
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-            String field = in.currentName();
-            if (in.nextToken() == JsonToken.VALUE_NULL) {
+    private Event readEvent() throws IOException {
+        Event event = new Event();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String field = parser.currentName();
+            if (parser.nextToken() == JsonToken.VALUE_NULL) {
                 continue;
             }
             switch (field) {
-                case "kind" -> e.kind = text(field);
-                case "proxy_id" -> e.instance = text(field);
-                case "seed" -> e.seed = seed();
-                case "req" -> e.request = whole(field);
-                case "shot" -> e.attempt = whole(field);
-                case "took_us" -> e.took = whole(field);
-                case "code" -> e.code = whole(field);
-                case "left_us" -> e.left = whole(field);
-                case "estimate_us" -> e.costHint = whole(field);
-                case "state_bits" -> e.bits = whole(field);
-                case "cookie" -> e.token = whole(field);
-                case "sheet" -> e.sheet = whole(field);
-                case "final" -> e.closed = truth(field);
-                case "host" -> e.host = text(field);
-                case "band" -> e.serviceClass = text(field);
-                case "tenant" -> e.tenant = in.currentToken().isNumeric() ? null : text(field);
-                case "subject" -> e.key = text(field);
-                case "how" -> e.how = text(field);
-                case "setup" -> e.setup = SettingsReader.read(in, place());
-                case "entries" -> e.entries = entries();
-                case "server_stats" -> e.report = report(field);
-                default -> in.skipChildren();
+                case "kind" -> event.kind = readText(field);
+                case "proxy_id" -> event.instanceName = readText(field);
+                case "seed" -> event.seed = readSeed();
+                case "req" -> event.request = readLong(field);
+                case "shot" -> event.attempt = readLong(field);
+                case "took_us" -> event.tookUs = readLong(field);
+                case "code" -> event.outcomeCode = readLong(field);
+                case "left_us" -> event.leftUs = readLong(field);
+                case "estimate_us" -> event.costHintUs = readLong(field);
+                case "state_bits" -> event.stateBits = readLong(field);
+                case "cookie" -> event.timerToken = readLong(field);
+                case "sheet" -> event.sheetNumber = readLong(field);
+                case "final" -> event.isFinal = readBoolean(field);
+                case "host" -> event.host = readText(field);
+                case "band" -> event.serviceClass = readText(field);
+                case "tenant" -> event.tenant = parser.currentToken().isNumeric() ? null : readText(field);
+                case "subject" -> event.key = readText(field);
+                case "how" -> event.listKind = readText(field);
+                case "setup" -> event.setup = SettingsReader.read(parser, position());
+                case "entries" -> event.entries = readEntries();
+                case "server_stats" -> event.loadReport = readLoadReport(field);
+                default -> parser.skipChildren();
             }
         }
-        return e;
+        return event;
     }
 
-    private List<Event.Entry> entries() throws IOException {
+    private List<Event.Entry> readEntries() throws IOException {
         expect(JsonToken.START_ARRAY, "entries");
         List<Event.Entry> entries = new ArrayList<>();
-        while (in.nextToken() != JsonToken.END_ARRAY) {
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
             expect(JsonToken.START_OBJECT, "entries");
             String host = null;
             String zone = null;
             String state = null;
             long cell = 0;
             double weight = 1;
-            long started = 0;
-            while (in.nextToken() != JsonToken.END_OBJECT) {
-                String field = in.currentName();
-                if (in.nextToken() == JsonToken.VALUE_NULL) {
+            long startedUs = 0;
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String field = parser.currentName();
+                if (parser.nextToken() == JsonToken.VALUE_NULL) {
                     continue;
                 }
                 switch (field) {
-                    case "host" -> host = text(field);
-                    case "region_part" -> zone = text(field);
-                    case "stage_state" -> state = text(field);
-                    case "stripe" -> cell = whole(field);
-                    case "heft" -> weight = number(field);
-                    case "launched_us" -> started = whole(field);
-                    default -> in.skipChildren();
+                    case "host" -> host = readText(field);
+                    case "region_part" -> zone = readText(field);
+                    case "stage_state" -> state = readText(field);
+                    case "stripe" -> cell = readLong(field);
+                    case "heft" -> weight = readDouble(field);
+                    case "launched_us" -> startedUs = readLong(field);
+                    default -> parser.skipChildren();
                 }
             }
             if (host == null || state == null) {
-                throw bad("missing field " + (host == null ? "host" : "stage_state") + " in entries");
+                throw error("missing field " + (host == null ? "host" : "stage_state") + " in entries");
             }
-            entries.add(new Event.Entry(host, zone, cell, state, weight, started));
+            entries.add(new Event.Entry(host, zone, cell, state, weight, startedUs));
         }
         return entries;
     }
 
-    private Map<String, Double> report(String field) throws IOException {
+    private Map<String, Double> readLoadReport(String field) throws IOException {
         expect(JsonToken.START_OBJECT, field);
         Map<String, Double> report = new HashMap<>();
-        while (in.nextToken() != JsonToken.END_OBJECT) {
-            String name = in.currentName();
-            if (in.nextToken().isNumeric()) {
-                report.put(name, in.getDoubleValue());
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            if (parser.nextToken().isNumeric()) {
+                report.put(name, parser.getDoubleValue());
             } else {
-                in.skipChildren();
+                parser.skipChildren();
             }
         }
         return report;
     }
 
     private void expect(JsonToken token, String field) {
-        if (in.currentToken() != token) {
-            throw bad("field " + field + " holds " + in.currentToken() + " in place of " + token);
+        if (parser.currentToken() != token) {
+            throw error("field " + field + " holds " + parser.currentToken() + " in place of " + token);
         }
     }
 
-    private long whole(String field) throws IOException {
+    private long readLong(String field) throws IOException {
         expect(JsonToken.VALUE_NUMBER_INT, field);
-        return in.getLongValue();
+        return parser.getLongValue();
     }
 
     /** A seed may use all 64 bits, with or without a sign. */
-    private long seed() throws IOException {
+    private long readSeed() throws IOException {
         expect(JsonToken.VALUE_NUMBER_INT, "seed");
-        return in.getNumberValue() instanceof java.math.BigInteger big ? big.longValue() : in.getLongValue();
+        return parser.getNumberValue() instanceof java.math.BigInteger large ? large.longValue()
+                : parser.getLongValue();
     }
 
-    private double number(String field) throws IOException {
-        if (!in.currentToken().isNumeric()) {
+    private double readDouble(String field) throws IOException {
+        if (!parser.currentToken().isNumeric()) {
             expect(JsonToken.VALUE_NUMBER_FLOAT, field);
         }
-        return in.getDoubleValue();
+        return parser.getDoubleValue();
     }
 
-    private String text(String field) throws IOException {
+    private String readText(String field) throws IOException {
         expect(JsonToken.VALUE_STRING, field);
-        return in.getText();
+        return parser.getText();
     }
 
-    private boolean truth(String field) {
-        if (in.currentToken() != JsonToken.VALUE_TRUE && in.currentToken() != JsonToken.VALUE_FALSE) {
+    private boolean readBoolean(String field) {
+        if (parser.currentToken() != JsonToken.VALUE_TRUE && parser.currentToken() != JsonToken.VALUE_FALSE) {
             expect(JsonToken.VALUE_TRUE, field);
         }
-        return in.currentToken() == JsonToken.VALUE_TRUE;
+        return parser.currentToken() == JsonToken.VALUE_TRUE;
     }
 }
--- a/sidecar/src/main/java/dapplequay/benchlink/WireWriter.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/WireWriter.java
@@ -10,61 +10,61 @@
 /** Writes replies: one line a batch, flushed at its end. */
 final class WireWriter {
     private final OutputStream stream;
-    private final JsonGenerator out;
+    private final JsonGenerator json;
 
     WireWriter(OutputStream stream) throws IOException {
         this.stream = stream;
-        out = JsonFactory.builder().disable(StreamWriteFeature.FLUSH_PASSED_TO_STREAM).build()
+        json = JsonFactory.builder().disable(StreamWriteFeature.FLUSH_PASSED_TO_STREAM).build()
                 .createGenerator(stream);
-        out.setRootValueSeparator(null);
+        json.setRootValueSeparator(null);
     }
 
-    void open(long turn) throws IOException {
-        out.writeStartObject();
-        out.writeNumberField("turn", turn);
-        out.writeArrayFieldStart("output");
+    void beginReply(long turn) throws IOException {
+        json.writeStartObject();
+        json.writeNumberField("turn", turn);
+        json.writeArrayFieldStart("output");
     }
 
-    void close() throws IOException {
-        out.writeEndArray();
-        out.writeEndObject();
-        out.writeRaw('\n');
-        out.flush();
+    void endReply() throws IOException {
+        json.writeEndArray();
+        json.writeEndObject();
+        json.writeRaw('\n');
+        json.flush();
         stream.flush();
     }
 
     /** Starts an action; the caller adds its fields and ends it. */
-    WireWriter action(String kind, String instance) {
-        return guarded(() -> {
-            out.writeStartObject();
-            out.writeStringField("kind", kind);
-            out.writeStringField("proxy_id", instance);
+    WireWriter beginAction(String kind, String instance) {
+        return unchecked(() -> {
+            json.writeStartObject();
+            json.writeStringField("kind", kind);
+            json.writeStringField("proxy_id", instance);
         });
     }
 
     WireWriter field(String name, long value) {
-        return guarded(() -> out.writeNumberField(name, value));
+        return unchecked(() -> json.writeNumberField(name, value));
     }
 
     WireWriter field(String name, String value) {
-        return guarded(() -> out.writeStringField(name, value));
+        return unchecked(() -> json.writeStringField(name, value));
     }
 
     WireWriter field(String name, boolean value) {
-        return guarded(() -> out.writeBooleanField(name, value));
+        return unchecked(() -> json.writeBooleanField(name, value));
     }
 
-    void end() {
-        guarded(out::writeEndObject);
+    void endAction() {
+        unchecked(json::writeEndObject);
     }
 
-    private interface Writing {
+    private interface JsonWrite {
         void run() throws IOException;
     }
 
-    private WireWriter guarded(Writing writing) {
+    private WireWriter unchecked(JsonWrite write) {
         try {
-            writing.run();
+            write.run();
             return this;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/sidecar/src/test/java/dapplequay/benchlink/TranscriptTest.java
+++ b/sidecar/src/test/java/dapplequay/benchlink/TranscriptTest.java
@@ -79,13 +79,13 @@
     }
 
     @Test
-    void fieldsMayComeInAnyOrder() {
+    void fieldsAreAcceptedInAnyOrder() {
         Run run = run("{\"msgs\":[],\"turn\":7,\"later\":{},\"now_us\":1}");
         assertEquals(List.of("{\"turn\":7,\"output\":[]}"), run.out());
     }
 
     @Test
-    void requestIsSentWithItsIdUnaltered() {
+    void requestIsIssuedWithItsId() {
         long id = (1L << 52) - 1;
         Run run = run(START, batch(2, 9_000_000, call("proxy-0", id, "read")));
         assertEquals(0, run.status(), run.err());
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void failureOfUnsafeWorkIsLostAndOfSafeWorkRetried() {
+    void failedUnsafeRequestIsLostAndFailedSafeRequestIsRetried() {
         Run first = run(START, batch(2, 9_000_000, call("proxy-0", 5, "write")));
         String host = first.out().get(1).replaceAll(".*\"host\":\"([^\"]+)\".*", "$1");
         Run run = run(START, batch(2, 9_000_000, call("proxy-0", 5, "write")),
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void everyEventAndOutcomeCodeIsTaken() {
+    void everyEventKindAndOutcomeCodeIsAccepted() {
         List<String> lines = new ArrayList<>(List.of(START));
         for (int i = 0; i < 8; i++) {
             int code = i == 0 ? 0 : 248 + i;
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void sheetNumberIsResolvedInEventOrder() {
+    void sheetNumberRefersToTheLatestEarlierDeclaration() {
         String other = POOL.replace("10.0.0.1:1", "10.9.9.9:1").replace("10.0.0.2:1", "10.9.9.8:1");
         Run run = run(batch(1, 1000, born("proxy-0", 0), born("proxy-1", 1), POOL, sync("proxy-0", "Persisted", 3),
                 other, sync("proxy-1", "Persisted", 3)),
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void haltAndBornInOneBatchStartAfresh() {
+    void haltAndBornInOneBatchRestartTheInstance() {
         Run run = run(START, batch(2, 9_000_000, call("proxy-0", 5, "read")), batch(3, 9_000_005,
                 "{\"kind\":\"HALT\",\"proxy_id\":\"proxy-0\"}", born("proxy-0", 0), sync("proxy-0", "Persisted", 3)),
                 batch(4, 9_010_000, call("proxy-0", 6, "read")));
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void failureOfTheModuleIsItsInstancesException() {
+    void moduleExceptionIsReportedForItsInstance() {
         Run run = run(batch(1, 1, born("proxy-0", 0).replace("\"send_cap\":3", "\"send_cap\":0")));
         assertEquals(0, run.status());
         assertTrue(run.out().get(0).contains("\"EXCEPTION\",\"proxy_id\":\"proxy-0\""), run.out().get(0));
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void bigBatchIsOneReply() {
+    void largeBatchGetsOneReply() {
         List<String> events = new ArrayList<>();
         for (int i = 0; i < 30_000; i++) {
             events.add(call("proxy-0", i, "read"));
@@ -186,19 +186,19 @@
         "{\"turn\":2,\"now_us\":1,\"msgs\":[{\"kind\":\"CALL\",\"proxy_id\":\"proxy-0\",\"req\":1,\"band\":\"read\",\"left_us\":1,\"tenant\":\"zz\"}]}|zz",
         "{\"turn\":2,\"now_us\":1,\"msgs\":[{\"kind\":\"DONE\",\"proxy_id\":\"proxy-0\",\"req\":1,\"shot\":0,\"host\":\"h\",\"code\":77,\"final\":true}]}|77",
     })
-    void badInputEndsWithOnePlainLine(String line, String named) {
+    void invalidInputEndsWithOneErrorLine(String line, String expectedText) {
         Run run = run(START, line);
-        assertEquals(SimHost.BAD_INPUT, run.status());
+        assertEquals(SimHost.EXIT_BAD_INPUT, run.status());
         assertEquals(1, run.err().lines().count(), run.err());
-        assertTrue(run.err().contains(named), run.err());
+        assertTrue(run.err().contains(expectedText), run.err());
         assertTrue(run.err().contains("batch"), run.err());
         assertFalse(run.err().contains("\tat "), run.err());
     }
 
     @Test
-    void settingsAreCheckedForTypeAndZone() {
+    void settingTypesAndZonesAreValidated() {
         Run run = run(batch(1, 1, born("proxy-0", 0).replace("\"send_cap\":3", "\"send_cap\":\"3\"")));
-        assertEquals(SimHost.BAD_INPUT, run.status());
+        assertEquals(SimHost.EXIT_BAD_INPUT, run.status());
         assertTrue(run.err().contains("send_cap"), run.err());
         run = run(batch(1, 1, born("proxy-0", 0).replace("\"locality\":\"west\"", "\"locality\":\"north\"")));
         assertTrue(run.err().contains("locality"), run.err());
@@ -209,16 +209,16 @@
 
     /** Instances in one process must act as they do spread over three. */
     @Test
-    void oneProcessActsAsThree() {
-        List<String> together = actions(0, 1);
-        List<String> apart = new ArrayList<>();
+    void instancesActTheSameInOneProcessAsInThree() {
+        List<String> inOneProcess = actions(0, 1);
+        List<String> inThreeProcesses = new ArrayList<>();
         for (int process = 0; process < 3; process++) {
-            apart.addAll(actions(process, 3));
+            inThreeProcesses.addAll(actions(process, 3));
         }
-        apart.sort(null);
-        together.sort(null);
-        assertTrue(together.size() > 500, "actions: " + together.size());
-        assertEquals(together, apart);
+        inThreeProcesses.sort(null);
+        inOneProcess.sort(null);
+        assertTrue(inOneProcess.size() > 500, "actions: " + inOneProcess.size());
+        assertEquals(inOneProcess, inThreeProcesses);
     }
 
     private static List<String> actions(int process, int processes) {
@@ -245,10 +245,10 @@
         Run run = run(lines.toArray(String[]::new));
         assertEquals(0, run.status(), run.err());
         List<String> actions = new ArrayList<>();
-        for (int t = 0; t < run.out().size(); t++) {
-            for (String action : run.out().get(t).split("(?=\\{\"kind\")")) {
+        for (int turn = 0; turn < run.out().size(); turn++) {
+            for (String action : run.out().get(turn).split("(?=\\{\"kind\")")) {
                 if (action.startsWith("{\"kind\"")) {
-                    actions.add(t + " " + action.replaceAll("[,\\]}]+$", ""));
+                    actions.add(turn + " " + action.replaceAll("[,\\]}]+$", ""));
                 }
             }
         }
--- a/sidecar/src/test/java/dapplequay/benchlink/WireActionsTest.java
+++ b/sidecar/src/test/java/dapplequay/benchlink/WireActionsTest.java
@@ -11,11 +11,11 @@
 class WireActionsTest {
 
     @Test
-    void everyActionIsWrittenInOrder() throws IOException {
+    void everyActionIsWrittenWithItsFieldsInOrder() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         WireWriter out = new WireWriter(bytes);
         WireActions actions = new WireActions(out, "proxy-4");
-        out.open(9);
+        out.beginReply(9);
         actions.send(1, "h:1", 80, 90);
         actions.cancel(1, 0);
         actions.refuse(2, 50);
@@ -28,21 +28,21 @@
         actions.tell(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
         actions.tell(2, new byte[0]);
         actions.log("said \"so\"");
-        out.close();
-        String p = ",\"proxy_id\":\"proxy-4\"";
+        out.endReply();
+        String instanceField = ",\"proxy_id\":\"proxy-4\"";
         assertEquals("{\"turn\":9,\"output\":["
-                + "{\"kind\":\"ISSUE\"" + p + ",\"req\":1,\"within_us\":80,\"host\":\"h:1\"},"
-                + "{\"kind\":\"RETRACT\"" + p + ",\"req\":1,\"shot\":0},"
-                + "{\"kind\":\"NOT_NOW\"" + p + ",\"req\":2,\"pause_us\":50},"
-                + "{\"kind\":\"LOSE\"" + p + ",\"req\":3},"
-                + "{\"kind\":\"SET_TIMER\"" + p + ",\"after_us\":7,\"cookie\":9223372036854775807},"
-                + "{\"kind\":\"FOLLOW\"" + p + ",\"active\":false},"
-                + "{\"kind\":\"QUERY_ALL\"" + p + "},"
-                + "{\"kind\":\"TEST\"" + p + ",\"host\":\"h:2\"},"
-                + "{\"kind\":\"RELEASE\"" + p + ",\"host\":\"h:3\"},"
-                + "{\"kind\":\"WRITE_PEER\"" + p + ",\"peer\":\"all\",\"body\":\"aGkgNw==\"},"
-                + "{\"kind\":\"WRITE_PEER\"" + p + ",\"peer\":2,\"body\":\"\"},"
-                + "{\"kind\":\"DEBUG\"" + p + ",\"what\":\"said \\\"so\\\"\"}"
+                + "{\"kind\":\"ISSUE\"" + instanceField + ",\"req\":1,\"within_us\":80,\"host\":\"h:1\"},"
+                + "{\"kind\":\"RETRACT\"" + instanceField + ",\"req\":1,\"shot\":0},"
+                + "{\"kind\":\"NOT_NOW\"" + instanceField + ",\"req\":2,\"pause_us\":50},"
+                + "{\"kind\":\"LOSE\"" + instanceField + ",\"req\":3},"
+                + "{\"kind\":\"SET_TIMER\"" + instanceField + ",\"after_us\":7,\"cookie\":9223372036854775807},"
+                + "{\"kind\":\"FOLLOW\"" + instanceField + ",\"active\":false},"
+                + "{\"kind\":\"QUERY_ALL\"" + instanceField + "},"
+                + "{\"kind\":\"TEST\"" + instanceField + ",\"host\":\"h:2\"},"
+                + "{\"kind\":\"RELEASE\"" + instanceField + ",\"host\":\"h:3\"},"
+                + "{\"kind\":\"WRITE_PEER\"" + instanceField + ",\"peer\":\"all\",\"body\":\"aGkgNw==\"},"
+                + "{\"kind\":\"WRITE_PEER\"" + instanceField + ",\"peer\":2,\"body\":\"\"},"
+                + "{\"kind\":\"DEBUG\"" + instanceField + ",\"what\":\"said \\\"so\\\"\"}"
                 + "]}\n", bytes.toString(StandardCharsets.UTF_8));
     }
 }
