--- a/sidecar/src/main/java/dapplequay/cli/Config.java
+++ b/sidecar/src/main/java/dapplequay/cli/Config.java
@@ -16,8 +16,8 @@
 
 /** Reads a sidecar's configuration: the file, with the addresses of the environment before its own. */
 final class Config {
-    private static final int SOCKETS = 1024;
-    private static final int MEMORY_MB = 192;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int DEFAULT_MEMORY_MB = 192;
 
     private Config() { }
 
@@ -27,39 +27,40 @@
     }
 
     /** The same of a file that has been read. */
-    static Sidecar.Plan read(String place, Map<?, ?> fields, Map<String, String> environment) {
-        return plan(place, fields, environment, environment.get("EDGE_DISCOVERY"));
+    static Sidecar.Plan read(String source, Map<?, ?> fields, Map<String, String> environment) {
+        return plan(source, fields, environment, environment.get("EDGE_DISCOVERY"));
     }
 
     /**
      * The same for a file that replaces the one read before: where discovery is, it says alone, as the environment
      * stays as it was. What {@code before} has, it has to have too, but for a list that was kept.
      */
-    static Sidecar.Plan reread(String place, Map<?, ?> fields, Map<?, ?> before, Map<String, String> environment) {
-        Map<Object, Object> wanted = new LinkedHashMap<>(before);
-        wanted.remove("known");
-        String missing = Completeness.missing(wanted, fields);
+    static Sidecar.Plan reread(String source, Map<?, ?> fields, Map<?, ?> previous, Map<String, String> environment) {
+        Map<Object, Object> required = new LinkedHashMap<>(previous);
+        required.remove("known");
+        String missing = Completeness.missing(required, fields);
         if (missing != null) {
-            throw new SettingsException(place + ": " + missing + " is missing");
+            throw new SettingsException(source + ": " + missing + " is missing");
         }
-        return plan(place, fields, environment, null);
+        return plan(source, fields, environment, null);
     }
 
-    private static Sidecar.Plan plan(String place, Map<?, ?> fields, Map<String, String> environment,
+    private static Sidecar.Plan plan(String source, Map<?, ?> fields, Map<String, String> environment,
                                      String discovery) {
         String management = environment.get("EDGE_MANAGEMENT");
-        boolean managed = fields.get("management") != null || management != null && !management.isEmpty();
-        return new Sidecar.Plan(address(place, fields, "listen", environment.get("EDGE_LISTEN")),
-                managed ? address(place, fields, "management", management) : null,
-                address(place, fields, "discovery", discovery), seed(place, fields), cores(place, fields),
-                limit(place, fields, "sockets", SOCKETS), limit(place, fields, "memory_mb", MEMORY_MB),
+        boolean hasManagement = fields.get("management") != null || management != null && !management.isEmpty();
+        return new Sidecar.Plan(address(source, fields, "listen", environment.get("EDGE_LISTEN")),
+                hasManagement ? address(source, fields, "management", management) : null,
+                address(source, fields, "discovery", discovery), seed(source, fields), cores(source, fields),
+                limit(source, fields, "sockets", DEFAULT_SOCKETS),
+                limit(source, fields, "memory_mb", DEFAULT_MEMORY_MB),
                 fields.get("known"),
-                Ranges.checked(SettingsReader.of(fields.get("settings"), place), place),
-                inherits(environment.get("EDGE_SOCKET_FD")));
+                Ranges.checked(SettingsReader.of(fields.get("settings"), source), source),
+                inheritsListener(environment.get("EDGE_SOCKET_FD")));
     }
 
     /** Whether the clients' socket is descriptor 0: the one that a Java process can take over. */
-    private static boolean inherits(String descriptor) {
+    private static boolean inheritsListener(String descriptor) {
         if (descriptor == null || descriptor.isEmpty()) {
             return false;
         }
@@ -75,9 +76,9 @@
         try {
             tree = Json.parse(Files.readAllBytes(file));
         } catch (IOException e) {
-            String why = e instanceof java.nio.file.NoSuchFileException ? "no such file"
+            String reason = e instanceof java.nio.file.NoSuchFileException ? "no such file"
                     : String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new SettingsException(file + ": unreadable: " + why);
+            throw new SettingsException(file + ": unreadable: " + reason);
         }
         if (tree instanceof Map<?, ?> fields) {
             return fields;
@@ -85,8 +86,8 @@
         throw new SettingsException(file + ": must hold an object");
     }
 
-    private static InetSocketAddress address(String place, Map<?, ?> fields, String name, String before) {
-        Object value = before != null && !before.isEmpty() ? before : fields.get(name);
+    private static InetSocketAddress address(String source, Map<?, ?> fields, String name, String override) {
+        Object value = override != null && !override.isEmpty() ? override : fields.get(name);
         String text = value instanceof String s ? s : "";
         int colon = text.lastIndexOf(':');
         try {
@@ -97,10 +98,10 @@
         } catch (IOException | IllegalArgumentException e) {
             // Told below, as for any other text that is no address.
         }
-        throw new SettingsException(place + ": " + name + " is not an address with a port: " + value);
+        throw new SettingsException(source + ": " + name + " is not an address with a port: " + value);
     }
 
-    private static long seed(String place, Map<?, ?> fields) {
+    private static long seed(String source, Map<?, ?> fields) {
         Object value = fields.get("seed");
         if (value instanceof Number number) {
             return number.longValue();
@@ -108,24 +109,24 @@
         try {
             return Long.parseUnsignedLong((String) value, 16);
         } catch (ClassCastException | NumberFormatException e) {
-            throw new SettingsException(place + ": seed is not a hexadecimal number: " + value);
+            throw new SettingsException(source + ": seed is not a hexadecimal number: " + value);
         }
     }
 
-    private static double cores(String place, Map<?, ?> fields) {
+    private static double cores(String source, Map<?, ?> fields) {
         Object value = fields.get("limits") instanceof Map<?, ?> map ? map.get("cores") : null;
         if (value != null && !(value instanceof Number n && n.doubleValue() > 0)) {
-            throw new SettingsException(place + ": limits.cores is not a number above 0: " + value);
+            throw new SettingsException(source + ": limits.cores is not a number above 0: " + value);
         }
         return value == null ? 1 : ((Number) value).doubleValue();
     }
 
-    private static int limit(String place, Map<?, ?> fields, String name, int absent) {
+    private static int limit(String source, Map<?, ?> fields, String name, int defaultValue) {
         Object limits = fields.get("limits");
         Object value = limits instanceof Map<?, ?> map ? map.get(name) : null;
         if (value != null && !(value instanceof Number)) {
-            throw new SettingsException(place + ": limits." + name + " is not a number: " + value);
+            throw new SettingsException(source + ": limits." + name + " is not a number: " + value);
         }
-        return value == null ? absent : ((Number) value).intValue();
+        return value == null ? defaultValue : ((Number) value).intValue();
     }
 }
--- a/sidecar/src/main/java/dapplequay/cli/HangupSignal.java
+++ b/sidecar/src/main/java/dapplequay/cli/HangupSignal.java
@@ -8,15 +8,15 @@
  * before there is a sidecar to retune is kept for it, as the file may have been read already.
  */
 final class HangupSignal {
-    private Runnable reload;
-    private boolean waits;
+    private Runnable action;
+    private boolean isPending;
     private boolean isIgnored;
 
     /** From here on the signal ends nothing. */
-    static HangupSignal taken() {
+    static HangupSignal install() {
         HangupSignal hangup = new HangupSignal();
         // Who started this process may have had it ignored, and the JVM leaves that as it is, without a word.
-        hangup.isIgnored = Signal.handle(new Signal("HUP"), signal -> hangup.came()) == SignalHandler.SIG_IGN;
+        hangup.isIgnored = Signal.handle(new Signal("HUP"), signal -> hangup.received()) == SignalHandler.SIG_IGN;
         return hangup;
     }
 
@@ -26,25 +26,25 @@
     }
 
     /** What it sets off from here on; at once if it has come before. */
-    void sets(Runnable off) {
+    void setAction(Runnable newAction) {
         synchronized (this) {
-            reload = off;
-            if (!waits) {
+            action = newAction;
+            if (!isPending) {
                 return;
             }
-            waits = false;
+            isPending = false;
         }
-        off.run();
+        newAction.run();
     }
 
-    private void came() {
-        Runnable now;
+    private void received() {
+        Runnable current;
         synchronized (this) {
-            now = reload;
-            waits = now == null;
+            current = action;
+            isPending = current == null;
         }
-        if (now != null) {
-            now.run();
+        if (current != null) {
+            current.run();
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/cli/LogWriter.java
+++ b/sidecar/src/main/java/dapplequay/cli/LogWriter.java
@@ -16,24 +16,24 @@
  */
 final class LogWriter extends Handler {
     /** So much is handed to the system at once, characters. */
-    private static final int PIECE = 8 * 1024;
+    private static final int WRITE_BATCH_CHARS = 8 * 1024;
 
     private final OutputStream out;
-    private final int most;
-    private final Deque<String> waiting = new ArrayDeque<>();
-    private int held;
-    private long dropped;
+    private final int maxQueuedChars;
+    private final Deque<String> queue = new ArrayDeque<>();
+    private int queuedChars;
+    private long droppedLines;
     private boolean isWriting;
 
     /** {@code most}: characters held for a reader that is late; a single line may be longer. */
-    LogWriter(OutputStream out, int most, Formatter formatter) {
+    LogWriter(OutputStream out, int maxQueuedChars, Formatter formatter) {
         this.out = out;
-        this.most = most;
+        this.maxQueuedChars = maxQueuedChars;
         setFormatter(formatter);
     }
 
     void start() {
-        Thread thread = new Thread(this::writeAll, "log");
+        Thread thread = new Thread(this::writeLoop, "log");
         thread.setDaemon(true);
         thread.start();
     }
@@ -41,20 +41,20 @@
     @Override
     public void publish(LogRecord record) {
         if (isLoggable(record)) {
-            String line = line(record);
+            String line = formatLine(record);
             synchronized (this) {
-                if (waiting.isEmpty() || held + line.length() <= most) {
-                    waiting.add(line);
-                    held += line.length();
+                if (queue.isEmpty() || queuedChars + line.length() <= maxQueuedChars) {
+                    queue.add(line);
+                    queuedChars += line.length();
                 } else {
-                    dropped++;
+                    droppedLines++;
                 }
                 notifyAll();
             }
         }
     }
 
-    private String line(LogRecord record) {
+    private String formatLine(LogRecord record) {
         try {
             return getFormatter().format(record);
         } catch (RuntimeException e) {
@@ -63,23 +63,23 @@
     }
 
     /** Waits until all lines are with the system, but no longer than this; false where some are not. */
-    synchronized boolean awaitWritten(long atMostMs) throws InterruptedException {
-        long until = System.nanoTime() + atMostMs * 1_000_000;
-        while (isWriting || !waiting.isEmpty()) {
-            long leftMs = (until - System.nanoTime()) / 1_000_000;
-            if (leftMs <= 0) {
+    synchronized boolean awaitWritten(long maxWaitMs) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + maxWaitMs * 1_000_000;
+        while (isWriting || !queue.isEmpty()) {
+            long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+            if (remainingMs <= 0) {
                 return false;
             }
-            wait(leftMs);
+            wait(remainingMs);
         }
         return true;
     }
 
-    private void writeAll() {
+    private void writeLoop() {
         try {
             while (true) {
                 try {
-                    out.write(next().getBytes(StandardCharsets.UTF_8));
+                    out.write(awaitBatch().getBytes(StandardCharsets.UTF_8));
                     out.flush();
                 } catch (IOException | RuntimeException | OutOfMemoryError e) {
                     // There is nowhere to tell it: these lines are lost, the next ones are tried.
@@ -90,24 +90,24 @@
         }
     }
 
-    private synchronized String next() throws InterruptedException {
+    private synchronized String awaitBatch() throws InterruptedException {
         isWriting = false;
         notifyAll();
-        while (waiting.isEmpty()) {
+        while (queue.isEmpty()) {
             wait();
         }
         isWriting = true;
-        StringBuilder piece = new StringBuilder();
-        while (!waiting.isEmpty() && piece.length() < PIECE) {
-            String line = waiting.poll();
-            held -= line.length();
-            piece.append(line);
+        StringBuilder batch = new StringBuilder();
+        while (!queue.isEmpty() && batch.length() < WRITE_BATCH_CHARS) {
+            String line = queue.poll();
+            queuedChars -= line.length();
+            batch.append(line);
         }
-        if (waiting.isEmpty() && dropped > 0) {
-            piece.append(dropped).append(" log lines were dropped, as nobody read the log\n");
-            dropped = 0;
+        if (queue.isEmpty() && droppedLines > 0) {
+            batch.append(droppedLines).append(" log lines were dropped, as nobody read the log\n");
+            droppedLines = 0;
         }
-        return piece.toString();
+        return batch.toString();
     }
 
     @Override
--- a/sidecar/src/main/java/dapplequay/cli/Logs.java
+++ b/sidecar/src/main/java/dapplequay/cli/Logging.java
@@ -10,14 +10,14 @@
 import java.util.logging.Logger;
 
 /** One line a record, on standard error. */
-public final class Logs {
+public final class Logging {
     /** Held for a reader of the log that is late. */
-    private static final int MOST_CHARACTERS = 1_000_000;
+    private static final int MAX_QUEUED_CHARS = 1_000_000;
 
-    private Logs() { }
+    private Logging() { }
 
     static void start(Level level) {
-        LogWriter handler = new LogWriter(System.err, MOST_CHARACTERS, new Line());
+        LogWriter handler = new LogWriter(System.err, MAX_QUEUED_CHARS, new LineFormatter());
         handler.setLevel(level);
         handler.start();
         writer = handler;
@@ -27,13 +27,13 @@
         }
         root.addHandler(handler);
         root.setLevel(Level.INFO);
-        Logger own = Logger.getLogger("dapplequay");
-        own.setLevel(level);
-        kept = own;
+        Logger logger = Logger.getLogger("dapplequay");
+        logger.setLevel(level);
+        configuredLogger = logger;
     }
 
     /** Log lines of an ending in order would be lost, as the usual manager closes its handlers first. */
-    public static final class Kept extends LogManager {
+    public static final class KeepHandlersLogManager extends LogManager {
         @Override
         public void reset() {
             // The handlers stay until the process has ended.
@@ -41,10 +41,10 @@
     }
 
     /** Waits, this long at the most, until what was logged is written: an exit would take it along. */
-    static void awaitWritten(long atMostMs) {
+    static void awaitWritten(long maxWaitMs) {
         try {
             if (writer != null) {
-                writer.awaitWritten(atMostMs);
+                writer.awaitWritten(maxWaitMs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -54,9 +54,9 @@
     private static volatile LogWriter writer;
 
     /** Loggers are held weakly: without this the level would be lost with the logger. */
-    private static Logger kept;
+    private static Logger configuredLogger;
 
-    private static final class Line extends Formatter {
+    private static final class LineFormatter extends Formatter {
         @Override
         public String format(LogRecord record) {
             StringBuilder line = new StringBuilder(128).append(record.getInstant()).append(' ')
--- a/sidecar/src/main/java/dapplequay/cli/Main.java
+++ b/sidecar/src/main/java/dapplequay/cli/Main.java
@@ -19,10 +19,10 @@
 
 /** The command line of the jar. */
 public final class Main {
-    static final int BAD_USAGE = 2;
-    static final int BAD_CONFIG = 3;
+    static final int EXIT_BAD_USAGE = 2;
+    static final int EXIT_BAD_CONFIG = 3;
     /** For the last lines of the log, which whoever reads it may take slowly. */
-    private static final long LAST_LINES_MS = 50;
+    private static final long LOG_WRITE_TIMEOUT_MS = 50;
 
     /** Of the process, as the signal is; null where no sidecar is to be started. */
     private static HangupSignal hangup;
@@ -41,9 +41,9 @@
 
     public static void main(String[] args) {
         if (args.length > 0 && args[0].equals("serve")) {
-            hangup = HangupSignal.taken();
+            hangup = HangupSignal.install();
         }
-        System.setProperty("java.util.logging.manager", Logs.Kept.class.getName());
+        System.setProperty("java.util.logging.manager", Logging.KeepHandlersLogManager.class.getName());
         int status = run(args, System.getenv());
         if (status != 0) {
             System.exit(status);
@@ -59,15 +59,15 @@
             System.err.println("dapplequay: " + e.getMessage());
             System.err.println("usage: java -jar dapplequay.jar serve [--config FILE] [--operators FILE]"
                     + " [--log LEVEL] | simhost | check-config [--config FILE] [--operators FILE] | version");
-            return BAD_USAGE;
+            return EXIT_BAD_USAGE;
         } catch (SettingsException | IllegalArgumentException | IOException e) {
             System.err.println("dapplequay: " + e.getMessage());
-            return BAD_CONFIG;
+            return EXIT_BAD_CONFIG;
         }
     }
 
     /** What the commands that read a configuration share. */
-    abstract static class Configured implements Command {
+    abstract static class ConfiguredCommand implements Command {
         @Option(name = "--operators", metaVar = "FILE", usage = "the operators' own file; else they have none")
         private String operators;
         @Option(name = "--config", metaVar = "FILE", usage = "the configuration; else EDGE_CONFIG names it")
@@ -91,32 +91,33 @@
     }
 
     /** Runs the sidecar until it is told to end. */
-    public static final class Serve extends Configured {
+    public static final class Serve extends ConfiguredCommand {
         @Option(name = "--log", metaVar = "LEVEL", usage = "SEVERE, WARNING, INFO or FINE")
         private String level = "INFO";
 
         @Override
         public int run(Map<String, String> environment) throws IOException {
-            Logs.start(Level.parse(level));
+            Logging.start(Level.parse(level));
             Thread.setDefaultUncaughtExceptionHandler((thread, e) -> {
                 Logger.getLogger(Main.class.getName()).log(Level.SEVERE, "thread " + thread.getName() + " ended", e);
-                Logs.awaitWritten(LAST_LINES_MS);       // it may have been the last thread of the process
+                Logging.awaitWritten(LOG_WRITE_TIMEOUT_MS);       // it may have been the last thread of the process
             });
             Path file = file(environment);
-            ChangedFile changed = new ChangedFile(file);
+            WatchedFile watchedFile = new WatchedFile(file);
             Map<?, ?> fields = Config.fields(file);
-            KeptState state = KeptState.in(operators().stateFolder());
-            Sidecar sidecar = state.begin(Config.read(file.toString(), fields, environment));
-            OrderlyExit exit = new OrderlyExit(() -> sidecar.endsWithinUs() / 1_000, List.of(sidecar::end, state::end));
+            PersistedState state = PersistedState.in(operators().stateFolder());
+            Sidecar sidecar = state.createSidecar(Config.read(file.toString(), fields, environment));
+            OrderlyExit exit = new OrderlyExit(() -> sidecar.endsWithinUs() / 1_000,
+                    List.of(sidecar::end, state::close));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 exit.run();
-                Logs.awaitWritten(LAST_LINES_MS);
+                Logging.awaitWritten(LOG_WRITE_TIMEOUT_MS);
             }, "ending"));
             Reload reload = new Reload(file, environment, sidecar, fields);
-            MissedHangup missed = new MissedHangup(changed, () -> System.nanoTime() / 1_000_000,
+            MissedHangup missedHangup = new MissedHangup(watchedFile, () -> System.nanoTime() / 1_000_000,
                     () -> sidecar.sinceThreadShortageUs() / 1_000, reload::run);
-            hangup.sets(() -> {
-                missed.heard();
+            hangup.setAction(() -> {
+                missedHangup.signalReceived();
                 reload.run();
             });
             if (hangup.isIgnored()) {
@@ -124,18 +125,19 @@
                         + file + " is read again when it changes");
             }
             boolean isIgnored = hangup.isIgnored();
-            Thread watch = new Thread(() -> watch(isIgnored, changed, reload, missed), "changed-file");
+            Thread watch = new Thread(() -> watch(isIgnored, watchedFile, reload, missedHangup), "changed-file");
             watch.setDaemon(true);
             watch.start();
             sidecar.start();
             return 0;
         }
 
-        private static void watch(boolean isIgnored, ChangedFile changed, Reload reload, MissedHangup missed) {
+        private static void watch(boolean isIgnored, WatchedFile watchedFile, Reload reload,
+                                  MissedHangup missedHangup) {
             if (isIgnored) {
-                changed.watch(reload::run);
+                watchedFile.watch(reload::run);
             } else {
-                missed.watch();
+                missedHangup.watch();
             }
         }
     }
@@ -149,7 +151,7 @@
     }
 
     /** Reads a configuration as serve would, and says whether it is good. */
-    public static final class CheckConfig extends Configured {
+    public static final class CheckConfig extends ConfiguredCommand {
         @Override
         public int run(Map<String, String> environment) throws IOException {
             operators();
--- a/sidecar/src/main/java/dapplequay/cli/MissedHangup.java
+++ b/sidecar/src/main/java/dapplequay/cli/MissedHangup.java
@@ -10,23 +10,23 @@
  */
 final class MissedHangup {
     private static final Logger LOG = Logger.getLogger(MissedHangup.class.getName());
-    static final long LOOK_MS = 250;
+    static final long POLL_INTERVAL_MS = 250;
     /** So long a signal may take after the change that it tells of, ms. */
-    static final long SIGNAL_MS = 1_000;
+    static final long SIGNAL_GRACE_MS = 1_000;
     /** A shortage so long before a change is seen, or after it, may have cost its signal, ms. */
-    static final long NEAR_MS = 10_000;
+    static final long SHORTAGE_WINDOW_MS = 10_000;
 
-    private final ChangedFile file;
+    private final WatchedFile file;
     private final LongSupplier nowMs;
     private final LongSupplier sinceShortageMs;
     private final Runnable reload;
-    private volatile int signals;
-    private int signalsAtChange;
-    private long changedMs;
+    private volatile int signalCount;
+    private int signalCountAtChange;
+    private long changedAtMs;
     private boolean isPending;
 
     /** {@code sinceShortageMs}: how long ago threads were short, Long.MAX_VALUE: never. */
-    MissedHangup(ChangedFile file, LongSupplier nowMs, LongSupplier sinceShortageMs, Runnable reload) {
+    MissedHangup(WatchedFile file, LongSupplier nowMs, LongSupplier sinceShortageMs, Runnable reload) {
         this.file = file;
         this.nowMs = nowMs;
         this.sinceShortageMs = sinceShortageMs;
@@ -34,37 +34,37 @@
     }
 
     /** The signal has come: the file as it is now is about to be read. */
-    synchronized void heard() {
-        file.taken();
-        signals++;
+    synchronized void signalReceived() {
+        file.markLoaded();
+        signalCount++;
     }
 
     /** Looks until the thread is interrupted. */
     void watch() {
         try {
             while (true) {
-                Thread.sleep(LOOK_MS);
-                look();
+                Thread.sleep(POLL_INTERVAL_MS);
+                poll();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    void look() {
-        long now = nowMs.getAsLong();
+    void poll() {
+        long currentMs = nowMs.getAsLong();
         if (file.hasChanged()) {
             isPending = true;
-            changedMs = now;
-            signalsAtChange = signals;
+            changedAtMs = currentMs;
+            signalCountAtChange = signalCount;
         }
-        if (!isPending || now - changedMs < SIGNAL_MS) {
+        if (!isPending || currentMs - changedAtMs < SIGNAL_GRACE_MS) {
             return;
         }
-        boolean isNear = sinceShortageMs.getAsLong() <= now - changedMs + NEAR_MS;
-        if (signals != signalsAtChange || now - changedMs > NEAR_MS) {
+        boolean isShortageNear = sinceShortageMs.getAsLong() <= currentMs - changedAtMs + SHORTAGE_WINDOW_MS;
+        if (signalCount != signalCountAtChange || currentMs - changedAtMs > SHORTAGE_WINDOW_MS) {
             isPending = false;
-        } else if (isNear) {
+        } else if (isShortageNear) {
             isPending = false;
             LOG.warning("threads were short, and SIGHUP for the new configuration may have been lost: it is read");
             reload.run();
--- a/sidecar/src/main/java/dapplequay/cli/Operators.java
+++ b/sidecar/src/main/java/dapplequay/cli/Operators.java
@@ -38,17 +38,17 @@
                     + (e instanceof NoSuchFileException ? "no such file" : e.getMessage()));
         }
         List<String> faults = new ArrayList<>();
-        unknown(file, lines, tree, "", SECTIONS, faults);
+        addUnknownKeys(file, lines, tree, "", SECTIONS, faults);
         JsonNode state = tree.path("state");
         if (!state.isMissingNode() && !state.isObject()) {
-            faults.add(at(file, lines, "state") + "state is not a table");
+            faults.add(location(file, lines, "state") + "state is not a table");
         }
-        unknown(file, lines, state, "state.", STATE_KEYS, faults);
+        addUnknownKeys(file, lines, state, "state.", STATE_KEYS, faults);
         JsonNode folder = state.path("folder");
         if (!folder.isMissingNode() && (!folder.isTextual() || folder.asText().isEmpty())) {
-            faults.add(at(file, lines, "folder") + "state.folder is not a path: " + folder);
+            faults.add(location(file, lines, "folder") + "state.folder is not a path: " + folder);
         } else if (folder.isTextual() && !Files.isDirectory(Path.of(folder.asText()))) {
-            faults.add(at(file, lines, "folder") + "state.folder is no folder: " + folder.asText());
+            faults.add(location(file, lines, "folder") + "state.folder is no folder: " + folder.asText());
         }
         if (!faults.isEmpty()) {
             throw new SettingsException(String.join("\n", faults));
@@ -56,18 +56,18 @@
         return new Operators(folder.isTextual() ? Path.of(folder.asText()) : null);
     }
 
-    private static void unknown(Path file, List<String> lines, JsonNode table, String prefix, Set<String> known,
+    private static void addUnknownKeys(Path file, List<String> lines, JsonNode table, String prefix, Set<String> known,
                                 List<String> faults) {
         for (Iterator<String> names = table.fieldNames(); names.hasNext();) {
             String name = names.next();
             if (!known.contains(name)) {
-                faults.add(at(file, lines, name) + "unknown key " + prefix + name);
+                faults.add(location(file, lines, name) + "unknown key " + prefix + name);
             }
         }
     }
 
     /** File and line of the key: the parser tells no places of what it has understood. */
-    private static String at(Path file, List<String> lines, String key) {
+    private static String location(Path file, List<String> lines, String key) {
         for (int i = 0; i < lines.size(); i++) {
             if (lines.get(i).strip().matches("\\[?\\s*\"?" + java.util.regex.Pattern.quote(key) + "\"?\\s*[].=].*")) {
                 return file + ":" + (i + 1) + ": ";
--- a/sidecar/src/main/java/dapplequay/cli/OrderlyExit.java
+++ b/sidecar/src/main/java/dapplequay/cli/OrderlyExit.java
@@ -13,36 +13,36 @@
  */
 final class OrderlyExit implements Runnable {
     private static final Logger LOG = Logger.getLogger(OrderlyExit.class.getName());
-    private static final long PAUSE_MS = 20;
+    private static final long RETRY_PAUSE_MS = 20;
 
     /** A part of the ending; begun again, it goes on where it was. */
     interface Step {
         void run() throws InterruptedException;
     }
 
-    private final LongSupplier mostMs;
+    private final LongSupplier timeLimitMs;
     private final List<Step> steps;
 
     /** {@code mostMs}: how long it may all take, asked for when it begins. */
-    OrderlyExit(LongSupplier mostMs, List<Step> steps) {
-        this.mostMs = mostMs;
+    OrderlyExit(LongSupplier timeLimitMs, List<Step> steps) {
+        this.timeLimitMs = timeLimitMs;
         this.steps = steps;
     }
 
     @Override
     public void run() {
-        long until = System.nanoTime() + mostMs.getAsLong() * 1_000_000;
+        long deadlineNs = System.nanoTime() + timeLimitMs.getAsLong() * 1_000_000;
         try {
-            Thread work = new Thread(() -> takeAll(until), "ending in order");
-            work.setDaemon(true);
+            Thread worker = new Thread(() -> runSteps(deadlineNs), "ending in order");
+            worker.setDaemon(true);
             try {
-                work.start();
+                worker.start();
             } catch (OutOfMemoryError e) {
-                takeAll(until);             // no thread to be had: better without the bound than not at all
+                runSteps(deadlineNs);             // no thread to be had: better without the bound than not at all
                 return;
             }
-            work.join(Math.max(1, (until - System.nanoTime()) / 1_000_000));
-            if (work.isAlive()) {
+            worker.join(Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000));
+            if (worker.isAlive()) {
                 LOG.severe("the ending took too long, and is cut short");
             }
         } catch (InterruptedException e) {
@@ -50,13 +50,13 @@
         }
     }
 
-    private void takeAll(long until) {
+    private void runSteps(long deadlineNs) {
         try {
             for (Step step : steps) {
-                boolean isTaken = isTaken(step, true);
-                while (!isTaken && System.nanoTime() < until) {
-                    Thread.sleep(PAUSE_MS);
-                    isTaken = isTaken(step, false);
+                boolean isDone = runStep(step, true);
+                while (!isDone && System.nanoTime() < deadlineNs) {
+                    Thread.sleep(RETRY_PAUSE_MS);
+                    isDone = runStep(step, false);
                 }
             }
         } catch (InterruptedException e) {
@@ -64,20 +64,20 @@
         }
     }
 
-    private static boolean isTaken(Step step, boolean tells) throws InterruptedException {
+    private static boolean runStep(Step step, boolean logsFailure) throws InterruptedException {
         try {
             step.run();
             return true;
         } catch (RuntimeException | Error e) {
-            tell(e, tells);
+            logFailure(e, logsFailure);
             return false;
         }
     }
 
-    private static void tell(Throwable fault, boolean tells) {
+    private static void logFailure(Throwable failure, boolean logsFailure) {
         try {
-            if (tells) {
-                LOG.log(Level.SEVERE, "a step of the ending failed", fault);
+            if (logsFailure) {
+                LOG.log(Level.SEVERE, "a step of the ending failed", failure);
             }
         } catch (RuntimeException | Error e) {
             // Nothing can be told where memory is short; the step is begun again all the same.
--- a/sidecar/src/main/java/dapplequay/cli/KeptState.java
+++ b/sidecar/src/main/java/dapplequay/cli/PersistedState.java
@@ -14,54 +14,54 @@
 import java.util.logging.Logger;
 
 /** A sidecar that begins with what the life before was told, where the operators name a folder for it. */
-final class KeptState {
-    private static final Logger LOG = Logger.getLogger(KeptState.class.getName());
+final class PersistedState {
+    private static final Logger LOG = Logger.getLogger(PersistedState.class.getName());
 
-    private final Path path;
+    private final Path folderPath;
     private final UnixClock clock = new UnixClock();
     private StateFolder folder;
 
-    private KeptState(Path path) {
-        this.path = path;
+    private PersistedState(Path folderPath) {
+        this.folderPath = folderPath;
     }
 
     /** {@code path} may be null: nothing is kept. */
-    static KeptState in(Path path) {
-        return new KeptState(path);
+    static PersistedState in(Path folderPath) {
+        return new PersistedState(folderPath);
     }
 
     /** The sidecar, not started yet; IOException where the platform's list is no good. */
-    Sidecar begin(Sidecar.Plan plan) throws IOException {
-        if (path == null) {
+    Sidecar createSidecar(Sidecar.Plan plan) throws IOException {
+        if (folderPath == null) {
             return new Sidecar(plan);
         }
-        folder = new StateFolder(path, "sidecar-" + Sockets.hostAndPort(plan.listen()).replaceAll("[^0-9.]", "-"),
+        folder = new StateFolder(folderPath, "sidecar-" + Sockets.hostAndPort(plan.listen()).replaceAll("[^0-9.]", "-"),
                 clock);
-        Snapshot kept = folder.read();
-        Object tree = kept == null ? null : tree(kept);
+        Snapshot snapshot = folder.read();
+        Object list = snapshot == null ? null : parseList(snapshot);
         long now = clock.getAsLong();
-        Beginning.Known own = tree == null ? null : new Beginning.Known(revision(tree), kept.takenUs());
-        Beginning beginning = Beginning.choose(revision(plan.known()), own, now, Sidecar.versionCountsUs());
+        Beginning.Known keptList = list == null ? null : new Beginning.Known(revision(list), snapshot.takenUs());
+        Beginning beginning = Beginning.choose(revision(plan.known()), keptList, now, Sidecar.versionCountsUs());
         Sidecar.Memory memory = new Sidecar.Memory(beginning.binds(), folder::scheduleWrite);
         if (beginning.from() != Beginning.From.KEPT) {
             return new Sidecar(plan, memory);
         }
         LOG.log(Level.INFO, "begins with the list kept {0} s ago, version {1}{2}", new Object[] {
-            (now - kept.takenUs()) / 1_000_000, revision(tree).toString(),
+            (now - snapshot.takenUs()) / 1_000_000, revision(list).toString(),
             beginning.binds() ? "" : "; discovery may be older"});
         try {
-            return new Sidecar(plan.beginningWith(tree), memory);
+            return new Sidecar(plan.beginningWith(list), memory);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "the kept list is no good here and not used: {0}", e.toString());
             return new Sidecar(plan, new Sidecar.Memory(false, folder::scheduleWrite));
         }
     }
 
-    private static Object tree(Snapshot kept) {
+    private static Object parseList(Snapshot snapshot) {
         try {
-            Object tree = Json.parse(kept.list());
-            if (revision(tree) != null) {
-                return tree;
+            Object list = Json.parse(snapshot.list());
+            if (revision(list) != null) {
+                return list;
             }
             LOG.warning("the kept list has no version and is not used");
         } catch (IOException e) {
@@ -75,7 +75,7 @@
     }
 
     /** Writes what is not written yet. */
-    void end() throws InterruptedException {
+    void close() throws InterruptedException {
         if (folder != null) {
             folder.close();
         }
--- a/sidecar/src/main/java/dapplequay/cli/Reload.java
+++ b/sidecar/src/main/java/dapplequay/cli/Reload.java
@@ -17,24 +17,24 @@
     private final Path file;
     private final Map<String, String> environment;
     private final Sidecar sidecar;
-    private Map<?, ?> taken;
+    private Map<?, ?> current;
 
     /** {@code taken}: the file as the sidecar was started with. */
-    Reload(Path file, Map<String, String> environment, Sidecar sidecar, Map<?, ?> taken) {
+    Reload(Path file, Map<String, String> environment, Sidecar sidecar, Map<?, ?> current) {
         this.file = file;
         this.environment = environment;
         this.sidecar = sidecar;
-        this.taken = taken;
+        this.current = current;
     }
 
     synchronized void run() {
         try {
             Map<?, ?> fields = Config.fields(file);
-            List<String> kept = sidecar.retune(Config.reread(file.toString(), fields, taken, environment));
-            taken = fields;
+            List<String> restartOnly = sidecar.retune(Config.reread(file.toString(), fields, current, environment));
+            current = fields;
             sidecar.configurationRead(true);
-            LOG.info("configuration read again" + (kept.isEmpty() ? "" : "; these take a restart: "
-                    + String.join(", ", kept)));
+            LOG.info("configuration read again" + (restartOnly.isEmpty() ? "" : "; these take a restart: "
+                    + String.join(", ", restartOnly)));
         } catch (RuntimeException | OutOfMemoryError | StackOverflowError e) {
             // Also a file too large or too deep to be read: the thread that watches the file must live on.
             sidecar.configurationRead(false);
--- a/sidecar/src/main/java/dapplequay/cli/ChangedFile.java
+++ b/sidecar/src/main/java/dapplequay/cli/WatchedFile.java
@@ -11,27 +11,27 @@
  * ignored (by nohup, or a shell that ignores it), as neither the JVM nor a shell can take such a signal back. A file is
  * read once it has looked the same twice in a row, so that one being written is not met half-way.
  */
-final class ChangedFile {
-    private static final long LOOK_MS = 100;
+final class WatchedFile {
+    private static final long POLL_INTERVAL_MS = 100;
 
     /** What a file looks like from outside; the key tells one that was put in its place. */
-    private record Look(long modifiedNs, long size, Object key) { }
+    private record FileState(long modifiedNs, long size, Object key) { }
 
     private final Path file;
-    private Look read;
-    private Look before;
+    private FileState loaded;
+    private FileState previous;
 
     /** What differs from the file that there is now has changed. */
-    ChangedFile(Path file) {
+    WatchedFile(Path file) {
         this.file = file;
-        read = before = look();
+        loaded = previous = readState();
     }
 
     /** Calls {@code changed} after each change, until the thread is interrupted. */
     void watch(Runnable changed) {
         try {
             while (true) {
-                Thread.sleep(LOOK_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
                 if (hasChanged()) {
                     changed.run();
                 }
@@ -42,24 +42,24 @@
     }
 
     /** The file as it is now counts as read. */
-    synchronized void taken() {
-        read = before = look();
+    synchronized void markLoaded() {
+        loaded = previous = readState();
     }
 
     /** One look at the file: whether it is another, and whole as far as that shows. */
     synchronized boolean hasChanged() {
-        Look now = look();
-        boolean changed = now != null && now.equals(before) && !now.equals(read);
-        read = changed ? now : read;
-        before = now;
+        FileState now = readState();
+        boolean changed = now != null && now.equals(previous) && !now.equals(loaded);
+        loaded = changed ? now : loaded;
+        previous = now;
         return changed;
     }
 
-    private Look look() {
+    private FileState readState() {
         try {
-            BasicFileAttributes is = Files.readAttributes(file, BasicFileAttributes.class);
-            return new Look(is.lastModifiedTime().to(java.util.concurrent.TimeUnit.NANOSECONDS), is.size(),
-                    Objects.requireNonNullElse(is.fileKey(), ""));
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return new FileState(attributes.lastModifiedTime().to(java.util.concurrent.TimeUnit.NANOSECONDS),
+                    attributes.size(), Objects.requireNonNullElse(attributes.fileKey(), ""));
         } catch (IOException e) {
             return null;                // it will be back
         }
--- a/sidecar/src/test/java/dapplequay/cli/MissedHangupTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/MissedHangupTest.java
@@ -25,13 +25,13 @@
     @BeforeEach
     void begin() throws IOException {
         file = Files.writeString(folder.resolve("config.json"), "1");
-        missed = new MissedHangup(new ChangedFile(file), nowMs::get,
+        missed = new MissedHangup(new WatchedFile(file), nowMs::get,
                 () -> shortageMs.get() == NEVER ? NEVER : nowMs.get() - shortageMs.get(), read::incrementAndGet);
     }
 
     private void lookFor(long ms) {
-        for (long untilMs = nowMs.get() + ms; nowMs.get() < untilMs; nowMs.addAndGet(MissedHangup.LOOK_MS)) {
-            missed.look();
+        for (long untilMs = nowMs.get() + ms; nowMs.get() < untilMs; nowMs.addAndGet(MissedHangup.POLL_INTERVAL_MS)) {
+            missed.poll();
         }
     }
 
@@ -51,11 +51,11 @@
     void aChangeWhoseSignalCameIsNotReadAgain() throws IOException {
         shortageMs.set(nowMs.get());
         Files.writeString(file, "22");
-        missed.heard();
+        missed.signalReceived();
         lookFor(4_000);
         Files.writeString(file, "333");
         lookFor(600);
-        missed.heard();
+        missed.signalReceived();
         lookFor(20_000);
         assertThat(read).hasValue(0);
     }
@@ -64,7 +64,7 @@
     @Test
     void withoutAShortageNearItNoChangeIsRead() throws IOException {
         Files.writeString(file, "22");
-        lookFor(2 * MissedHangup.NEAR_MS);
+        lookFor(2 * MissedHangup.SHORTAGE_WINDOW_MS);
         shortageMs.set(nowMs.get());
         lookFor(20_000);
         Files.writeString(file, "333");
--- a/sidecar/src/test/java/dapplequay/cli/ProgramTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/ProgramTest.java
@@ -179,7 +179,7 @@
         assertThat(text(start("version").getInputStream())).startsWith("dapplequay ");
         Process wrong = start("dance");
         assertThat(text(wrong.getErrorStream())).contains("usage:");
-        assertThat(wrong.waitFor()).isEqualTo(Main.BAD_USAGE);
+        assertThat(wrong.waitFor()).isEqualTo(Main.EXIT_BAD_USAGE);
         Process simulated = start("simhost");
         simulated.getOutputStream().write("{\"now_us\":1,\"turn\":1,\"msgs\":[]}\n".getBytes(StandardCharsets.UTF_8));
         simulated.getOutputStream().close();
--- a/sidecar/src/test/java/dapplequay/cli/UpgradeTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/UpgradeTest.java
@@ -203,7 +203,7 @@
     void aSuccessorThatCannotStartAndAPredecessorKilledLeaveTheOtherServing() throws Exception {
         Program old = start(config).awaitReady();
         Program broken = start(Files.writeString(folder.resolve("broken.json"), "{"));
-        assertThat(broken.process.waitFor()).isEqualTo(Main.BAD_CONFIG);
+        assertThat(broken.process.waitFor()).isEqualTo(Main.EXIT_BAD_CONFIG);
         AtomicBoolean over = new AtomicBoolean();
         List<Thread> clients = load(over);
         awaitAnswers(100);
@@ -235,7 +235,7 @@
             Process program = builder.start();          // its standard input is a pipe
             program.getOutputStream().close();
             String told = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-            assertThat(program.waitFor()).isEqualTo(Main.BAD_CONFIG);
+            assertThat(program.waitFor()).isEqualTo(Main.EXIT_BAD_CONFIG);
             assertThat(told.lines().filter(line -> line.startsWith("dapplequay: "))).hasSize(1);
             assertThat(told).contains("descriptor").doesNotContain("Exception");
         }
