--- a/sidecar/src/main/java/dapplequay/management/DiscoveryMetrics.java
+++ b/sidecar/src/main/java/dapplequay/management/DiscoveryMetrics.java
@@ -4,10 +4,10 @@
 import java.util.TreeMap;
 
 /**
- * What discovery's news did to the servers, and to the sends that they stopped. Thread-safe.
+ * Metrics on how discovery's updates changed the servers' status and stopped sends to them. Thread-safe.
  */
 public final class DiscoveryMetrics {
-    /** Upper bounds of the histograms' buckets, microseconds. */
+    /** Upper bounds of the histograms' buckets, in microseconds. */
     private static final long[] BOUNDS_US = {0, 10_000, 50_000, 100_000, 250_000, 500_000, 1_000_000, 5_000_000};
 
     private final Map<String, Long> transitions = new TreeMap<>();
@@ -15,7 +15,7 @@
     private final Histogram unconfirmed = new Histogram();
     private final Histogram lastSends = new Histogram();
 
-    /** Spans of time, counted by {@link #BOUNDS_US}. */
+    /** Histogram of durations with the buckets of {@link #BOUNDS_US}. */
     private static final class Histogram {
         private final long[] counts = new long[BOUNDS_US.length + 1];
         private long sumUs;
@@ -30,27 +30,27 @@
         }
     }
 
-    /** A server came to have that status. */
+    /** Counts a server that changed to this status. */
     public synchronized void countTransition(String status) {
         transitions.merge(status, 1L, Long::sum);
     }
 
-    /** A send was stopped before its first byte, for that reason. */
+    /** Counts a send that was stopped before its first byte. */
     public synchronized void countStoppedSend(String reason) {
         stoppedSends.merge(reason, 1L, Long::sum);
     }
 
-    /** A list left a server unconfirmed for so long, microseconds. */
+    /** Records for how long a list left a server unconfirmed. */
     public synchronized void recordUnconfirmed(long durationUs) {
         unconfirmed.observe(durationUs);
     }
 
-    /** From the news that took a server out to the last send to it, microseconds; 0 where there was none after it. */
+    /** Records the time from the update that took a server out to the last send to it; 0 if there was none after it. */
     public synchronized void recordLastSend(long durationUs) {
         lastSends.observe(durationUs);
     }
 
-    /** All of it in the exposition format. */
+    /** Returns all metrics in the Prometheus text format. */
     public synchronized String text() {
         MetricsText output = new MetricsText();
         output.labelledCounter("server_transitions_total", "Changes of servers' status by discovery's news.", "to",
--- a/sidecar/src/main/java/dapplequay/management/ManagementServer.java
+++ b/sidecar/src/main/java/dapplequay/management/ManagementServer.java
@@ -19,32 +19,31 @@
 import java.util.logging.Logger;
 
 /**
- * The second address: questions and orders of those who run the sidecar, one call a connection. Its callers are few
- * and bounded; one that says nothing, or half a call, makes room as soon as another comes.
+ * Serves the management address, over which operators query and control the sidecar: one request per connection. The
+ * number of connections is bounded: at the bound, a connection without a complete request is closed for a new one.
  */
 public final class ManagementServer implements Runnable {
     private static final Logger LOG = Logger.getLogger(ManagementServer.class.getName());
-    /** Callers at once. */
     private static final int MAX_CONNECTIONS = 16;
-    /** Descriptors that this side needs at the most: its callers, one that is just accepted, the listener. */
+    /** File descriptors for the connections, one just accepted, and the listener. */
     public static final int MAX_DESCRIPTORS = MAX_CONNECTIONS + 2;
     private static final int BACKLOG = 128;
     private static final int MAX_BODY_BYTES = 4 * 1024;
-    /** A call has to come whole, and its answer to be taken, within this. */
+    /** Time limit for receiving a request and sending its response. */
     private static final long CALL_TIMEOUT_US = 1_500_000;
     private static final long RETRY_PAUSE_MS = 20;
 
-    /** What stands behind the address. No call may block for longer than some milliseconds. */
+    /** The operations behind the address. None may block for longer than a few milliseconds. */
     public interface Service {
-        /** Whether this process takes clients. */
+        /** True if this process accepts clients. */
         boolean isReady();
 
-        /** The figures, as text. */
+        /** Returns the metrics in the Prometheus text format. */
         String metrics();
 
         void drain();
 
-        /** False where the process is ending. */
+        /** Ends a drain; returns false if the process is shutting down. */
         boolean resume();
     }
 
@@ -53,7 +52,7 @@
     private final Service service;
     private final Set<Connection> connections = new LinkedHashSet<>();
 
-    /** Listens from here on; IOException where the address is not to be had. */
+    /** Binds the address and starts to listen; {@link #run} accepts. IOException if the address is not available. */
     public ManagementServer(InetSocketAddress address, DeadlineQueue deadlines, Service service) throws IOException {
         this.deadlines = deadlines;
         this.service = service;
@@ -64,7 +63,7 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    /** Accepts as long as the process runs. */
+    /** Accepts connections until {@link #close}. */
     @Override
     public void run() {
         while (!listener.isClosed()) {
@@ -80,7 +79,7 @@
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
                 if (!listener.isClosed()) {
                     Sockets.closeQuietly(socket);
-                    LOG.log(Level.SEVERE, "management call could not be accepted: {0}", e.toString());
+                    LOG.log(Level.SEVERE, "management connection could not be accepted: {0}", e.toString());
                     pause();
                 }
             } catch (InterruptedException e) {
@@ -100,7 +99,7 @@
         }
     }
 
-    /** The oldest that is owed no answer makes room; where all are, their answers are due at once. */
+    /** Closes the oldest connection that is not being answered. If all are, waits: their answers take little time. */
     private synchronized void awaitConnectionSlot() throws InterruptedException {
         while (connections.size() >= MAX_CONNECTIONS) {
             Iterator<Connection> oldestFirst = connections.iterator();
@@ -129,7 +128,7 @@
         }
     }
 
-    /** Ends this side: the listener and all callers. */
+    /** Closes the listener and all connections. */
     public void close() {
         Sockets.closeQuietly(listener);
         List<Connection> open;
@@ -139,7 +138,7 @@
         open.forEach(Connection::close);
     }
 
-    /** An answer: its status with the reason, further header lines, and the body. */
+    /** A response: the status code with its reason, additional header lines, and the body. */
     private record Response(String status, String headers, String body) {
         static Response plainText(String status, String body) {
             return new Response(status, "Content-Type: text/plain\r\n", body + "\n");
@@ -186,10 +185,10 @@
         }
     }
 
-    /** One connection, its one call and the thread that serves it. */
+    /** One connection and the thread that serves its single request. */
     private final class Connection implements Runnable {
         private final Socket socket;
-        /** From the call on that came whole until its answer is written. */
+        /** True from the receipt of a complete request until its response is written. */
         private volatile boolean isAnswering;
 
         Connection(Socket socket) {
@@ -208,13 +207,13 @@
                 socket.getOutputStream().write(handleCall());
                 isAnswering = false;
                 socket.shutdownOutput();
-                // Closing over unread bytes would reset the connection, and take the answer from the caller.
+                // Closing with unread bytes would reset the connection, and the client could lose the response.
                 byte[] discarded = new byte[256];
                 for (int i = 0; i < 64 && socket.getInputStream().read(discarded) >= 0; i++) { }
             } catch (IOException e) {
-                LOG.log(Level.FINE, "management call ended: {0}", e.toString());
+                LOG.log(Level.FINE, "management connection failed: {0}", e.toString());
             } catch (RuntimeException e) {
-                LOG.log(Level.SEVERE, "management call failed", e);
+                LOG.log(Level.SEVERE, "management request failed", e);
             } finally {
                 deadlines.cancel(timeout);
                 close();
--- a/sidecar/src/main/java/dapplequay/management/MetricsText.java
+++ b/sidecar/src/main/java/dapplequay/management/MetricsText.java
@@ -3,7 +3,7 @@
 import dapplequay.management.RequestCounts.End;
 import java.util.Map;
 
-/** The figures as text, in the exposition format that common collectors read. */
+/** Renders metrics in the Prometheus text exposition format. */
 public final class MetricsText {
     static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
     private static final String PREFIX = "svc_";
@@ -17,11 +17,11 @@
         return out.toString();
     }
 
-    /** What is known beside the counts, as it stands now. */
+    /** Values of the process that {@link RequestCounts} does not hold. */
     public record ProcessValues(int registryEntries, int outOfRotation, long cfgAccepted, long cfgInvalid,
             long faults) { }
 
-    /** All figures at one reading. */
+    /** Returns all metrics but those of {@link DiscoveryMetrics}. */
     public static String render(RequestCounts.Reading counts, ProcessValues values) {
         MetricsText output = new MetricsText();
         output.countersByClass("fulfilled_total", "Requests served.", counts, End.FULFILLED);
@@ -47,14 +47,17 @@
         out.append(PREFIX).append(name).append(' ').append(value).append('\n');
     }
 
-    /** A counter for each value of the label, in the order of the map. */
+    /** Writes a counter for each value of the label, in the order of the map. */
     void labelledCounter(String name, String help, String label, Map<String, Long> counts) {
         header(name, "counter", help);
         counts.forEach((value, count) -> out.append(PREFIX).append(name).append('{').append(label).append("=\"")
                 .append(escaped(value)).append("\"} ").append(count).append('\n'));
     }
 
-    /** Counts by buckets, the last of them without a bound; bounds and sum in microseconds, shown in seconds. */
+    /**
+     * Writes a histogram. {@code counts} has an entry for each bound and a last one for the bucket without a bound.
+     * Bounds and sum are given in microseconds and written in seconds.
+     */
     void histogram(String name, String help, long[] boundsUs, long[] counts, long sumUs) {
         header(name, "histogram", help);
         long cumulative = 0;
@@ -76,7 +79,7 @@
         }
     }
 
-    /** A label's value: backslash, quote and line feed can't stand for themselves. */
+    /** Escapes a label's value: backslash, quote and line feed have to be escaped. */
     private static String escaped(String value) {
         return value.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
--- a/sidecar/src/main/java/dapplequay/management/RequestCounts.java
+++ b/sidecar/src/main/java/dapplequay/management/RequestCounts.java
@@ -6,14 +6,14 @@
 import java.util.TreeMap;
 
 /**
- * What has become of the requests since the process started, by class. Each request is counted once where it is taken
- * and once where it ends, all under one lock: at every reading, those taken are those ended and those open.
+ * Counts of requests since the process started, by service class. Each request is counted when it is accepted and when
+ * it ends, under one lock, so that in every reading the accepted requests equal the ended and the open ones.
  */
 public final class RequestCounts {
-    /** How a request ended. One whose client left counts as failed. */
+    /** How a request ended. One whose client disconnected counts as FAULTED. */
     public enum End { FULFILLED, THROTTLED, FAULTED }
 
-    /** A reading. {@code ended}: by the name of a class, in the order of {@link End}. */
+    /** Consistent copy of all counts. {@code ended} maps each class's name to its counts, indexed by {@link End}. */
     public record Reading(Map<String, long[]> ended, long accepted, long open, long relayed) { }
 
     private final Map<String, long[]> ended = new LinkedHashMap<>();
@@ -21,7 +21,7 @@
     private long open;
     private long relayed;
 
-    /** These classes are shown from now on, also before anybody has asked for them; none is ever taken out. */
+    /** Adds classes to all later readings, with counts of 0 until they have requests. Classes are never removed. */
     public synchronized void addClasses(Collection<String> classes) {
         classes.forEach(this::countsOf);
     }
@@ -30,17 +30,19 @@
         return ended.computeIfAbsent(serviceClass, name -> new long[End.values().length]);
     }
 
+    /** Counts a request that was accepted. */
     public synchronized void accepted() {
         accepted++;
         open++;
     }
 
+    /** Counts the end of a request. */
     public synchronized void ended(String serviceClass, End end) {
         countsOf(serviceClass)[end.ordinal()]++;
         open--;
     }
 
-    /** An attempt was written whole to an upstream. */
+    /** Counts an attempt that was written completely to an upstream. */
     public synchronized void relayed() {
         relayed++;
     }
