--- a/sidecar/src/main/java/dapplequay/benchlink/Event.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/Event.java
@@ -5,8 +5,8 @@
 import dapplequay.settings.SettingsReader;
 
 /**
- * One message as it was read, before its instance's settings give its names a meaning. Mutable and short-
- * lived: the wire lets fields come in any order. A field that did not come stays null.
+ * One message as it was read, with names that are not resolved against its instance's settings yet. Mutable, as fields
+ * may arrive in any order. A field that is absent is null.
  */
 final class Event {
     String kind;
@@ -31,6 +31,6 @@
     List<Entry> entries;
     Map<String, Double> loadReport;
 
-    /** One line of a sheet, with names in place of the indexes that the settings give them. */
+    /** One server of a sheet (the simulator's fleet list), with its zone as a name. */
     record Entry(String host, String zone, long cell, String state, double weight, long startedUs) { }
 }
--- a/sidecar/src/main/java/dapplequay/benchlink/InstanceDispatcher.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/InstanceDispatcher.java
@@ -17,7 +17,7 @@
 import dapplequay.membership.Asking;
 import dapplequay.settings.SettingsReader;
 
-/** The table of instances: hands each event to its module and writes down what the module does. */
+/** Holds the balancer instances, passes each event to its instance and writes the resulting actions. */
 final class InstanceDispatcher {
     private static final int MAX_SHEETS = 16;
     private static final long HINT_VALID_BIT = 1;
@@ -30,7 +30,7 @@
 
     private record Instance(BalancerApi module, Asking asking, SettingsReader.Setup setup, WireActions actions) { }
 
-    /** A sheet as read, and as translated for the zones of the instances that used it last. */
+    /** A fleet list as read, and as translated for the zones of the instances that used it last. */
     private static final class Sheet {
         final List<Event.Entry> rawEntries;
         List<String> zones;
@@ -77,7 +77,7 @@
             case "CALL", "UNDER_WAY", "DONE", "VANISHED", "TIMEOUT_FIRED", "PROBE_RESULT", "NOTE_FROM" -> {
                 Instance instance = requireInstance(event);
                 runGuarded(event.instanceName, toModuleCall(nowUs, event, instance));
-                // The simulator holds no attempt back: each starts at the moment of its decision.
+                // The simulator does not delay attempts: each starts at the time of its decision.
                 instance.actions().takeIssuedRequests().forEach(requestId ->
                         runGuarded(event.instanceName, () -> instance.module().attemptStarted(nowUs, requestId)));
             }
@@ -85,7 +85,7 @@
         }
     }
 
-    /** A failure of the module is that instance's own: it is told as such, and not as trouble on the wire. */
+    /** Calls the module and reports an exception of it as an EXCEPTION action of the instance, not as bad input. */
     private void runGuarded(String name, Runnable call) {
         try {
             call.run();
@@ -232,7 +232,7 @@
                 return () -> module.probed(nowUs, host, outcome, tookUs, report);
             }
             default -> {
-                // A peer's note: this design shares nothing between balancers, so there is nobody to tell.
+                // NOTE_FROM: balancers share nothing, so a peer's message is ignored.
                 return () -> { };
             }
         }
--- a/sidecar/src/main/java/dapplequay/benchlink/SimHost.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/SimHost.java
@@ -8,13 +8,13 @@
 import java.io.PrintStream;
 import dapplequay.settings.SettingsException;
 
-/** The simulator's side of the program: events on the input, actions on the output, nothing else there. */
+/** The simulator's adapter: reads events from standard input and writes only actions to standard output. */
 public final class SimHost {
     static final int EXIT_BAD_INPUT = 3;
 
     private SimHost() { }
 
-    /** On the process's own streams, until the input ends; the exit status. */
+    /** Processes standard input until it ends; returns the exit status. */
     public static int run() {
         return run(System.in, new FileOutputStream(FileDescriptor.out), System.err);
     }
@@ -32,7 +32,7 @@
         } catch (WireFormatException | SettingsException e) {
             err.println("simhost: " + e.getMessage());
         } catch (IOException e) {
-            // Jackson's messages span lines and carry the source; the first line says what is wrong.
+            // Jackson's messages have several lines and quote the source; the first line names the error.
             String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
             String position = reader == null ? "" : reader.position() + ": ";
             err.println("simhost: " + position + "unreadable: " + reason);
--- a/sidecar/src/main/java/dapplequay/benchlink/WireActions.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/WireActions.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import dapplequay.BalancerApi;
 
-/** Writes one instance's actions as the wire's. */
+/** Writes the actions of one instance in the simulator's JSON format. */
 final class WireActions implements BalancerApi.Actions {
     private final WireWriter out;
     private final String instance;
@@ -16,7 +16,7 @@
         this.instance = instance;
     }
 
-    /** {@code beginBy} says nothing here: the simulator issues the attempt at the moment of the decision. */
+    /** Ignores {@code beginBy}: the simulator issues the attempt at the time of the decision. */
     @Override
     public void send(long requestId, String host, long timeoutUs, long beginBy) {
         issuedRequests.add(requestId);
@@ -24,7 +24,7 @@
                 .field("host", host).endAction();
     }
 
-    /** The requests of which an attempt was sent since this was last asked. */
+    /** Returns the requests with attempts sent since the last call. */
     List<Long> takeIssuedRequests() {
         List<Long> result = List.copyOf(issuedRequests);
         issuedRequests.clear();
--- a/sidecar/src/main/java/dapplequay/benchlink/WireFormatException.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/WireFormatException.java
@@ -1,6 +1,6 @@
 package dapplequay.benchlink;
 
-/** Input that does not follow the wire; its message is the one plain line the operator gets to read. */
+/** Thrown for input that violates the simulator's format; the message is the single line that the operator reads. */
 final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/sidecar/src/main/java/dapplequay/benchlink/WireReader.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/WireReader.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import dapplequay.settings.SettingsReader;
 
-/** Reads batches. It knows the wire's field names and types, and nothing of what they mean. */
+/** Parses batches: checks the names and types of fields, not their meaning. */
 final class WireReader {
     private final JsonParser parser;
     private long lastTurn = -1;
@@ -20,12 +20,12 @@
         parser = new JsonFactory().createParser(stream);
     }
 
-    /** Where reading stands, for messages. */
+    /** Returns the position in the input, for error messages. */
     String position() {
         return lastTurn < 0 ? "first batch" : "batch after turn " + lastTurn;
     }
 
-    /** The next batch, or null at the end of input. */
+    /** Returns the next batch, or null at the end of the input. */
     Batch nextBatch() throws IOException {
         JsonToken token = parser.nextToken();
         if (token == null) {
@@ -162,7 +162,7 @@
         return parser.getLongValue();
     }
 
-    /** A seed may use all 64 bits, with or without a sign. */
+    /** Reads a seed of 64 bits, signed or unsigned. */
     private long readSeed() throws IOException {
         expect(JsonToken.VALUE_NUMBER_INT, "seed");
         return parser.getNumberValue() instanceof java.math.BigInteger large ? large.longValue()
--- a/sidecar/src/main/java/dapplequay/benchlink/WireWriter.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/WireWriter.java
@@ -7,7 +7,7 @@
 import java.io.OutputStream;
 import java.io.UncheckedIOException;
 
-/** Writes replies: one line a batch, flushed at its end. */
+/** Writes replies in JSON: one line for each batch, flushed at its end. */
 final class WireWriter {
     private final OutputStream stream;
     private final JsonGenerator json;
@@ -33,7 +33,7 @@
         stream.flush();
     }
 
-    /** Starts an action; the caller adds its fields and ends it. */
+    /** Begins an action; the caller adds its fields and calls {@link #endAction}. */
     WireWriter beginAction(String kind, String instance) {
         return unchecked(() -> {
             json.writeStartObject();
--- a/sidecar/src/main/java/dapplequay/cli/Config.java
+++ b/sidecar/src/main/java/dapplequay/cli/Config.java
@@ -14,26 +14,26 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads a sidecar's configuration: the file, with the addresses of the environment before its own. */
+/** Reads a sidecar's configuration file. Addresses in the environment take precedence over those in the file. */
 final class Config {
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int DEFAULT_MEMORY_MB = 192;
 
     private Config() { }
 
-    /** SettingsException, with one plain line, where the configuration is no good. */
+    /** Reads the file; SettingsException, with a message of one line, if the configuration is invalid. */
     static Sidecar.Plan read(Path file, Map<String, String> environment) {
         return read(file.toString(), fields(file), environment);
     }
 
-    /** The same of a file that has been read. */
+    /** Reads the configuration from a parsed file; {@code source} names the file in error messages. */
     static Sidecar.Plan read(String source, Map<?, ?> fields, Map<String, String> environment) {
         return plan(source, fields, environment, environment.get("EDGE_DISCOVERY"));
     }
 
     /**
-     * The same for a file that replaces the one read before: where discovery is, it says alone, as the environment
-     * stays as it was. What {@code before} has, it has to have too, but for a list that was kept.
+     * Reads a file that replaces {@code previous}. Discovery's address is taken from the file alone, as the environment
+     * can't change while the process runs. All keys of {@code previous} but {@code known} are required.
      */
     static Sidecar.Plan reread(String source, Map<?, ?> fields, Map<?, ?> previous, Map<String, String> environment) {
         Map<Object, Object> required = new LinkedHashMap<>(previous);
@@ -59,7 +59,7 @@
                 inheritsListener(environment.get("EDGE_SOCKET_FD")));
     }
 
-    /** Whether the clients' socket is descriptor 0: the one that a Java process can take over. */
+    /** True if the listening socket is inherited as descriptor 0, the only one that a Java process can take over. */
     private static boolean inheritsListener(String descriptor) {
         if (descriptor == null || descriptor.isEmpty()) {
             return false;
@@ -70,7 +70,7 @@
         return true;
     }
 
-    /** The file as a tree; SettingsException where it is none. */
+    /** Parses the file; SettingsException if it is not a JSON object. */
     static Map<?, ?> fields(Path file) {
         Object tree;
         try {
@@ -96,7 +96,7 @@
                         Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IOException | IllegalArgumentException e) {
-            // Told below, as for any other text that is no address.
+            // Reported below, as for any other text that is not an address.
         }
         throw new SettingsException(source + ": " + name + " is not an address with a port: " + value);
     }
--- a/sidecar/src/main/java/dapplequay/cli/HangupSignal.java
+++ b/sidecar/src/main/java/dapplequay/cli/HangupSignal.java
@@ -4,28 +4,28 @@
 import sun.misc.SignalHandler;
 
 /**
- * SIGHUP, taken over before anything else is done: until then it ends the process, as the JVM has it. One that comes
- * before there is a sidecar to retune is kept for it, as the file may have been read already.
+ * Handles SIGHUP. It is installed first of all, as the JVM ends the process at SIGHUP by default. A signal that arrives
+ * before the action is set is remembered until then, as the configuration may have been read already.
  */
 final class HangupSignal {
     private Runnable action;
     private boolean isPending;
     private boolean isIgnored;
 
-    /** From here on the signal ends nothing. */
+    /** Installs the handler; from here on the signal does not end the process. */
     static HangupSignal install() {
         HangupSignal hangup = new HangupSignal();
-        // Who started this process may have had it ignored, and the JVM leaves that as it is, without a word.
+        // The parent process may have set the signal to be ignored; the JVM leaves it so and does not report it.
         hangup.isIgnored = Signal.handle(new Signal("HUP"), signal -> hangup.received()) == SignalHandler.SIG_IGN;
         return hangup;
     }
 
-    /** Whether it will never come. */
+    /** True if the signal is ignored and never arrives. */
     boolean isIgnored() {
         return isIgnored;
     }
 
-    /** What it sets off from here on; at once if it has come before. */
+    /** Sets the action for each signal; runs it at once if a signal has arrived already. */
     void setAction(Runnable newAction) {
         synchronized (this) {
             action = newAction;
--- a/sidecar/src/main/java/dapplequay/cli/LogWriter.java
+++ b/sidecar/src/main/java/dapplequay/cli/LogWriter.java
@@ -10,12 +10,11 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes log lines by a thread of its own. Whoever reads the log may be stuck, and then each write waits: the threads
- * that serve, keep time or end the process must not wait with it. Lines beyond a bound are dropped, and their number
- * is told once lines are taken again.
+ * Writes log lines on a separate thread. The reader of the log may block, and writes with it: threads that serve, keep
+ * time or shut down must not block with them. Lines beyond a bound are dropped, and their number is logged once
+ * writing proceeds.
  */
 final class LogWriter extends Handler {
-    /** So much is handed to the system at once, characters. */
     private static final int WRITE_BATCH_CHARS = 8 * 1024;
 
     private final OutputStream out;
@@ -25,7 +24,7 @@
     private long droppedLines;
     private boolean isWriting;
 
-    /** {@code most}: characters held for a reader that is late; a single line may be longer. */
+    /** {@code maxQueuedChars} bounds the characters waiting to be written; a single line may be longer. */
     LogWriter(OutputStream out, int maxQueuedChars, Formatter formatter) {
         this.out = out;
         this.maxQueuedChars = maxQueuedChars;
@@ -62,7 +61,7 @@
         }
     }
 
-    /** Waits until all lines are with the system, but no longer than this; false where some are not. */
+    /** Waits until all lines are written, at most {@code maxWaitMs}; returns false if some are not. */
     synchronized boolean awaitWritten(long maxWaitMs) throws InterruptedException {
         long deadlineNs = System.nanoTime() + maxWaitMs * 1_000_000;
         while (isWriting || !queue.isEmpty()) {
@@ -82,7 +81,7 @@
                     out.write(awaitBatch().getBytes(StandardCharsets.UTF_8));
                     out.flush();
                 } catch (IOException | RuntimeException | OutOfMemoryError e) {
-                    // There is nowhere to tell it: these lines are lost, the next ones are tried.
+                    // There is nowhere to report it: these lines are lost, and writing goes on with the next.
                 }
             }
         } catch (InterruptedException e) {
@@ -112,11 +111,11 @@
 
     @Override
     public void flush() {
-        // Lines are written as they come; awaitWritten waits for that.
+        // Lines are written as soon as possible; awaitWritten waits for that.
     }
 
     @Override
     public void close() {
-        // The lines of an ending come last, from a hook: this is closed with the process.
+        // The shutdown hook logs until the process exits: this handler stays open until then.
     }
 }
--- a/sidecar/src/main/java/dapplequay/cli/Logging.java
+++ b/sidecar/src/main/java/dapplequay/cli/Logging.java
@@ -9,9 +9,9 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** One line a record, on standard error. */
+/** Sets up logging to standard error, with one line for each record. */
 public final class Logging {
-    /** Held for a reader of the log that is late. */
+    /** Bound of the characters that wait for a slow reader of the log. */
     private static final int MAX_QUEUED_CHARS = 1_000_000;
 
     private Logging() { }
@@ -32,15 +32,15 @@
         configuredLogger = logger;
     }
 
-    /** Log lines of an ending in order would be lost, as the usual manager closes its handlers first. */
+    /** Keeps handlers open at shutdown: the default manager closes them first and so loses the shutdown's log lines. */
     public static final class KeepHandlersLogManager extends LogManager {
         @Override
         public void reset() {
-            // The handlers stay until the process has ended.
+            // Handlers stay open until the process exits.
         }
     }
 
-    /** Waits, this long at the most, until what was logged is written: an exit would take it along. */
+    /** Waits at most {@code maxWaitMs} until all logged lines are written, as an exit loses the others. */
     static void awaitWritten(long maxWaitMs) {
         try {
             if (writer != null) {
@@ -53,7 +53,7 @@
 
     private static volatile LogWriter writer;
 
-    /** Loggers are held weakly: without this the level would be lost with the logger. */
+    /** Keeps a strong reference: the log manager holds loggers weakly, and the level would be lost with this one. */
     private static Logger configuredLogger;
 
     private static final class LineFormatter extends Formatter {
--- a/sidecar/src/main/java/dapplequay/cli/Main.java
+++ b/sidecar/src/main/java/dapplequay/cli/Main.java
@@ -17,14 +17,14 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The command line of the jar. */
+/** The command-line entry point. */
 public final class Main {
     static final int EXIT_BAD_USAGE = 2;
     static final int EXIT_BAD_CONFIG = 3;
-    /** For the last lines of the log, which whoever reads it may take slowly. */
+    /** Time limit for writing the last log lines, as the reader of the log may be slow. */
     private static final long LOG_WRITE_TIMEOUT_MS = 50;
 
-    /** Of the process, as the signal is; null where no sidecar is to be started. */
+    /** The process's SIGHUP handler; null unless the command is serve. */
     private static HangupSignal hangup;
 
     @Argument(required = true, metaVar = "COMMAND", handler = SubCommandHandler.class)
@@ -34,7 +34,7 @@
             @SubCommand(name = "version", impl = Version.class)})
     private Command command;
 
-    /** One sub-command; what it returns is the exit status. */
+    /** A sub-command; {@code run} returns the exit status. */
     interface Command {
         int run(Map<String, String> environment) throws IOException;
     }
@@ -66,11 +66,11 @@
         }
     }
 
-    /** What the commands that read a configuration share. */
+    /** Base of the commands that read a configuration. */
     abstract static class ConfiguredCommand implements Command {
-        @Option(name = "--operators", metaVar = "FILE", usage = "the operators' own file; else they have none")
+        @Option(name = "--operators", metaVar = "FILE", usage = "the operators' settings file; optional")
         private String operators;
-        @Option(name = "--config", metaVar = "FILE", usage = "the configuration; else EDGE_CONFIG names it")
+        @Option(name = "--config", metaVar = "FILE", usage = "the configuration file; default: EDGE_CONFIG")
         private String config;
 
         Path file(Map<String, String> environment) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Runs the sidecar until it is told to end. */
+    /** Runs the sidecar until the process is told to end. */
     public static final class Serve extends ConfiguredCommand {
         @Option(name = "--log", metaVar = "LEVEL", usage = "SEVERE, WARNING, INFO or FINE")
         private String level = "INFO";
@@ -100,7 +100,8 @@
             Logging.start(Level.parse(level));
             Thread.setDefaultUncaughtExceptionHandler((thread, e) -> {
                 Logger.getLogger(Main.class.getName()).log(Level.SEVERE, "thread " + thread.getName() + " ended", e);
-                Logging.awaitWritten(LOG_WRITE_TIMEOUT_MS);       // it may have been the last thread of the process
+                // This may be the last thread, and the process exits with it.
+                Logging.awaitWritten(LOG_WRITE_TIMEOUT_MS);
             });
             Path file = file(environment);
             WatchedFile watchedFile = new WatchedFile(file);
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Hosts instances of the decision module for the simulator, on standard input and output. */
+    /** Runs instances of the decision module for the simulator, over standard input and output. */
     public static final class Simulate implements Command {
         @Override
         public int run(Map<String, String> environment) {
@@ -150,7 +151,7 @@
         }
     }
 
-    /** Reads a configuration as serve would, and says whether it is good. */
+    /** Checks a configuration in the way that serve does. */
     public static final class CheckConfig extends ConfiguredCommand {
         @Override
         public int run(Map<String, String> environment) throws IOException {
--- a/sidecar/src/main/java/dapplequay/cli/MissedHangup.java
+++ b/sidecar/src/main/java/dapplequay/cli/MissedHangup.java
@@ -4,16 +4,16 @@
 import java.util.logging.Logger;
 
 /**
- * Makes up for a SIGHUP that was never heard: the JVM starts a thread for each signal, and where the system gives it
- * none, the signal is lost. What shows it is a configuration that has changed, about when threads were short, and that
- * no signal had read. Not thread-safe but for {@link #heard}.
+ * Reloads the configuration when a SIGHUP may have been lost: the JVM starts a thread for each signal, and if the
+ * system refuses the thread, the signal is lost. The sign is a configuration file that changed close to a shortage of
+ * threads, without a signal. Not thread-safe, except for {@link #signalReceived}.
  */
 final class MissedHangup {
     private static final Logger LOG = Logger.getLogger(MissedHangup.class.getName());
     static final long POLL_INTERVAL_MS = 250;
-    /** So long a signal may take after the change that it tells of, ms. */
+    /** How long after the change of the file its signal may arrive. */
     static final long SIGNAL_GRACE_MS = 1_000;
-    /** A shortage so long before a change is seen, or after it, may have cost its signal, ms. */
+    /** A shortage within this time before or after a change is seen may have lost its signal. */
     static final long SHORTAGE_WINDOW_MS = 10_000;
 
     private final WatchedFile file;
@@ -25,7 +25,7 @@
     private long changedAtMs;
     private boolean isPending;
 
-    /** {@code sinceShortageMs}: how long ago threads were short, Long.MAX_VALUE: never. */
+    /** {@code sinceShortageMs} returns the time since threads were last short; Long.MAX_VALUE if they never were. */
     MissedHangup(WatchedFile file, LongSupplier nowMs, LongSupplier sinceShortageMs, Runnable reload) {
         this.file = file;
         this.nowMs = nowMs;
@@ -33,13 +33,13 @@
         this.reload = reload;
     }
 
-    /** The signal has come: the file as it is now is about to be read. */
+    /** To be called at each signal, before the configuration is read. */
     synchronized void signalReceived() {
         file.markLoaded();
         signalCount++;
     }
 
-    /** Looks until the thread is interrupted. */
+    /** Polls until the thread is interrupted. */
     void watch() {
         try {
             while (true) {
@@ -51,6 +51,7 @@
         }
     }
 
+    /** Checks the file once and reloads it if its signal seems lost. */
     void poll() {
         long currentMs = nowMs.getAsLong();
         if (file.hasChanged()) {
--- a/sidecar/src/main/java/dapplequay/cli/Operators.java
+++ b/sidecar/src/main/java/dapplequay/cli/Operators.java
@@ -14,17 +14,17 @@
 import java.util.Set;
 
 /**
- * The operators' own file, TOML: what they choose beside the platform's configuration. docs/CONFIGURATION.md has each
- * key.
+ * The operators' settings file in TOML, which adds to the platform's configuration. docs/CONFIGURATION.md lists its
+ * keys.
  *
- * @param stateFolder where the list is kept from one life to the next; null: nowhere
+ * @param stateFolder folder in which the list is kept across restarts; null if it is not kept
  */
 record Operators(Path stateFolder) {
     static final Operators NONE = new Operators(null);
     private static final Set<String> SECTIONS = Set.of("state");
     private static final Set<String> STATE_KEYS = Set.of("folder");
 
-    /** SettingsException, with a line for each fault, where the file is no good. */
+    /** Reads the file; SettingsException, with a line for each error, if it is invalid. */
     static Operators read(Path file) {
         List<String> lines;
         JsonNode tree;
@@ -66,7 +66,7 @@
         }
     }
 
-    /** File and line of the key: the parser tells no places of what it has understood. */
+    /** Returns file and line of a key: the parser gives no positions for what it has parsed. */
     private static String location(Path file, List<String> lines, String key) {
         for (int i = 0; i < lines.size(); i++) {
             if (lines.get(i).strip().matches("\\[?\\s*\"?" + java.util.regex.Pattern.quote(key) + "\"?\\s*[].=].*")) {
--- a/sidecar/src/main/java/dapplequay/cli/OrderlyExit.java
+++ b/sidecar/src/main/java/dapplequay/cli/OrderlyExit.java
@@ -6,16 +6,15 @@
 import java.util.logging.Logger;
 
 /**
- * What SIGTERM sets off, as the last of the process's threads that matters: once this returns the process is gone.
- * The steps are carried out by a thread of their own, so that one that stands still (a disk, a client that takes
- * nothing) does not keep the process past its time; one that fails is begun again while there is time, as those who
- * are still served would be cut off by an exit.
+ * The shutdown sequence, run as a shutdown hook at SIGTERM: the process exits once it returns. The steps run on a
+ * separate thread, so that a step that blocks (on a disk, or a client that does not read) can't delay the exit past the
+ * time limit. A step that fails is retried within that limit, as an exit would cut off the clients still being served.
  */
 final class OrderlyExit implements Runnable {
     private static final Logger LOG = Logger.getLogger(OrderlyExit.class.getName());
     private static final long RETRY_PAUSE_MS = 20;
 
-    /** A part of the ending; begun again, it goes on where it was. */
+    /** A step of the shutdown. Run again after a failure, it continues where it stopped. */
     interface Step {
         void run() throws InterruptedException;
     }
@@ -23,7 +22,7 @@
     private final LongSupplier timeLimitMs;
     private final List<Step> steps;
 
-    /** {@code mostMs}: how long it may all take, asked for when it begins. */
+    /** {@code timeLimitMs} returns the time limit for all steps; it is called when the shutdown begins. */
     OrderlyExit(LongSupplier timeLimitMs, List<Step> steps) {
         this.timeLimitMs = timeLimitMs;
         this.steps = steps;
@@ -38,7 +37,7 @@
             try {
                 worker.start();
             } catch (OutOfMemoryError e) {
-                runSteps(deadlineNs);             // no thread to be had: better without the bound than not at all
+                runSteps(deadlineNs);             // no thread available: better without the limit than not at all
                 return;
             }
             worker.join(Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000));
@@ -80,7 +79,7 @@
                 LOG.log(Level.SEVERE, "a step of the ending failed", failure);
             }
         } catch (RuntimeException | Error e) {
-            // Nothing can be told where memory is short; the step is begun again all the same.
+            // Logging can fail when memory is short; the step is retried all the same.
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/cli/PersistedState.java
+++ b/sidecar/src/main/java/dapplequay/cli/PersistedState.java
@@ -13,7 +13,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** A sidecar that begins with what the life before was told, where the operators name a folder for it. */
+/** Creates a sidecar from the list that an earlier process saved, if the operators configure a state folder. */
 final class PersistedState {
     private static final Logger LOG = Logger.getLogger(PersistedState.class.getName());
 
@@ -25,12 +25,12 @@
         this.folderPath = folderPath;
     }
 
-    /** {@code path} may be null: nothing is kept. */
+    /** {@code folderPath} may be null: then no state is kept. */
     static PersistedState in(Path folderPath) {
         return new PersistedState(folderPath);
     }
 
-    /** The sidecar, not started yet; IOException where the platform's list is no good. */
+    /** Creates the sidecar without starting it; IOException if the platform's list is invalid. */
     Sidecar createSidecar(Sidecar.Plan plan) throws IOException {
         if (folderPath == null) {
             return new Sidecar(plan);
@@ -52,7 +52,7 @@
         try {
             return new Sidecar(plan.beginningWith(list), memory);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "the kept list is no good here and not used: {0}", e.toString());
+            LOG.log(Level.WARNING, "the kept list could not be applied and is not used: {0}", e.toString());
             return new Sidecar(plan, new Sidecar.Memory(false, folder::scheduleWrite));
         }
     }
@@ -74,7 +74,7 @@
         return list instanceof Map<?, ?> map && map.get("rev") instanceof Number number ? number.longValue() : null;
     }
 
-    /** Writes what is not written yet. */
+    /** Writes a pending list and releases the folder. */
     void close() throws InterruptedException {
         if (folder != null) {
             folder.close();
--- a/sidecar/src/main/java/dapplequay/cli/Reload.java
+++ b/sidecar/src/main/java/dapplequay/cli/Reload.java
@@ -8,8 +8,8 @@
 import java.util.logging.Logger;
 
 /**
- * Reads the configuration again at SIGHUP and has the sidecar go over to it, all or nothing. One reading after the
- * other, each of the file as it is by then: of many signals at once, the last reading finds the last file.
+ * Reloads the configuration at SIGHUP and applies it to the sidecar, all or nothing. Reloads run one after the other,
+ * and each reads the file at that time, so that after several signals the last reload applies the latest file.
  */
 final class Reload {
     private static final Logger LOG = Logger.getLogger(Reload.class.getName());
@@ -19,7 +19,7 @@
     private final Sidecar sidecar;
     private Map<?, ?> current;
 
-    /** {@code taken}: the file as the sidecar was started with. */
+    /** {@code current} is the parsed file with which the sidecar was started. */
     Reload(Path file, Map<String, String> environment, Sidecar sidecar, Map<?, ?> current) {
         this.file = file;
         this.environment = environment;
@@ -36,7 +36,7 @@
             LOG.info("configuration read again" + (restartOnly.isEmpty() ? "" : "; these take a restart: "
                     + String.join(", ", restartOnly)));
         } catch (RuntimeException | OutOfMemoryError | StackOverflowError e) {
-            // Also a file too large or too deep to be read: the thread that watches the file must live on.
+            // Errors come of a file too large or too deeply nested: the thread that watches the file must survive them.
             sidecar.configurationRead(false);
             LOG.log(Level.WARNING, "configuration kept as it was: {0}",
                     String.valueOf(e.getMessage()).contains(file.toString()) ? e.getMessage()
--- a/sidecar/src/main/java/dapplequay/cli/WatchedFile.java
+++ b/sidecar/src/main/java/dapplequay/cli/WatchedFile.java
@@ -7,27 +7,27 @@
 import java.util.Objects;
 
 /**
- * Has a file read again when it has changed: what stands in for SIGHUP in a process that was started with that signal
- * ignored (by nohup, or a shell that ignores it), as neither the JVM nor a shell can take such a signal back. A file is
- * read once it has looked the same twice in a row, so that one being written is not met half-way.
+ * Detects changes of a file by polling. This replaces SIGHUP in a process that was started with that signal ignored (by
+ * nohup, or a shell that ignores it), as neither the JVM nor a shell can undo that. A change counts once two polls in a
+ * row see the same state, so that a file is not read while it is being written.
  */
 final class WatchedFile {
     private static final long POLL_INTERVAL_MS = 100;
 
-    /** What a file looks like from outside; the key tells one that was put in its place. */
+    /** Attributes that show a change; the file key differs if another file was moved into its place. */
     private record FileState(long modifiedNs, long size, Object key) { }
 
     private final Path file;
     private FileState loaded;
     private FileState previous;
 
-    /** What differs from the file that there is now has changed. */
+    /** Takes the current state of the file as loaded. */
     WatchedFile(Path file) {
         this.file = file;
         loaded = previous = readState();
     }
 
-    /** Calls {@code changed} after each change, until the thread is interrupted. */
+    /** Runs {@code changed} after each change, until the thread is interrupted. */
     void watch(Runnable changed) {
         try {
             while (true) {
@@ -41,12 +41,12 @@
         }
     }
 
-    /** The file as it is now counts as read. */
+    /** Takes the current state as loaded, so that it does not count as a change. */
     synchronized void markLoaded() {
         loaded = previous = readState();
     }
 
-    /** One look at the file: whether it is another, and whole as far as that shows. */
+    /** Polls the file; true if it has changed since it was loaded and is the same as at the last poll. */
     synchronized boolean hasChanged() {
         FileState now = readState();
         boolean changed = now != null && now.equals(previous) && !now.equals(loaded);
@@ -61,7 +61,7 @@
             return new FileState(attributes.lastModifiedTime().to(java.util.concurrent.TimeUnit.NANOSECONDS),
                     attributes.size(), Objects.requireNonNullElse(attributes.fileKey(), ""));
         } catch (IOException e) {
-            return null;                // it will be back
+            return null;                // missing or unreadable for now, as while it is being replaced
         }
     }
 }
