--- a/sidecar/src/test/java/dapplequay/benchlink/TranscriptTest.java
+++ b/sidecar/src/test/java/dapplequay/benchlink/TranscriptTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter on written transcripts, with the real module behind it. */
+/** Feeds transcripts of the simulator to the adapter with the real balancer. */
 class TranscriptTest {
     private static final String SETUP = """
             {"balancers":2,"position":%d,"locality":"west","zones":["east","west"],"discovery":"pushed",
@@ -207,7 +207,7 @@
         assertTrue(run.err().contains("region_part"), run.err());
     }
 
-    /** Instances in one process must act as they do spread over three. */
+    /** Instances must not influence each other: they act the same in one process as spread over three. */
     @Test
     void instancesActTheSameInOneProcessAsInThree() {
         List<String> inOneProcess = actions(0, 1);
--- a/sidecar/src/test/java/dapplequay/benchlink/WireActionsTest.java
+++ b/sidecar/src/test/java/dapplequay/benchlink/WireActionsTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Each action of the interface in the wire's words. */
+/** The JSON form of each action. */
 class WireActionsTest {
 
     @Test
--- a/sidecar/src/test/java/dapplequay/http/BodyPropertyTest.java
+++ b/sidecar/src/test/java/dapplequay/http/BodyPropertyTest.java
@@ -13,22 +13,22 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Whatever frames a body, however its bytes are cut and however slowly they come, it is the same body. */
+/** A body is read correctly with any framing, with any split of its bytes into reads, and across read time-outs. */
 class BodyPropertyTest {
-    private static final String NEXT = "GET /next HTTP/1.1\r\n\r\n";
+    private static final String NEXT_REQUEST = "GET /next HTTP/1.1\r\n\r\n";
 
-    /** Gives a few bytes a read, as a seed has it, and now and then nothing within a time-out. */
-    private static final class Cut extends InputStream {
+    /** Returns a random number of bytes for each read and, if asked to, times out at random. */
+    private static final class RandomReads extends InputStream {
         private final InputStream in;
         private final Random random;
-        private final int most;
-        private final boolean pauses;
+        private final int maxReadBytes;
+        private final boolean timesOut;
 
-        Cut(byte[] bytes, int seed, int most, boolean pauses) {
+        RandomReads(byte[] bytes, int seed, int maxReadBytes, boolean timesOut) {
             in = new ByteArrayInputStream(bytes);
             random = new Random(seed);
-            this.most = most;
-            this.pauses = pauses;
+            this.maxReadBytes = maxReadBytes;
+            this.timesOut = timesOut;
         }
 
         @Override
@@ -38,10 +38,10 @@
 
         @Override
         public int read(byte[] to, int at, int length) throws IOException {
-            if (pauses && random.nextInt(3) == 0) {
+            if (timesOut && random.nextInt(3) == 0) {
                 throw new SocketTimeoutException();
             }
-            return in.read(to, at, Math.min(length, 1 + random.nextInt(most)));
+            return in.read(to, at, Math.min(length, 1 + random.nextInt(maxReadBytes)));
         }
     }
 
@@ -70,47 +70,49 @@
             out.writeBytes((random.nextBoolean() ? "0\r\nT: v\r\n\r\n" : "000\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
         }
-        out.writeBytes(NEXT.getBytes(StandardCharsets.ISO_8859_1));
+        out.writeBytes(NEXT_REQUEST.getBytes(StandardCharsets.ISO_8859_1));
         return out.toByteArray();
     }
 
     @Property(tries = 400, seed = "5417")
-    void anyCutGivesTheSameBytesAndLeavesTheNextMessageAlone(@ForAll int seed, @ForAll boolean chunked,
-            @ForAll boolean pauses, @ForAll @IntRange(max = 150_000) int length,
-            @ForAll @IntRange(min = 1, max = 40_000) int most, @ForAll @IntRange(min = 1, max = 70_000) int room)
+    void anySplitYieldsTheSameBodyAndLeavesTheNextMessageUnread(@ForAll int seed, @ForAll boolean chunked,
+            @ForAll boolean timesOut, @ForAll @IntRange(max = 150_000) int length,
+            @ForAll @IntRange(min = 1, max = 40_000) int maxReadBytes,
+            @ForAll @IntRange(min = 1, max = 70_000) int bufferBytes)
             throws Exception {
         byte[] body = bytes(seed, length);
-        MessageReader reader = new MessageReader(new Cut(framed(body, chunked, seed), seed, most, pauses),
+        MessageReader reader = new MessageReader(
+                new RandomReads(framed(body, chunked, seed), seed, maxReadBytes, timesOut),
                 MessageReader.MAX_BODY_BYTES);
-        Head head = again(reader::readRequestHead);
+        Head head = retryTimeouts(reader::readRequestHead);
         assertThat(head.startLine[1]).isEqualTo("/a");
         Body read = reader.requestBody(head);
-        ByteArrayOutputStream got = new ByteArrayOutputStream();
-        byte[] piece = new byte[room + 2];
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        byte[] piece = new byte[bufferBytes + 2];
         while (true) {
-            int count = again(() -> read.read(piece, 1, room));
+            int count = retryTimeouts(() -> read.read(piece, 1, bufferBytes));
             if (count < 0) {
                 break;
             }
-            assertThat(count).isBetween(1, room);
-            got.write(piece, 1, count);
+            assertThat(count).isBetween(1, bufferBytes);
+            received.write(piece, 1, count);
         }
-        assertThat(got.toByteArray()).isEqualTo(body);
+        assertThat(received.toByteArray()).isEqualTo(body);
         assertThat(read.isComplete()).isTrue();
-        assertThat(again(reader::readRequestHead).startLine[1]).isEqualTo("/next");
+        assertThat(retryTimeouts(reader::readRequestHead).startLine[1]).isEqualTo("/next");
     }
 
     private interface Step<T> {
         T run() throws IOException;
     }
 
-    /** A read that timed out is made again, and goes on where it stood. */
-    private static <T> T again(Step<T> step) throws IOException {
+    /** Repeats a read that times out; it has to continue where it stopped. */
+    private static <T> T retryTimeouts(Step<T> step) throws IOException {
         while (true) {
             try {
                 return step.run();
             } catch (SocketTimeoutException e) {
-                // nothing came in time
+                // retried
             }
         }
     }
--- a/sidecar/src/test/java/dapplequay/http/HeadTest.java
+++ b/sidecar/src/test/java/dapplequay/http/HeadTest.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tables of cases for the parsers. In the texts, | stands for the end of a line. */
+/** Tables of cases for the parsers. In the messages, | stands for CRLF. */
 class HeadTest {
 
     private static byte[] bytes(String text) {
         return text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** A stream that gives one byte a read, so that every possible split of a message is met. */
-    private static MessageReader trickle(String text) {
+    /** Returns a reader whose stream yields one byte per read, so that a message is split at every position. */
+    private static MessageReader byteByByte(String text) {
         return new MessageReader(new ByteArrayInputStream(bytes(text)) {
             @Override
             public synchronized int read(byte[] to, int at, int length) {
@@ -32,8 +32,8 @@
         "POST /a/b?c=d HTTP/1.1|Host: h|Content-Length: 3||xyz; POST; /a/b?c=d",
         "GET / HTTP/1.0|A:b|A:b||; GET; /",
     })
-    void requestsAreRead(String text, String method, String target) throws Exception {
-        Head head = trickle(text).readRequestHead();
+    void requestHeadsAreParsed(String text, String method, String target) throws Exception {
+        Head head = byteByByte(text).readRequestHead();
         assertThat(head.startLine[0]).isEqualTo(method);
         assertThat(head.startLine[1]).isEqualTo(target);
     }
@@ -45,11 +45,11 @@
         "GET /a HTTP/1.1|A : b||; 400", "GET /a HTTP/1.1| folded: x||; 400", "GET /a HTTP/1.1|: x||; 400",
         "GET /a HTTP/1.1|A: b\u0001||; 400",
     })
-    void badRequestHeadsAreNamed(String text, int status) {
-        BadMessageException bad = catchThrowableOfType(BadMessageException.class,
-                () -> trickle(text).readRequestHead());
-        assertThat(bad).as(text).isNotNull();
-        assertThat(bad.status).isEqualTo(status);
+    void invalidRequestHeadsAreRejectedWithAStatus(String text, int status) {
+        BadMessageException exception = catchThrowableOfType(BadMessageException.class,
+                () -> byteByByte(text).readRequestHead());
+        assertThat(exception).as(text).isNotNull();
+        assertThat(exception.status).isEqualTo(status);
     }
 
     @ParameterizedTest
@@ -59,8 +59,8 @@
         "Transfer-Encoding: chunked||2|ab|1;x=y|c|0||~abc",
         "Transfer-Encoding: chunked||A|0123456789|0|Trailer: t||~0123456789",
     })
-    void requestBodiesEndWhereTheyShould(String text, String body) throws Exception {
-        MessageReader reader = trickle("POST / HTTP/1.1|" + text);
+    void requestBodiesEndWhereTheirFramingSays(String text, String body) throws Exception {
+        MessageReader reader = byteByByte("POST / HTTP/1.1|" + text);
         Head head = reader.readRequestHead();
         assertThat(new String(reader.readRequestBody(head), StandardCharsets.ISO_8859_1)).isEqualTo(body);
     }
@@ -73,12 +73,13 @@
         "Transfer-Encoding: chunked||zz|; 400", "Transfer-Encoding: chunked||10001|; 413",
         "Transfer-Encoding: chunked||1|abc|; 400",
     })
-    void badFramingIsRefused(String text, int status) throws Exception {
-        MessageReader reader = trickle("POST / HTTP/1.1|" + text);
+    void invalidFramingIsRejected(String text, int status) throws Exception {
+        MessageReader reader = byteByByte("POST / HTTP/1.1|" + text);
         Head head = reader.readRequestHead();
-        BadMessageException bad = catchThrowableOfType(BadMessageException.class, () -> reader.readRequestBody(head));
-        assertThat(bad).as(text).isNotNull();
-        assertThat(bad.status).isEqualTo(status);
+        BadMessageException exception = catchThrowableOfType(BadMessageException.class,
+                () -> reader.readRequestBody(head));
+        assertThat(exception).as(text).isNotNull();
+        assertThat(exception.status).isEqualTo(status);
     }
 
     @ParameterizedTest
@@ -88,8 +89,8 @@
         "HTTP/1.0 200 OK||to the end; 200; to the end", "HTTP/1.1 204 None||; 204; ''",
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||2|ab|0||; 200; ab",
     })
-    void responsesAreRead(String text, String status, String body) throws Exception {
-        MessageReader reader = trickle(text);
+    void responsesAreParsed(String text, String status, String body) throws Exception {
+        MessageReader reader = byteByByte(text);
         Head head = reader.readResponseHead();
         assertThat(head.startLine[1]).isEqualTo(status);
         assertThat(new String(reader.readResponseBody(head), StandardCharsets.ISO_8859_1)).isEqualTo(body);
@@ -97,19 +98,20 @@
 
     @ParameterizedTest
     @CsvSource({"'SSH-2.0-x||'", "'HTTP/1.1 abc||'", "'HTTP/1.1 101 Up||'", "'HTTP/1.1 999 x||'"})
-    void rubbishIsNoResponse(String text) {
-        assertThat(catchThrowableOfType(BadMessageException.class, () -> trickle(text).readResponseHead())).isNotNull();
+    void invalidResponsesAreRejected(String text) {
+        assertThat(catchThrowableOfType(BadMessageException.class, () -> byteByByte(text).readResponseHead()))
+                .isNotNull();
     }
 
     @ParameterizedTest
     @CsvSource({"9000,431", "120000,431"})
-    void headsAreBounded(int length, int status) {
+    void headsOverTheSizeLimitAreRejected(int length, int status) {
         String text = "GET /" + "x".repeat(length) + " HTTP/1.1||";
         InputStream whole = new ByteArrayInputStream(bytes(text));
-        for (MessageReader reader : new MessageReader[] {trickle(text), new MessageReader(whole)}) {
-            BadMessageException bad = catchThrowableOfType(BadMessageException.class, reader::readRequestHead);
-            assertThat(bad).isNotNull();
-            assertThat(bad.status).isEqualTo(status);
+        for (MessageReader reader : new MessageReader[] {byteByByte(text), new MessageReader(whole)}) {
+            BadMessageException exception = catchThrowableOfType(BadMessageException.class, reader::readRequestHead);
+            assertThat(exception).isNotNull();
+            assertThat(exception.status).isEqualTo(status);
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/http/ReadBufferTest.java
+++ b/sidecar/src/test/java/dapplequay/http/ReadBufferTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void growsToItsLimitAndNoFurther() throws IOException {
+    void growsUpToItsLimitAndNoFurther() throws IOException {
         ReadBuffer buffer = filled(3_000, 3_000);
         assertThat(buffer.capacity()).isEqualTo(3_000);
         assertThatThrownBy(() -> buffer.fill(new ByteArrayInputStream(new byte[1])))
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void usedBytesMakeRoomBeforeItGrows() throws IOException {
+    void consumedBytesAreReusedBeforeTheBufferGrows() throws IOException {
         ReadBuffer buffer = filled(4_096, 1_024);
         buffer.take(1_000);
         assertThat(buffer.fill(new ByteArrayInputStream(new byte[500]))).isEqualTo(500);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void emptyBufferGivesBackWhatALongMessageTook() throws IOException {
+    void emptyBufferShrinksAfterALongMessage() throws IOException {
         ReadBuffer buffer = filled(70_000, 70_000);
         buffer.take(69_999);
         assertThat(buffer.capacity()).isEqualTo(70_000);
--- a/sidecar/src/test/java/dapplequay/management/ManagementServerTest.java
+++ b/sidecar/src/test/java/dapplequay/management/ManagementServerTest.java
@@ -110,7 +110,10 @@
         assertThat(readAll(connect("PUT /-/resume HTTP/1.1||"))).startsWith("HTTP/1.1 409 ");
     }
 
-    /** Many more than are held at once; each call among them is answered, and none by waiting for their end. */
+    /**
+     * Opens far more connections than the server holds; each call in between is answered without
+     * waiting for those to end.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"", "GET /-/rea", "GET /-/ready HTTP/1.1||"})
     void idleAndLingeringConnectionsDoNotBlockNewCalls(String sent) throws IOException {
--- a/sidecar/src/test/java/dapplequay/management/MetricsTextTest.java
+++ b/sidecar/src/test/java/dapplequay/management/MetricsTextTest.java
@@ -45,7 +45,7 @@
                 "svc_last_send_after_news_seconds_sum 9.06");
     }
 
-    /** At each reading, what was taken has ended or is open, whoever counts meanwhile. */
+    /** In each reading, the accepted requests equal the ended and the open ones, while other threads count. */
     @Test
     void readingsAreConsistentDuringConcurrentUpdates() throws InterruptedException {
         RequestCounts counts = new RequestCounts();
--- a/sidecar/src/test/java/dapplequay/snapshot/SnapshotFileTest.java
+++ b/sidecar/src/test/java/dapplequay/snapshot/SnapshotFileTest.java
@@ -22,12 +22,12 @@
     @TempDir
     private Path folder;
 
-    /** The end of the world: nothing after it happens. */
+    /** Thrown to simulate a crash of the process. */
     private static final class SimulatedCrash extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    /** A disk on which the world ends at one step: before it, or in the middle of a write. */
+    /** Crashes at the given step: before an operation, or in the middle of a write. */
     private static final class CrashingFileOperations extends FileOperations {
         private final int crashStep;
         private int nextStep;
@@ -85,7 +85,7 @@
         file.write(OLD);
         file.write(NEW);
         assertThat(file.read()).isEqualTo(NEW);
-        assertThat(new SnapshotFile(folder, "n2").read()).as("another instance has its own").isNull();
+        assertThat(new SnapshotFile(folder, "n2").read()).as("the snapshot of another name").isNull();
     }
 
     @ParameterizedTest
@@ -103,7 +103,7 @@
         assertThat(found).isIn(OLD, NEW);
         assertThat(folder.resolve("n1.list.bad")).doesNotExist();
         new SnapshotFile(folder, "n1").write(NEW);
-        assertThat(new SnapshotFile(folder, "n1").read()).as("and the next write goes well").isEqualTo(NEW);
+        assertThat(new SnapshotFile(folder, "n1").read()).as("the write after the crash").isEqualTo(NEW);
     }
 
     @ParameterizedTest
--- a/sidecar/src/test/java/dapplequay/time/DeadlineQueueTest.java
+++ b/sidecar/src/test/java/dapplequay/time/DeadlineQueueTest.java
@@ -17,7 +17,7 @@
         deadlines.schedule(30, () -> carriedOut.add("third"));
         deadlines.schedule(10, () -> carriedOut.add("first"));
         deadlines.schedule(20, () -> {
-            throw new IllegalStateException("told in the log; the others go on");
+            throw new IllegalStateException("logged; the other actions still run");
         });
         DeadlineQueue.Deadline cancelled = deadlines.schedule(15, () -> carriedOut.add("cancelled"));
         deadlines.cancel(cancelled);
