--- a/core/src/main/java/dapplequay/discovery/ListAnswer.java
+++ b/core/src/main/java/dapplequay/discovery/ListAnswer.java
@@ -1,6 +1,6 @@
 package dapplequay.discovery;
 
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 
 /**
  * One answer of discovery's, read and checked as a whole, with what decides how far it is trusted.
@@ -10,7 +10,7 @@
  * @param call       the call that it answers
  * @param receivedUs when its last byte was read, microseconds of the caller's monotonic clock
  */
-public record ListAnswer(long revision, ListNews content, Call call, long receivedUs) {
+public record ListAnswer(long revision, ListUpdate content, Call call, long receivedUs) {
     /** What a call asks after that asks for the whole list. */
     public static final long WHOLE_LIST = -1;
 
@@ -24,6 +24,6 @@
     public record Call(int generation, long after, long begunUs) { }
 
     boolean isWhole() {
-        return content.kind() == ListNews.Kind.WHOLE;
+        return content.kind() == ListUpdate.Kind.FULL;
     }
 }
--- a/core/src/main/java/dapplequay/discovery/ServerRegistry.java
+++ b/core/src/main/java/dapplequay/discovery/ServerRegistry.java
@@ -1,9 +1,9 @@
 package dapplequay.discovery;
 
 import dapplequay.discovery.Transition.Cause;
-import dapplequay.facade.ListNews;
-import dapplequay.facade.ListNews.Line;
-import dapplequay.facade.ListNews.State;
+import dapplequay.facade.ListUpdate;
+import dapplequay.facade.ListUpdate.ServerEntry;
+import dapplequay.facade.ListUpdate.State;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -44,8 +44,8 @@
     private static final long NEVER = Long.MAX_VALUE;
 
     /** A listed server. {@code statusUs}: since when; {@code lastSendUs}: its last send while unconfirmed, or 0. */
-    private static final class Entry {
-        private Line line;
+    private static final class TrackedServer {
+        private ServerEntry entry;
         private ServerStatus status;
         private long statusUs;
         private long deadlineUs = NEVER;
@@ -55,7 +55,7 @@
     /** A server that is gone, and the start of the process that it was. */
     private record Gone(long sinceUs, long bootMs) { }
 
-    private final Map<String, Entry> entries = new LinkedHashMap<>();
+    private final Map<String, TrackedServer> trackedByUid = new LinkedHashMap<>();
     private final Map<String, Gone> gone = new LinkedHashMap<>();      // the first to have gone first
     private int generation;
     private long revision;
@@ -74,7 +74,7 @@
     /** What one event has changed. */
     private static final class Changes {
         private final List<Transition> transitions = new ArrayList<>();
-        private final List<Line> lines = new ArrayList<>();
+        private final List<ServerEntry> entries = new ArrayList<>();
         private final List<SendAfterNews> takenOut = new ArrayList<>();
     }
 
@@ -88,7 +88,7 @@
      * @param transitions of servers' statuses
      * @param takenOut    the servers that get no new work from now on
      */
-    public record Outcome(ListNews news, List<Transition> transitions, List<SendAfterNews> takenOut) {
+    public record Outcome(ListUpdate news, List<Transition> transitions, List<SendAfterNews> takenOut) {
         /** How many servers came to have that status for that cause. */
         public long count(Cause cause, ServerStatus status) {
             return transitions.stream().filter(t -> t.cause() == cause && t.to() == status).count();
@@ -101,10 +101,10 @@
     }
 
     /** The list to begin with: taken over as it is. */
-    public void restore(long itsRevision, Collection<Line> lines) {
+    public void restore(long itsRevision, Collection<ServerEntry> entries) {
         changes = new Changes();
-        entries.clear();
-        lines.forEach(line -> put(line, 0));
+        trackedByUid.clear();
+        entries.forEach(entry -> put(entry, 0));
         revision = itsRevision;
         confirmedRevision = itsRevision;
     }
@@ -158,7 +158,7 @@
         if (!isCurrent || answer.call().begunUs() < newestCallUs) {
             takeOut(answer, deadlineUs);
             wholeListWanted |= !changes.transitions.isEmpty();      // the newer word is asked for again
-            return outcome(ListNews.Kind.CHANGES, changes.lines);
+            return outcome(ListUpdate.Kind.DELTA, changes.entries);
         }
         if (belongsToNoList(answer) || !anyRevision && answer.revision() < revision) {
             return regressed(answer, deadlineUs);
@@ -197,52 +197,52 @@
             regressedRevision = follows ? answer.revision() : regressedRevision;
         }
         wholeListWanted = !follows;
-        return outcome(ListNews.Kind.CHANGES, changes.lines);
+        return outcome(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** Of an answer that is not trusted, what it takes out. */
     private void takeOut(ListAnswer answer, long deadlineUs) {
         Set<String> named = new HashSet<>();
-        for (Line line : answer.content().lines()) {
-            named.add(line.uid());
-            Entry entry = entries.get(line.uid());
-            if (entry == null) {
+        for (ServerEntry entry : answer.content().entries()) {
+            named.add(entry.uid());
+            TrackedServer tracked = trackedByUid.get(entry.uid());
+            if (tracked == null) {
                 continue;
             }
             // A drain before a later start of the server is over.
-            if (line.state() == State.DRAINING && line.bootMs() >= entry.line.bootMs() && isUsable(entry)) {
-                drain(entry, entry.line, answer.receivedUs());
-            } else if (line.state() == State.DELETED) {
-                remove(entry, Cause.NAMED_DELETED, answer.receivedUs());
+            if (entry.state() == State.DRAINING && entry.bootMs() >= tracked.entry.bootMs() && isUsable(tracked)) {
+                drain(tracked, tracked.entry, answer.receivedUs());
+            } else if (entry.state() == State.DELETED) {
+                remove(tracked, Cause.NAMED_DELETED, answer.receivedUs());
             }
         }
         if (answer.isWhole()) {
-            for (Entry entry : List.copyOf(entries.values())) {
-                if (!named.contains(entry.line.uid()) && isUsable(entry)) {
-                    leftOut(entry, answer.receivedUs(), deadlineUs);
+            for (TrackedServer tracked : List.copyOf(trackedByUid.values())) {
+                if (!named.contains(tracked.entry.uid()) && isUsable(tracked)) {
+                    leftOut(tracked, answer.receivedUs(), deadlineUs);
                 }
             }
         }
     }
 
-    private static boolean isUsable(Entry entry) {
-        return entry.status == ServerStatus.SERVING || entry.status == ServerStatus.UNCONFIRMED;
+    private static boolean isUsable(TrackedServer tracked) {
+        return tracked.status == ServerStatus.SERVING || tracked.status == ServerStatus.UNCONFIRMED;
     }
 
     /** A list that may be wrong leaves it out: the first time the deadline is set, the second time it is gone. */
-    private void leftOut(Entry entry, long nowUs, long deadlineUs) {
-        if (entry.status == ServerStatus.UNCONFIRMED || deadlineUs <= nowUs) {
-            remove(entry, entry.status == ServerStatus.UNCONFIRMED ? Cause.LEFT_OUT_AGAIN : Cause.LEFT_OUT, nowUs);
+    private void leftOut(TrackedServer tracked, long nowUs, long deadlineUs) {
+        if (tracked.status == ServerStatus.UNCONFIRMED || deadlineUs <= nowUs) {
+            remove(tracked, tracked.status == ServerStatus.UNCONFIRMED ? Cause.LEFT_OUT_AGAIN : Cause.LEFT_OUT, nowUs);
             return;
         }
-        change(entry, ServerStatus.UNCONFIRMED, Cause.LEFT_OUT, nowUs);
-        entry.deadlineUs = deadlineUs;
-        entry.lastSendUs = 0;
+        change(tracked, ServerStatus.UNCONFIRMED, Cause.LEFT_OUT, nowUs);
+        tracked.deadlineUs = deadlineUs;
+        tracked.lastSendUs = 0;
         nextDeadlineUs = Math.min(nextDeadlineUs, deadlineUs);
     }
 
     private void findNextDeadline() {
-        nextDeadlineUs = entries.values().stream().mapToLong(entry -> entry.deadlineUs).min().orElse(NEVER);
+        nextDeadlineUs = trackedByUid.values().stream().mapToLong(tracked -> tracked.deadlineUs).min().orElse(NEVER);
     }
 
     /** All of an answer counts, but for servers that it seems to have lost. */
@@ -255,8 +255,8 @@
             takeOutLeftOut(answer, deadlineUs);
         }
         boolean isPartial = false;
-        for (Line line : answer.content().lines()) {
-            isPartial |= !takeOver(line, answer);
+        for (ServerEntry entry : answer.content().entries()) {
+            isPartial |= !takeOver(entry, answer);
         }
         revision = answer.revision();
         findNextDeadline();
@@ -265,121 +265,121 @@
         // Changes to a list of which, while versions were lower, not all was taken over.
         wholeListWanted |= !isConfirmed || isPartial || wasRegressed && !answer.isWhole();
         boolean isAll = answer.isWhole() && isConfirmed && !isPartial;
-        return isAll ? outcome(ListNews.Kind.WHOLE, answer.content().lines())
-                : outcome(ListNews.Kind.CHANGES, changes.lines);
+        return isAll ? outcome(ListUpdate.Kind.FULL, answer.content().entries())
+                : outcome(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** False where the line would bring back what was taken out after the call was made. */
-    private boolean takeOver(Line line, ListAnswer answer) {
-        Entry entry = entries.get(line.uid());
-        if (line.state() == State.DELETED) {
-            if (entry != null) {
-                remove(entry, Cause.NAMED_DELETED, answer.receivedUs());
+    private boolean takeOver(ServerEntry entry, ListAnswer answer) {
+        TrackedServer tracked = trackedByUid.get(entry.uid());
+        if (entry.state() == State.DELETED) {
+            if (tracked != null) {
+                remove(tracked, Cause.NAMED_DELETED, answer.receivedUs());
             }
             return true;
         }
-        if (line.state() == State.DRAINING) {
-            if (entry == null) {
-                put(line, answer.receivedUs());
+        if (entry.state() == State.DRAINING) {
+            if (tracked == null) {
+                put(entry, answer.receivedUs());
             } else {
-                drain(entry, line, answer.receivedUs());
+                drain(tracked, entry, answer.receivedUs());
             }
             return true;
         }
-        if (isOlderWord(line, entry, answer.call().begunUs())) {
+        if (isOlderWord(entry, tracked, answer.call().begunUs())) {
             return false;
         }
-        if (entry == null) {
-            put(line, answer.receivedUs());
+        if (tracked == null) {
+            put(entry, answer.receivedUs());
             return true;
         }
-        entry.line = line;
-        entry.deadlineUs = NEVER;
-        if (entry.status != ServerStatus.SERVING) {
-            change(entry, ServerStatus.SERVING, Cause.NAMED_SERVING, answer.receivedUs());
+        tracked.entry = entry;
+        tracked.deadlineUs = NEVER;
+        if (tracked.status != ServerStatus.SERVING) {
+            change(tracked, ServerStatus.SERVING, Cause.NAMED_SERVING, answer.receivedUs());
         }
-        changes.lines.add(line);
+        changes.entries.add(entry);
         return true;
     }
 
     /** Whether the server, being the same process, was taken or left out after the call was made. */
-    private boolean isOlderWord(Line line, Entry entry, long begunUs) {
-        if (entry != null) {
-            return entry.status != ServerStatus.SERVING && entry.statusUs > begunUs
-                    && line.bootMs() <= entry.line.bootMs();
+    private boolean isOlderWord(ServerEntry entry, TrackedServer tracked, long begunUs) {
+        if (tracked != null) {
+            return tracked.status != ServerStatus.SERVING && tracked.statusUs > begunUs
+                    && entry.bootMs() <= tracked.entry.bootMs();
         }
-        Gone left = gone.get(line.uid());
-        return left != null && left.sinceUs > begunUs && line.bootMs() <= left.bootMs;
+        Gone left = gone.get(entry.uid());
+        return left != null && left.sinceUs > begunUs && entry.bootMs() <= left.bootMs;
     }
 
     /** The servers that a trusted list leaves out are gone; where they are most of all, they are unconfirmed first. */
     private void takeOutLeftOut(ListAnswer answer, long deadlineUs) {
         Set<String> named = new HashSet<>();
-        answer.content().lines().forEach(line -> named.add(line.uid()));
-        List<Entry> missing = entries.values().stream().filter(e -> !named.contains(e.line.uid())).toList();
-        long usable = entries.values().stream().filter(ServerRegistry::isUsable).count();
+        answer.content().entries().forEach(entry -> named.add(entry.uid()));
+        List<TrackedServer> missing = trackedByUid.values().stream().filter(e -> !named.contains(e.entry.uid())).toList();
+        long usable = trackedByUid.values().stream().filter(ServerRegistry::isUsable).count();
         long lost = missing.stream().filter(ServerRegistry::isUsable).count();
         boolean isDoubtful = usable >= FEWEST_FOR_DOUBT && lost > usable * MOST_LOST_SHARE;
-        for (Entry entry : missing) {
-            if (isDoubtful && isUsable(entry)) {
-                leftOut(entry, answer.receivedUs(), deadlineUs);
+        for (TrackedServer tracked : missing) {
+            if (isDoubtful && isUsable(tracked)) {
+                leftOut(tracked, answer.receivedUs(), deadlineUs);
             } else {
-                remove(entry, Cause.LEFT_OUT, answer.receivedUs());
+                remove(tracked, Cause.LEFT_OUT, answer.receivedUs());
             }
         }
     }
 
-    private void put(Line line, long nowUs) {
-        Entry entry = new Entry();
-        entry.line = line;
-        entry.status = line.state() == State.SERVING ? ServerStatus.SERVING : ServerStatus.DRAINING;
-        entry.statusUs = nowUs;
-        entries.put(line.uid(), entry);
-        gone.remove(line.uid());
-        changes.lines.add(line);
-        boolean serves = entry.status == ServerStatus.SERVING;
-        changes.transitions.add(new Transition(line.uid(), ServerStatus.REMOVED, entry.status,
+    private void put(ServerEntry entry, long nowUs) {
+        TrackedServer tracked = new TrackedServer();
+        tracked.entry = entry;
+        tracked.status = entry.state() == State.SERVING ? ServerStatus.SERVING : ServerStatus.DRAINING;
+        tracked.statusUs = nowUs;
+        trackedByUid.put(entry.uid(), tracked);
+        gone.remove(entry.uid());
+        changes.entries.add(entry);
+        boolean serves = tracked.status == ServerStatus.SERVING;
+        changes.transitions.add(new Transition(entry.uid(), ServerStatus.REMOVED, tracked.status,
                 serves ? Cause.NAMED_SERVING : Cause.NAMED_DRAINING, 0));
     }
 
-    private void drain(Entry entry, Line line, long nowUs) {
-        entry.line = in(State.DRAINING, line);
-        if (entry.status != ServerStatus.DRAINING) {
-            noteTakenOut(entry);
-            change(entry, ServerStatus.DRAINING, Cause.NAMED_DRAINING, nowUs);
+    private void drain(TrackedServer tracked, ServerEntry entry, long nowUs) {
+        tracked.entry = in(State.DRAINING, entry);
+        if (tracked.status != ServerStatus.DRAINING) {
+            noteTakenOut(tracked);
+            change(tracked, ServerStatus.DRAINING, Cause.NAMED_DRAINING, nowUs);
         }
-        entry.deadlineUs = NEVER;
-        changes.lines.add(entry.line);
+        tracked.deadlineUs = NEVER;
+        changes.entries.add(tracked.entry);
     }
 
-    private void remove(Entry entry, Cause cause, long nowUs) {
-        if (isUsable(entry)) {
-            noteTakenOut(entry);
+    private void remove(TrackedServer tracked, Cause cause, long nowUs) {
+        if (isUsable(tracked)) {
+            noteTakenOut(tracked);
         }
-        entries.remove(entry.line.uid());
-        gone.remove(entry.line.uid());
-        gone.put(entry.line.uid(), new Gone(nowUs, entry.line.bootMs()));
-        changes.lines.add(in(State.DELETED, entry.line));
-        change(entry, ServerStatus.REMOVED, cause, nowUs);
+        trackedByUid.remove(tracked.entry.uid());
+        gone.remove(tracked.entry.uid());
+        gone.put(tracked.entry.uid(), new Gone(nowUs, tracked.entry.bootMs()));
+        changes.entries.add(in(State.DELETED, tracked.entry));
+        change(tracked, ServerStatus.REMOVED, cause, nowUs);
     }
 
-    private void noteTakenOut(Entry entry) {
-        boolean wasSentTo = entry.status == ServerStatus.UNCONFIRMED && entry.lastSendUs > 0;
-        changes.takenOut.add(new SendAfterNews(entry.line.uid(), wasSentTo ? entry.lastSendUs - entry.statusUs : 0));
+    private void noteTakenOut(TrackedServer tracked) {
+        boolean wasSentTo = tracked.status == ServerStatus.UNCONFIRMED && tracked.lastSendUs > 0;
+        changes.takenOut.add(new SendAfterNews(tracked.entry.uid(), wasSentTo ? tracked.lastSendUs - tracked.statusUs : 0));
     }
 
-    private void change(Entry entry, ServerStatus to, Cause cause, long nowUs) {
-        changes.transitions.add(new Transition(entry.line.uid(), entry.status, to, cause, nowUs - entry.statusUs));
-        entry.status = to;
-        entry.statusUs = nowUs;
+    private void change(TrackedServer tracked, ServerStatus to, Cause cause, long nowUs) {
+        changes.transitions.add(new Transition(tracked.entry.uid(), tracked.status, to, cause, nowUs - tracked.statusUs));
+        tracked.status = to;
+        tracked.statusUs = nowUs;
     }
 
-    private static Line in(State state, Line line) {
-        return new Line(line.uid(), line.zone(), line.cell(), state, line.weight(), line.bootMs());
+    private static ServerEntry in(State state, ServerEntry entry) {
+        return new ServerEntry(entry.uid(), entry.zone(), entry.cell(), state, entry.weight(), entry.bootMs());
     }
 
-    private Outcome outcome(ListNews.Kind kind, List<Line> lines) {
-        return new Outcome(new ListNews(kind, lines), List.copyOf(changes.transitions), List.copyOf(changes.takenOut));
+    private Outcome outcome(ListUpdate.Kind kind, List<ServerEntry> entries) {
+        return new Outcome(new ListUpdate(kind, entries), List.copyOf(changes.transitions), List.copyOf(changes.takenOut));
     }
 
     private void forgetOld(long nowUs) {
@@ -402,41 +402,41 @@
     public Outcome expire(long nowUs) {
         changes = new Changes();
         if (nowUs >= nextDeadlineUs) {
-            for (Entry entry : List.copyOf(entries.values())) {
-                if (nowUs >= entry.deadlineUs) {
-                    remove(entry, Cause.DEADLINE, nowUs);
+            for (TrackedServer tracked : List.copyOf(trackedByUid.values())) {
+                if (nowUs >= tracked.deadlineUs) {
+                    remove(tracked, Cause.DEADLINE, nowUs);
                 }
             }
             findNextDeadline();
             confirmedRevision = nextDeadlineUs == NEVER ? revision : confirmedRevision;
         }
-        return outcome(ListNews.Kind.CHANGES, changes.lines);
+        return outcome(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** Whether new work may go to the server now: asked right before its first byte. */
     public boolean maySend(String uid, long nowUs) {
-        Entry entry = entries.get(uid);
-        return entry != null && isUsable(entry) && nowUs < entry.deadlineUs;
+        TrackedServer tracked = trackedByUid.get(uid);
+        return tracked != null && isUsable(tracked) && nowUs < tracked.deadlineUs;
     }
 
     /** Work went out to it. */
     public void sent(String uid, long nowUs) {
-        Entry entry = entries.get(uid);
-        if (entry != null && entry.status == ServerStatus.UNCONFIRMED) {
-            entry.lastSendUs = nowUs;
+        TrackedServer tracked = trackedByUid.get(uid);
+        if (tracked != null && tracked.status == ServerStatus.UNCONFIRMED) {
+            tracked.lastSendUs = nowUs;
         }
     }
 
     /** Its status; {@link ServerStatus#REMOVED} where it is not listed. */
     public ServerStatus statusOf(String uid) {
-        Entry entry = entries.get(uid);
-        return entry == null ? ServerStatus.REMOVED : entry.status;
+        TrackedServer tracked = trackedByUid.get(uid);
+        return tracked == null ? ServerStatus.REMOVED : tracked.status;
     }
 
     /** The listed servers' lines, as last heard; of an unconfirmed one, as if it drained. */
-    public List<Line> lines() {
-        return entries.values().stream().map(entry -> isUsable(entry) && entry.status != ServerStatus.SERVING
-                ? in(State.DRAINING, entry.line) : entry.line).toList();
+    public List<ServerEntry> entries() {
+        return trackedByUid.values().stream().map(tracked -> isUsable(tracked) && tracked.status != ServerStatus.SERVING
+                ? in(State.DRAINING, tracked.entry) : tracked.entry).toList();
     }
 
     /** The version known. */
@@ -451,6 +451,6 @@
 
     /** How many servers are listed, those that drain included. */
     public int size() {
-        return entries.size();
+        return trackedByUid.size();
     }
 }
--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -218,24 +218,24 @@
     }
 
     /** IllegalArgumentException, and no change, where a line names a zone that the settings do not. */
-    public synchronized void news(ListNews news) {
-        List<FleetEntry> entries = new ArrayList<>(news.lines().size());
-        for (ListNews.Line line : news.lines()) {
-            HostState state = switch (line.state()) {
+    public synchronized void applyListUpdate(ListUpdate update) {
+        List<FleetEntry> fleetEntries = new ArrayList<>(update.entries().size());
+        for (ListUpdate.ServerEntry entry : update.entries()) {
+            HostState state = switch (entry.state()) {
                 case SERVING -> HostState.READY;
                 case DRAINING -> HostState.DRAINING;
                 case DELETED -> HostState.REMOVED;
             };
-            int zone = setup.settings().zones().indexOf(line.zone());
+            int zone = setup.settings().zones().indexOf(entry.zone());
             if (zone < 0 && state != HostState.REMOVED) {
-                throw new IllegalArgumentException("unknown zone " + line.zone());
+                throw new IllegalArgumentException("unknown zone " + entry.zone());
             }
-            entries.add(new FleetEntry(line.uid(), zone, line.cell(), state, line.weight(),
-                    line.bootMs() * 1000));
+            fleetEntries.add(new FleetEntry(entry.uid(), zone, entry.cell(), state, entry.weight(),
+                    entry.bootMs() * 1000));
         }
-        ListKind kind = switch (news.kind()) {
-            case CHANGES -> ListKind.DELTA;
-            case WHOLE -> ListKind.FULL;
+        ListKind kind = switch (update.kind()) {
+            case DELTA -> ListKind.DELTA;
+            case FULL -> ListKind.FULL;
             case RESTORED -> ListKind.RESTORED;
             case FAILED -> ListKind.FAILED;
         };
@@ -243,7 +243,7 @@
             watchWanted = false;
         }
         begin(0, 0);
-        if (kind != ListKind.FAILED && !guarded(() -> module.fleet(clock.getAsLong(), kind, entries))) {
+        if (kind != ListKind.FAILED && !guarded(() -> module.fleet(clock.getAsLong(), kind, fleetEntries))) {
             throw new IllegalStateException("the list could not be taken over");
         }
         asking.heard(kind);
--- a/core/src/test/java/dapplequay/discovery/ServerRegistryTest.java
+++ b/core/src/test/java/dapplequay/discovery/ServerRegistryTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dapplequay.discovery.ListAnswer.Call;
-import dapplequay.facade.ListNews;
-import dapplequay.facade.ListNews.Kind;
-import dapplequay.facade.ListNews.Line;
-import dapplequay.facade.ListNews.State;
+import dapplequay.facade.ListUpdate;
+import dapplequay.facade.ListUpdate.Kind;
+import dapplequay.facade.ListUpdate.ServerEntry;
+import dapplequay.facade.ListUpdate.State;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -24,24 +24,24 @@
     private final ServerRegistry registry = new ServerRegistry(false);
     private long nowUs = 1_000_000_000;
 
-    private static Line line(int server, State state, long bootMs) {
-        return new Line("s" + server, "north", 1, state, 1, bootMs);
+    private static ServerEntry entry(int server, State state, long bootMs) {
+        return new ServerEntry("s" + server, "north", 1, state, 1, bootMs);
     }
 
-    private static Line line(int server, State state) {
-        return line(server, state, 0);
+    private static ServerEntry entry(int server, State state) {
+        return entry(server, state, 0);
     }
 
-    private static List<Line> serving(int... servers) {
-        return Arrays.stream(servers).mapToObj(server -> line(server, State.SERVING)).toList();
+    private static List<ServerEntry> serving(int... servers) {
+        return Arrays.stream(servers).mapToObj(server -> entry(server, State.SERVING)).toList();
     }
 
     private void begin() {
         registry.restore(REVISION, serving(0, 1, 2, 3));
     }
 
-    private ServerRegistry.Outcome answer(Call call, long revision, Kind kind, List<Line> lines) {
-        return registry.answered(new ListAnswer(revision, new ListNews(kind, lines), call, nowUs), GRACE_US);
+    private ServerRegistry.Outcome answer(Call call, long revision, Kind kind, List<ServerEntry> entries) {
+        return registry.answered(new ListAnswer(revision, new ListUpdate(kind, entries), call, nowUs), GRACE_US);
     }
 
     private Call call() {
@@ -55,7 +55,7 @@
     @Test
     void drainsAndDeletionsCountAtOnceAndChangesKeepTheRest() {
         begin();
-        answer(call(), 101, Kind.CHANGES, List.of(line(0, State.DRAINING), line(1, State.DELETED)));
+        answer(call(), 101, Kind.DELTA, List.of(entry(0, State.DRAINING), entry(1, State.DELETED)));
         assertThat(registry.statusOf("s0")).isEqualTo(ServerStatus.DRAINING);
         assertThat(registry.statusOf("s1")).isEqualTo(ServerStatus.REMOVED);
         assertThat(maySend(0) || maySend(1)).isFalse();
@@ -68,8 +68,8 @@
     @CsvSource({"1, REMOVED", "2, REMOVED", "3, UNCONFIRMED", "4, UNCONFIRMED"})
     void aTrustedListThatLosesMoreThanHalfIsAskedAboutAgain(int leftOut, ServerStatus status) {
         begin();
-        List<Line> rest = serving(0, 1, 2, 3).subList(leftOut, SERVERS);
-        answer(call(), 101, Kind.WHOLE, rest);
+        List<ServerEntry> rest = serving(0, 1, 2, 3).subList(leftOut, SERVERS);
+        answer(call(), 101, Kind.FULL, rest);
         assertThat(registry.statusOf("s0")).isEqualTo(status);
         boolean isAskedAbout = status == ServerStatus.UNCONFIRMED;
         assertThat(registry.wantsWholeList()).isEqualTo(isAskedAbout);
@@ -77,16 +77,16 @@
         nowUs += GRACE_US - ServerRegistry.HOLD_UP_US;
         assertThat(maySend(0)).as("a hold-up before the end of the grace").isFalse();
         var expired = registry.expire(nowUs);
-        assertThat(expired.news().lines()).hasSize(isAskedAbout ? leftOut : 0);
+        assertThat(expired.news().entries()).hasSize(isAskedAbout ? leftOut : 0);
         assertThat(registry.statusOf("s0")).isEqualTo(ServerStatus.REMOVED);
     }
 
     @Test
     void aSecondListThatLeavesItOutConfirmsAndOneThatNamesItBringsItBack() {
         begin();
-        answer(call(), 101, Kind.WHOLE, serving(3));
+        answer(call(), 101, Kind.FULL, serving(3));
         nowUs += 10 * MS;
-        answer(call(), 101, Kind.WHOLE, serving(2, 3));
+        answer(call(), 101, Kind.FULL, serving(2, 3));
         assertThat(registry.statusOf("s0")).isEqualTo(ServerStatus.REMOVED);
         assertThat(registry.statusOf("s2")).isEqualTo(ServerStatus.SERVING);
         assertThat(registry.nextDeadlineUs()).isEqualTo(Long.MAX_VALUE);
@@ -99,7 +99,7 @@
     void noChangesOfALowerVersionHaveTheWholeListAskedFor(boolean anyRevision) {
         ServerRegistry fresh = new ServerRegistry(anyRevision);
         fresh.restore(REVISION, serving(0, 1, 2, 3));
-        fresh.answered(new ListAnswer(2, new ListNews(Kind.CHANGES, List.of()), fresh.nextCall(nowUs), nowUs), GRACE_US);
+        fresh.answered(new ListAnswer(2, new ListUpdate(Kind.DELTA, List.of()), fresh.nextCall(nowUs), nowUs), GRACE_US);
         assertThat(fresh.nextCall(nowUs).after()).isEqualTo(ListAnswer.WHOLE_LIST);
         assertThat(fresh.revision()).isEqualTo(REVISION);
     }
@@ -108,24 +108,24 @@
     @Test
     void aLowerVersionIsFollowed() {
         begin();
-        List<Line> lower = new ArrayList<>(serving(0, 1, 2));
-        lower.add(line(9, State.SERVING));
-        answer(call(), 5, Kind.WHOLE, lower);
+        List<ServerEntry> lower = new ArrayList<>(serving(0, 1, 2));
+        lower.add(entry(9, State.SERVING));
+        answer(call(), 5, Kind.FULL, lower);
         assertThat(registry.statusOf("s3")).isEqualTo(ServerStatus.UNCONFIRMED);
         assertThat(registry.statusOf("s9")).isEqualTo(ServerStatus.REMOVED);
         assertThat(registry.wantsWholeList()).as("it may be a mistake").isTrue();
         nowUs += 10 * MS;
-        answer(call(), 5, Kind.WHOLE, lower);
+        answer(call(), 5, Kind.FULL, lower);
         assertThat(registry.statusOf("s3")).isEqualTo(ServerStatus.REMOVED);
         assertThat(call().after()).as("its changes are watched for").isEqualTo(5);
-        answer(call(), 6, Kind.CHANGES, List.of(line(2, State.DRAINING)));
+        answer(call(), 6, Kind.DELTA, List.of(entry(2, State.DRAINING)));
         assertThat(maySend(2)).isFalse();
         assertThat(call().after()).isEqualTo(6);
         assertThat(registry.revision()).isEqualTo(REVISION);
         nowUs += ServerRegistry.REGRESSION_US;
-        answer(call(), 6, Kind.CHANGES, List.of());
+        answer(call(), 6, Kind.DELTA, List.of());
         assertThat(registry.wantsWholeList()).isTrue();
-        answer(call(), 6, Kind.WHOLE, lower.subList(1, 4));
+        answer(call(), 6, Kind.FULL, lower.subList(1, 4));
         assertThat(maySend(9)).isTrue();
         assertThat(registry.revision()).isEqualTo(6);
     }
@@ -139,23 +139,23 @@
         assertThat(call().after()).as("the new address is asked for all").isEqualTo(ListAnswer.WHOLE_LIST);
         Call next = call();
         nowUs += 10 * MS;
-        var outcome = answer(old, 107, Kind.CHANGES, List.of(line(0, State.DRAINING), line(9, State.SERVING)));
-        assertThat(outcome.news().lines()).extracting(Line::uid).containsExactly("s0");
+        var outcome = answer(old, 107, Kind.DELTA, List.of(entry(0, State.DRAINING), entry(9, State.SERVING)));
+        assertThat(outcome.news().entries()).extracting(ServerEntry::uid).containsExactly("s0");
         assertThat(maySend(0)).isFalse();
         nowUs += 10 * MS;
-        answer(next, 3, Kind.WHOLE, serving(0, 1, 2, 3));
+        answer(next, 3, Kind.FULL, serving(0, 1, 2, 3));
         assertThat(maySend(0)).as("named by an answer to a call made before the drain was heard").isFalse();
         assertThat(registry.wantsWholeList()).isTrue();
-        answer(call(), 3, Kind.WHOLE, serving(0, 1, 2, 3));
+        answer(call(), 3, Kind.FULL, serving(0, 1, 2, 3));
         assertThat(maySend(0)).as("asked for again").isTrue();
     }
 
     @Test
     void aLaterStartOfTheServerIsNotTakenForTheProcessThatDrained() {
         begin();
-        answer(call(), 101, Kind.CHANGES, List.of(line(0, State.SERVING, 50)));
+        answer(call(), 101, Kind.DELTA, List.of(entry(0, State.SERVING, 50)));
         registry.moved();
-        answer(new Call(0, 100, nowUs), 100, Kind.CHANGES, List.of(line(0, State.DRAINING, 0)));
+        answer(new Call(0, 100, nowUs), 100, Kind.DELTA, List.of(entry(0, State.DRAINING, 0)));
         assertThat(maySend(0)).isTrue();
     }
 
@@ -163,19 +163,19 @@
     @Test
     void whatIsKeptWhileServersAreUnconfirmed() {
         begin();
-        answer(call(), 101, Kind.WHOLE, serving(3));
+        answer(call(), 101, Kind.FULL, serving(3));
         assertThat(registry.confirmedRevision()).isEqualTo(REVISION);
-        assertThat(registry.lines()).filteredOn(line -> line.state() == State.DRAINING).hasSize(3);
+        assertThat(registry.entries()).filteredOn(entry -> entry.state() == State.DRAINING).hasSize(3);
         nowUs += GRACE_US;
         registry.expire(nowUs);
         assertThat(registry.confirmedRevision()).isEqualTo(101);
-        assertThat(registry.lines()).hasSize(1);
+        assertThat(registry.entries()).hasSize(1);
     }
 
     @Test
     void theLastSendAfterTheNewsIsTold() {
         begin();
-        answer(call(), 101, Kind.WHOLE, serving(3));
+        answer(call(), 101, Kind.FULL, serving(3));
         nowUs += 40 * MS;
         registry.sent("s0", nowUs);
         nowUs += 60 * MS;
@@ -205,40 +205,40 @@
             superseded = registry.nextCall(nowUs);
         }
 
-        private void answer(Call call, long itsRevision, Kind kind, List<Line> lines) {
+        private void answer(Call call, long itsRevision, Kind kind, List<ServerEntry> entries) {
             for (int server = 0; server < SERVERS; server++) {
                 String uid = "s" + server;
-                Line line = lines.stream().filter(l -> l.uid().equals(uid)).findFirst().orElse(null);
-                boolean isTakenOut = line == null ? kind == Kind.WHOLE : line.state() != State.SERVING;
-                boolean isNamed = line != null && line.state() == State.SERVING;
+                ServerEntry entry = entries.stream().filter(l -> l.uid().equals(uid)).findFirst().orElse(null);
+                boolean isTakenOut = entry == null ? kind == Kind.FULL : entry.state() != State.SERVING;
+                boolean isNamed = entry != null && entry.state() == State.SERVING;
                 lastMomentUs[server] = isNamed ? Long.MAX_VALUE : !isTakenOut ? lastMomentUs[server]
                         : Math.min(lastMomentUs[server], nowUs + graceUs);
             }
-            registry.answered(new ListAnswer(itsRevision, new ListNews(kind, lines), call, nowUs), graceUs);
+            registry.answered(new ListAnswer(itsRevision, new ListUpdate(kind, entries), call, nowUs), graceUs);
         }
 
         void play(Event event) {
             nowUs += 20 * MS;
             Call call = registry.nextCall(nowUs);
             boolean isWhole = call.after() == ListAnswer.WHOLE_LIST;
-            Kind changes = isWhole ? Kind.WHOLE : Kind.CHANGES;
-            List<Line> drain = new ArrayList<>(isWhole ? serving(1, 2, 3) : List.of());
-            drain.add(line(0, State.DRAINING));
+            Kind changes = isWhole ? Kind.FULL : Kind.DELTA;
+            List<ServerEntry> drain = new ArrayList<>(isWhole ? serving(1, 2, 3) : List.of());
+            drain.add(entry(0, State.DRAINING));
             nowUs += 20 * MS;
             switch (event) {
-                case WHOLE_LIST -> answer(call, ++revision, Kind.WHOLE, serving(0, 1, 2, 3));
-                case LIST_WITHOUT_MOST -> answer(call, ++revision, Kind.WHOLE, serving(3));
-                case LIST_WITHOUT_ONE -> answer(call, ++revision, Kind.WHOLE, serving(1, 2, 3));
-                case LOWER_LIST -> answer(call, ++lower, Kind.WHOLE, serving(0, 1, 2, 3));
-                case LOWER_LIST_WITHOUT_MOST -> answer(call, ++lower, Kind.WHOLE, serving(3));
+                case WHOLE_LIST -> answer(call, ++revision, Kind.FULL, serving(0, 1, 2, 3));
+                case LIST_WITHOUT_MOST -> answer(call, ++revision, Kind.FULL, serving(3));
+                case LIST_WITHOUT_ONE -> answer(call, ++revision, Kind.FULL, serving(1, 2, 3));
+                case LOWER_LIST -> answer(call, ++lower, Kind.FULL, serving(0, 1, 2, 3));
+                case LOWER_LIST_WITHOUT_MOST -> answer(call, ++lower, Kind.FULL, serving(3));
                 case DRAIN -> answer(call, ++revision, changes, drain);
                 case LOWER_DRAIN -> answer(call, ++lower, changes, drain);
                 case NO_LOWER_CHANGES -> {
-                    answer(call, lower, Kind.CHANGES, List.of());
+                    answer(call, lower, Kind.DELTA, List.of());
                     assertThat(call.after() <= lower && !isWhole || registry.wantsWholeList()).isTrue();
                 }
-                case SUPERSEDED_DRAIN -> answer(superseded, revision, Kind.CHANGES, List.of(line(0, State.DRAINING)));
-                case SUPERSEDED_LIST_WITHOUT_MOST -> answer(superseded, revision, Kind.WHOLE, serving(3));
+                case SUPERSEDED_DRAIN -> answer(superseded, revision, Kind.DELTA, List.of(entry(0, State.DRAINING)));
+                case SUPERSEDED_LIST_WITHOUT_MOST -> answer(superseded, revision, Kind.FULL, serving(3));
                 case MOVE -> {
                     superseded = call;
                     registry.moved();
--- a/core/src/test/java/dapplequay/facade/FacadeTest.java
+++ b/core/src/test/java/dapplequay/facade/FacadeTest.java
@@ -5,9 +5,9 @@
 
 import dapplequay.Balance;
 import dapplequay.BalancerApi;
-import dapplequay.facade.ListNews.Kind;
-import dapplequay.facade.ListNews.Line;
-import dapplequay.facade.ListNews.State;
+import dapplequay.facade.ListUpdate.Kind;
+import dapplequay.facade.ListUpdate.ServerEntry;
+import dapplequay.facade.ListUpdate.State;
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
 import dapplequay.settings.SettingsReader.Setup;
@@ -40,12 +40,12 @@
     }
 
     private void news(Kind kind, String zone, State state) {
-        facade.news(new ListNews(kind, List.of(new Line("s1", zone, 1, state, 1, 0))));
+        facade.applyListUpdate(new ListUpdate(kind, List.of(new ServerEntry("s1", zone, 1, state, 1, 0))));
     }
 
     @Test
     void sendsUntilTheModuleGivesUpAndNumbersTheAttempts() {
-        facade.news(new ListNews(Kind.CHANGES, List.of(new Line("s2", "north", 1, State.SERVING, 1, 0))));
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send first = (Decision.Send) facade.pick(1, PAY);
         assertThat(first.attempt()).isZero();
         assertThat(first.timeoutUs()).isEqualTo(900_000);
@@ -59,7 +59,7 @@
     /** The window of the example's keyed class is 4 s, of which 20 ms are for the way. */
     @Test
     void aRepeatSaysUntilWhenItMayBegin() {
-        facade.news(new ListNews(Kind.CHANGES, List.of(new Line("s2", "north", 1, State.SERVING, 1, 0))));
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send first = (Decision.Send) facade.pick(1, PAY);
         long sent = now.get();
         assertThat(first.beginByUs()).isEqualTo(Long.MAX_VALUE);
@@ -72,7 +72,7 @@
     @Test
     void aLongRequestThatNeverRanAtAHostThatIsGoneGoesElsewhere() {
         Decision.Send sent = (Decision.Send) facade.pick(1, LONG);
-        facade.news(new ListNews(Kind.WHOLE, List.of(new Line("s2", "south", 2, State.SERVING, 1, 0))));
+        facade.applyListUpdate(new ListUpdate(Kind.FULL, List.of(new ServerEntry("s2", "south", 2, State.SERVING, 1, 0))));
         assertThat(facade.report(1, 0, sent.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, Upload.COMING))
                 .isInstanceOf(Decision.Send.class);
     }
@@ -89,13 +89,13 @@
 
     @Test
     void drainedListRefusesWithThePause() {
-        news(Kind.CHANGES, "north", State.DRAINING);
+        news(Kind.DELTA, "north", State.DRAINING);
         assertThat(facade.pick(1, PAY)).isEqualTo(new Decision.Refuse(250_000));
     }
 
     @Test
     void unknownZoneChangesNothing() {
-        assertThatThrownBy(() -> news(Kind.WHOLE, "nowhere", State.SERVING))
+        assertThatThrownBy(() -> news(Kind.FULL, "nowhere", State.SERVING))
                 .isInstanceOf(IllegalArgumentException.class);
         assertThat(facade.pick(1, PAY)).isInstanceOf(Decision.Send.class);
     }
@@ -116,7 +116,7 @@
         now.addAndGet(10_000_000);
         facade.tick();
         watch.join();
-        facade.news(ListNews.failed());
+        facade.applyListUpdate(ListUpdate.failed());
         now.addAndGet(10_000_000);
         facade.tick();
         facade.awaitWatch(Long.MAX_VALUE);
@@ -129,9 +129,9 @@
         now.addAndGet(10_000_000);
         facade.tick();
         facade.awaitWatch(Long.MAX_VALUE);
-        facade.news(ListNews.failed());
+        facade.applyListUpdate(ListUpdate.failed());
         facade.awaitWatch(0);
-        news(Kind.CHANGES, "north", State.SERVING);
+        news(Kind.DELTA, "north", State.SERVING);
         now.addAndGet(60_000_000);
         facade.tick();
         facade.awaitWatch(Long.MAX_VALUE);
@@ -148,7 +148,7 @@
         facade = new Facade(pushed, 7, now::get, line -> { });
         facade.awaitWatch(Long.MAX_VALUE);
         for (int i = 0; i < 20; i++) {
-            facade.news(ListNews.failed());
+            facade.applyListUpdate(ListUpdate.failed());
             now.addAndGet(pushed.settings().discovery().drainGraceUs() / 8);
             facade.tick();
             facade.awaitWatch(Long.MAX_VALUE);
@@ -189,7 +189,7 @@
         assertThat(facade.report(1, 0, before.host(), AttemptEnd.SERVED, 1, true, null)).isEqualTo(new Decision.Rest());
         facade.clientGone(1);
         assertThat(facade.passedOver()).isZero();
-        assertThatThrownBy(() -> news(Kind.WHOLE, "north", State.SERVING)).isInstanceOf(IllegalStateException.class);
+        assertThatThrownBy(() -> news(Kind.FULL, "north", State.SERVING)).isInstanceOf(IllegalStateException.class);
         now.addAndGet(10_000_000);
         assertThat(facade.tick()).isEmpty();
         assertThat(facade.faults()).isGreaterThan(8);
@@ -247,7 +247,7 @@
 
     @Test
     void requestsUnderWayKeepTheirAttemptsAndNewOnesHaveTheNew() throws IOException {
-        facade.news(new ListNews(Kind.CHANGES, List.of(new Line("s2", "north", 1, State.SERVING, 1, 0))));
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send before = (Decision.Send) facade.pick(1, PAY);
         facade.retune(changed("\"send_cap\": 3", "\"send_cap\": 1"));
         assertThat(facade.report(1, 0, before.host(), AttemptEnd.TURNED_AWAY, 1, false, null))
@@ -260,7 +260,7 @@
     @Test
     void classesComeGoAndBecomeStricterByName() throws IOException {
         Decision.Send quote = (Decision.Send) facade.pick(1, new Call("quote", "shop-a", null, 900_000, 0, false));
-        facade.news(new ListNews(Kind.CHANGES, List.of(new Line("s2", "north", 1, State.SERVING, 1, 0))));
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         facade.retune(changed("{\"name\": \"quote\", \"semantics\": \"retryable\"",
                 "{\"name\": \"once\", \"semantics\": \"fragile\""));
         assertThat(facade.report(1, 0, quote.host(), AttemptEnd.RESET, 1, false, null)).as("keeps its class")
@@ -282,9 +282,9 @@
     @Test
     void hostsThatDrainOrFailAreCountedAsPassedOver() {
         assertThat(facade.passedOver()).isZero();
-        news(Kind.CHANGES, "north", State.DRAINING);
+        news(Kind.DELTA, "north", State.DRAINING);
         assertThat(facade.passedOver()).isOne();
-        news(Kind.CHANGES, "north", State.DELETED);
+        news(Kind.DELTA, "north", State.DELETED);
         assertThat(facade.passedOver()).isZero();
     }
 
@@ -292,7 +292,7 @@
 
     @Test
     void aLongRequestGoesElsewhereOnlyWhileAllThatWentOutIsHeld() {
-        facade.news(new ListNews(Kind.CHANGES, List.of(new Line("s2", "north", 1, State.SERVING, 1, 0))));
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send first = (Decision.Send) facade.pick(1, LONG);
         assertThat(facade.report(1, 0, first.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, Upload.COMING))
                 .isInstanceOf(Decision.Send.class);
@@ -308,7 +308,7 @@
     /** A client may send for a minute: that is no silence of the host's, and the request's time begins after it. */
     @Test
     void anAttemptWhoseRequestIsStillComingIsNotTakenForASilentHosts() {
-        facade.news(new ListNews(Kind.CHANGES, List.of(new Line("s2", "north", 1, State.SERVING, 1, 0))));
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send sent = (Decision.Send) facade.pick(1, LONG);
         for (int i = 0; i < 600; i++) {
             now.addAndGet(100_000);
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -6,7 +6,7 @@
 import dapplequay.discovery.ServerStatus;
 import dapplequay.discovery.Transition;
 import dapplequay.facade.Facade;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.http.Sockets;
 import dapplequay.management.DiscoveryFigures;
 import dapplequay.membership.ListClock;
@@ -329,7 +329,7 @@
         } else if (clock.silent()) {
             return;             // what it may have missed counts soon: the next one is not put off
         }
-        facade.news(ListNews.failed());
+        facade.applyListUpdate(ListUpdate.failed());
         if (hasMoved) {
             facade.watchAnew();         // the address came just before the module was told of the old one's failure
         }
@@ -345,7 +345,7 @@
                     new Object[] {Long.toString(update.revision()), Long.toString(known)});
         }
         tellOfDoubt(applied.outcome());
-        boolean isNews = isCurrent || !applied.outcome().news().lines().isEmpty();
+        boolean isNews = isCurrent || !applied.outcome().news().entries().isEmpty();
         take(applied, isNews);
         String source = "version " + update.revision() + " of " + Sockets.text(call.connection().address())
                 + (isCurrent ? "" : ", on a superseded call") + ", asked for "
@@ -368,7 +368,7 @@
     private void take(Endpoints.Applied applied, boolean isNews) {
         try {
             if (isNews) {
-                facade.news(applied.outcome().news());
+                facade.applyListUpdate(applied.outcome().news());
             }
         } catch (RuntimeException e) {
             table.wantWholeList();
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -3,9 +3,9 @@
 import dapplequay.discovery.ListAnswer;
 import dapplequay.discovery.ServerRegistry;
 import dapplequay.discovery.ServerStatus;
-import dapplequay.facade.ListNews;
-import dapplequay.facade.ListNews.Line;
-import dapplequay.facade.ListNews.State;
+import dapplequay.facade.ListUpdate;
+import dapplequay.facade.ListUpdate.ServerEntry;
+import dapplequay.facade.ListUpdate.State;
 import dapplequay.http.Sockets;
 import dapplequay.settings.Json;
 import java.io.IOException;
@@ -34,7 +34,7 @@
     record Endpoint(String uid, InetSocketAddress address, long bootMs) { }
 
     /** One text of discovery's, read and checked as a whole before any of it counts. */
-    record Update(long revision, ListNews news, Map<String, InetSocketAddress> addresses) { }
+    record Update(long revision, ListUpdate news, Map<String, InetSocketAddress> addresses) { }
 
     /** What came of an answer, and the endpoints that take no new work any more. */
     record Applied(ServerRegistry.Outcome outcome, Set<Endpoint> closed) { }
@@ -58,7 +58,7 @@
         try {
             Map<?, ?> map = (Map<?, ?>) tree;
             boolean whole = (Boolean) map.get("all");
-            List<Line> lines = new ArrayList<>();
+            List<ServerEntry> lines = new ArrayList<>();
             Map<String, InetSocketAddress> addresses = new HashMap<>();
             Set<String> uids = new HashSet<>();
             for (Object target : (List<?>) map.get("targets")) {
@@ -74,11 +74,11 @@
                 if (state != State.DELETED) {
                     addresses.put(uid, address((String) entry.get("endpoint")));
                 }
-                lines.add(new Line(uid, (String) entry.get("az"), (int) number(entry, "pod_group", 0),
+                lines.add(new ServerEntry(uid, (String) entry.get("az"), (int) number(entry, "pod_group", 0),
                         state, number(entry, "capacity_hint", 1), (long) number(entry, "boot_ms", 0)));
             }
-            ListNews.Kind kind = whole ? ListNews.Kind.WHOLE : ListNews.Kind.CHANGES;
-            return new Update(revision(map.get("rev")), new ListNews(kind, lines), addresses);
+            ListUpdate.Kind kind = whole ? ListUpdate.Kind.FULL : ListUpdate.Kind.DELTA;
+            return new Update(revision(map.get("rev")), new ListUpdate(kind, lines), addresses);
         } catch (ClassCastException | NullPointerException | IllegalArgumentException e) {
             throw new IOException("not a list of servers: " + e.getMessage(), e);
         }
@@ -118,7 +118,7 @@
         Set<Endpoint> before = serving();
         endpoints.clear();
         learn(update);
-        registry.restore(update.revision(), update.news().lines());
+        registry.restore(update.revision(), update.news().entries());
         before.removeAll(serving());
         return before;
     }
@@ -129,7 +129,7 @@
         ListAnswer answer = new ListAnswer(update.revision(), update.news(), call, receivedUs);
         ServerRegistry.Outcome outcome = registry.answered(answer, graceLeftUs);
         Set<String> takenOver = new HashSet<>();
-        outcome.news().lines().forEach(line -> takenOver.add(line.uid()));
+        outcome.news().entries().forEach(line -> takenOver.add(line.uid()));
         Map<String, InetSocketAddress> addresses = new HashMap<>(update.addresses());
         addresses.keySet().retainAll(takenOver);
         learn(new Update(update.revision(), outcome.news(), addresses));
@@ -153,7 +153,7 @@
 
     /** Of lines that were taken over, the addresses; where a line names none, or drains, the one known stays. */
     private void learn(Update update) {
-        for (Line line : update.news().lines()) {
+        for (ServerEntry line : update.news().entries()) {
             Endpoint known = endpoints.get(line.uid());
             InetSocketAddress address = update.addresses().getOrDefault(line.uid(),
                     known == null ? null : known.address());
@@ -205,7 +205,7 @@
     /** The list in discovery's form, so that a later life can begin with it. */
     synchronized Map<String, Object> tree() {
         List<Object> targets = new ArrayList<>();
-        for (Line line : registry.lines()) {
+        for (ServerEntry line : registry.lines()) {
             Map<String, Object> target = new LinkedHashMap<>();
             target.put("uid", line.uid());
             target.put("endpoint", Sockets.text(endpoints.get(line.uid()).address()));
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -1,7 +1,7 @@
 package dapplequay.net;
 
 import dapplequay.facade.Facade;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.http.Sockets;
 import dapplequay.lifecycle.Ending;
 import dapplequay.management.Counts;
@@ -171,13 +171,13 @@
 
     private static Endpoints restored(Plan plan, Facade facade, boolean binds) throws IOException {
         Endpoints table = new Endpoints(!binds);
-        List<ListNews.Line> lines = List.of();
+        List<ListUpdate.ServerEntry> lines = List.of();
         if (plan.known() != null) {
             Endpoints.Update known = Endpoints.read(plan.known());
             table.restore(known);
-            lines = known.news().lines();
+            lines = known.news().entries();
         }
-        facade.news(new ListNews(ListNews.Kind.RESTORED, lines));
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, lines));
         return table;
     }
 
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -4,7 +4,7 @@
 import dapplequay.facade.Decision;
 import dapplequay.facade.Facade;
 import dapplequay.facade.AttemptEnd;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
 import dapplequay.settings.SettingsReader.Setup;
@@ -50,12 +50,12 @@
         int rounds = 0;
         long until = deadlines.now() + LONGEST_US;
         try {
-            List<ListNews.Line> lines = new ArrayList<>();
+            List<ListUpdate.ServerEntry> lines = new ArrayList<>();
             for (int i = 0; i < HOSTS; i++) {
                 String zone = setup.settings().zones().get(i % setup.settings().zones().size());
-                lines.add(new ListNews.Line("w" + i, zone, i % 2, ListNews.State.SERVING, 1, 0));
+                lines.add(new ListUpdate.ServerEntry("w" + i, zone, i % 2, ListUpdate.State.SERVING, 1, 0));
             }
-            facade.news(new ListNews(ListNews.Kind.RESTORED, lines));
+            facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, lines));
             while (rounds < ROUNDS && deadlines.now() < until) {
                 round(rounds++);
             }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -1,7 +1,7 @@
 package dapplequay.net;
 
 import dapplequay.facade.Facade;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.management.Counts;
 import dapplequay.management.DiscoveryFigures;
 import dapplequay.settings.Json;
@@ -161,7 +161,7 @@
         Endpoints table = new Endpoints();
         Endpoints.Update known = Endpoints.read(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
         table.restore(known);
-        facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
         Counts counts = new Counts();
         counts.know(setup.classes().keySet());
         lifetime = new Lifetime(deadlines::now);
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dapplequay.facade.Facade;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.management.Counts;
 import dapplequay.management.DiscoveryFigures;
 import dapplequay.membership.ListClock;
@@ -128,7 +128,7 @@
         Facade facade = new Facade(setup, 7, clock::get, line -> { });
         Endpoints.Update known = Endpoints.read(known().getBytes());
         table.restore(known);
-        facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
         facade.watchAnew();
         UpstreamSide upstreams = new UpstreamSide(table, new Deadlines(clock::get), () -> setup, 4, new Counts(),
                 new DiscoveryFigures());
