--- a/core/src/main/java/dapplequay/discovery/ListAnswer.java
+++ b/core/src/main/java/dapplequay/discovery/ListResponse.java
@@ -6,24 +6,24 @@
  * One answer of discovery's, read and checked as a whole, with what decides how far it is trusted.
  *
  * @param revision   the version that it is of, 0 or more
- * @param content    the whole list, or changes
- * @param call       the call that it answers
+ * @param update    the whole list, or changes
+ * @param request       the call that it answers
  * @param receivedUs when its last byte was read, microseconds of the caller's monotonic clock
  */
-public record ListAnswer(long revision, ListUpdate content, Call call, long receivedUs) {
+public record ListResponse(long revision, ListUpdate update, Request request, long receivedUs) {
     /** What a call asks after that asks for the whole list. */
-    public static final long WHOLE_LIST = -1;
+    public static final long FULL_LIST = -1;
 
     /**
      * A call to discovery.
      *
      * @param generation how often discovery had moved when it was made, see {@link ServerRegistry#moved}
-     * @param after      the version after which changes were asked for, or {@link #WHOLE_LIST}
-     * @param begunUs    when it was made, microseconds of the same clock
+     * @param after      the version after which changes were asked for, or {@link #FULL_LIST}
+     * @param startedUs    when it was made, microseconds of the same clock
      */
-    public record Call(int generation, long after, long begunUs) { }
+    public record Request(int generation, long after, long startedUs) { }
 
-    boolean isWhole() {
-        return content.kind() == ListUpdate.Kind.FULL;
+    boolean isFull() {
+        return update.kind() == ListUpdate.Kind.FULL;
     }
 }
--- a/core/src/main/java/dapplequay/discovery/ServerRegistry.java
+++ b/core/src/main/java/dapplequay/discovery/ServerRegistry.java
@@ -62,8 +62,8 @@
     /** The version of the last list that was taken over with nothing left unconfirmed. */
     private long confirmedRevision;
     private boolean anyRevision;
-    private long newestCallUs = Long.MIN_VALUE;     // of the answers that were taken over in full
-    private boolean wholeListWanted;
+    private long newestAppliedRequestUs = Long.MIN_VALUE;     // of the answers that were taken over in full
+    private boolean fullListNeeded;
     private boolean isRegressed;                    // lists of a lower version come
     private long regressedSinceUs;
     private int regressedLists;
@@ -113,14 +113,14 @@
     public void moved() {
         generation++;
         anyRevision = true;
-        wholeListWanted = true;
+        fullListNeeded = true;
         isRegressed = false;
     }
 
     /** The call to make next, at that time. */
-    public ListAnswer.Call nextCall(long nowUs) {
-        long after = wholeListWanted ? ListAnswer.WHOLE_LIST : isRegressed ? regressedRevision : revision;
-        return new ListAnswer.Call(generation, after, nowUs);
+    public ListResponse.Request nextRequest(long nowUs) {
+        long after = fullListNeeded ? ListResponse.FULL_LIST : isRegressed ? regressedRevision : revision;
+        return new ListResponse.Request(generation, after, nowUs);
     }
 
     /**
@@ -132,13 +132,13 @@
     }
 
     /** Whether the next call has to ask for the whole list. */
-    public boolean wantsWholeList() {
-        return wholeListWanted;
+    public boolean needsFullList() {
+        return fullListNeeded;
     }
 
     /** The last list could not be used by others: all of it is asked for again. */
-    public void wantWholeList() {
-        wholeListWanted = true;
+    public void requestFullList() {
+        fullListNeeded = true;
     }
 
     /** Whether lists of a lower version than the one known are coming. */
@@ -147,63 +147,63 @@
     }
 
     /** Takes in an answer; {@code graceLeftUs}: what is left of the drain's grace for what it brings, 0 or more. */
-    public Outcome answered(ListAnswer answer, long graceLeftUs) {
-        forgetOld(answer.receivedUs());
+    public Outcome applyResponse(ListResponse response, long graceLeftUs) {
+        forgetOld(response.receivedUs());
         changes = new Changes();
-        boolean isCurrent = answer.call().generation() == generation;
-        if (isCurrent && answer.isWhole() && answer.call().begunUs() >= newestCallUs) {
-            wholeListWanted = false;
+        boolean isCurrent = response.request().generation() == generation;
+        if (isCurrent && response.isFull() && response.request().startedUs() >= newestAppliedRequestUs) {
+            fullListNeeded = false;
         }
-        long deadlineUs = answer.receivedUs() + Math.max(0, graceLeftUs - HOLD_UP_US);
-        if (!isCurrent || answer.call().begunUs() < newestCallUs) {
-            takeOut(answer, deadlineUs);
-            wholeListWanted |= !changes.transitions.isEmpty();      // the newer word is asked for again
+        long deadlineUs = response.receivedUs() + Math.max(0, graceLeftUs - HOLD_UP_US);
+        if (!isCurrent || response.request().startedUs() < newestAppliedRequestUs) {
+            takeOut(response, deadlineUs);
+            fullListNeeded |= !changes.transitions.isEmpty();      // the newer word is asked for again
             return outcome(ListUpdate.Kind.DELTA, changes.entries);
         }
-        if (belongsToNoList(answer) || !anyRevision && answer.revision() < revision) {
-            return regressed(answer, deadlineUs);
+        if (belongsToNoList(response) || !anyRevision && response.revision() < revision) {
+            return regressed(response, deadlineUs);
         }
-        return takeOver(answer, deadlineUs);
+        return takeOver(response, deadlineUs);
     }
 
     /** Changes to a list that is not known: of a lower version than the one asked after, or, asked for all, of any. */
-    private boolean belongsToNoList(ListAnswer answer) {
-        long after = answer.call().after();
-        boolean isUnknown = after == ListAnswer.WHOLE_LIST ? anyRevision : answer.revision() < after;
-        return !answer.isWhole() && isUnknown;
+    private boolean belongsToNoList(ListResponse response) {
+        long after = response.request().after();
+        boolean isUnknown = after == ListResponse.FULL_LIST ? anyRevision : response.revision() < after;
+        return !response.isFull() && isUnknown;
     }
 
     /** An answer of a lower version: it takes out, and what it brings in waits. */
-    private Outcome regressed(ListAnswer answer, long deadlineUs) {
+    private Outcome regressed(ListResponse response, long deadlineUs) {
         if (!isRegressed) {
             isRegressed = true;
-            regressedSinceUs = answer.receivedUs();
+            regressedSinceUs = response.receivedUs();
             regressedLists = 0;
-            regressedRevision = ListAnswer.WHOLE_LIST;
+            regressedRevision = ListResponse.FULL_LIST;
         }
-        boolean isOver = answer.receivedUs() - regressedSinceUs >= REGRESSION_US;
-        if (isOver && answer.isWhole()) {
-            return takeOver(answer, deadlineUs);
+        boolean isOver = response.receivedUs() - regressedSinceUs >= REGRESSION_US;
+        if (isOver && response.isFull()) {
+            return takeOver(response, deadlineUs);
         }
-        takeOut(answer, deadlineUs);
+        takeOut(response, deadlineUs);
         boolean follows;
-        if (answer.isWhole()) {
+        if (response.isFull()) {
             regressedLists++;
-            regressedRevision = answer.revision();
+            regressedRevision = response.revision();
             follows = regressedLists > 1;       // the first may be a mistake that the next one shows
         } else {
-            follows = !isOver && regressedLists > 0 && answer.call().after() == regressedRevision
-                    && answer.revision() >= regressedRevision;
-            regressedRevision = follows ? answer.revision() : regressedRevision;
+            follows = !isOver && regressedLists > 0 && response.request().after() == regressedRevision
+                    && response.revision() >= regressedRevision;
+            regressedRevision = follows ? response.revision() : regressedRevision;
         }
-        wholeListWanted = !follows;
+        fullListNeeded = !follows;
         return outcome(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** Of an answer that is not trusted, what it takes out. */
-    private void takeOut(ListAnswer answer, long deadlineUs) {
+    private void takeOut(ListResponse response, long deadlineUs) {
         Set<String> named = new HashSet<>();
-        for (ServerEntry entry : answer.content().entries()) {
+        for (ServerEntry entry : response.update().entries()) {
             named.add(entry.uid());
             TrackedServer tracked = trackedByUid.get(entry.uid());
             if (tracked == null) {
@@ -211,15 +211,15 @@
             }
             // A drain before a later start of the server is over.
             if (entry.state() == State.DRAINING && entry.bootMs() >= tracked.entry.bootMs() && isUsable(tracked)) {
-                drain(tracked, tracked.entry, answer.receivedUs());
+                drain(tracked, tracked.entry, response.receivedUs());
             } else if (entry.state() == State.DELETED) {
-                remove(tracked, Cause.NAMED_DELETED, answer.receivedUs());
+                remove(tracked, Cause.NAMED_DELETED, response.receivedUs());
             }
         }
-        if (answer.isWhole()) {
+        if (response.isFull()) {
             for (TrackedServer tracked : List.copyOf(trackedByUid.values())) {
                 if (!named.contains(tracked.entry.uid()) && isUsable(tracked)) {
-                    leftOut(tracked, answer.receivedUs(), deadlineUs);
+                    leftOut(tracked, response.receivedUs(), deadlineUs);
                 }
             }
         }
@@ -246,85 +246,85 @@
     }
 
     /** All of an answer counts, but for servers that it seems to have lost. */
-    private Outcome takeOver(ListAnswer answer, long deadlineUs) {
+    private Outcome takeOver(ListResponse response, long deadlineUs) {
         boolean wasRegressed = isRegressed;
         isRegressed = false;
         anyRevision = false;
-        newestCallUs = answer.call().begunUs();
-        if (answer.isWhole()) {
-            takeOutLeftOut(answer, deadlineUs);
+        newestAppliedRequestUs = response.request().startedUs();
+        if (response.isFull()) {
+            takeOutLeftOut(response, deadlineUs);
         }
         boolean isPartial = false;
-        for (ServerEntry entry : answer.content().entries()) {
-            isPartial |= !takeOver(entry, answer);
+        for (ServerEntry entry : response.update().entries()) {
+            isPartial |= !takeOver(entry, response);
         }
-        revision = answer.revision();
+        revision = response.revision();
         findNextDeadline();
         boolean isConfirmed = nextDeadlineUs == NEVER;
         confirmedRevision = isConfirmed ? revision : confirmedRevision;
         // Changes to a list of which, while versions were lower, not all was taken over.
-        wholeListWanted |= !isConfirmed || isPartial || wasRegressed && !answer.isWhole();
-        boolean isAll = answer.isWhole() && isConfirmed && !isPartial;
-        return isAll ? outcome(ListUpdate.Kind.FULL, answer.content().entries())
+        fullListNeeded |= !isConfirmed || isPartial || wasRegressed && !response.isFull();
+        boolean isAll = response.isFull() && isConfirmed && !isPartial;
+        return isAll ? outcome(ListUpdate.Kind.FULL, response.update().entries())
                 : outcome(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** False where the line would bring back what was taken out after the call was made. */
-    private boolean takeOver(ServerEntry entry, ListAnswer answer) {
+    private boolean takeOver(ServerEntry entry, ListResponse response) {
         TrackedServer tracked = trackedByUid.get(entry.uid());
         if (entry.state() == State.DELETED) {
             if (tracked != null) {
-                remove(tracked, Cause.NAMED_DELETED, answer.receivedUs());
+                remove(tracked, Cause.NAMED_DELETED, response.receivedUs());
             }
             return true;
         }
         if (entry.state() == State.DRAINING) {
             if (tracked == null) {
-                put(entry, answer.receivedUs());
+                put(entry, response.receivedUs());
             } else {
-                drain(tracked, entry, answer.receivedUs());
+                drain(tracked, entry, response.receivedUs());
             }
             return true;
         }
-        if (isOlderWord(entry, tracked, answer.call().begunUs())) {
+        if (isOlderWord(entry, tracked, response.request().startedUs())) {
             return false;
         }
         if (tracked == null) {
-            put(entry, answer.receivedUs());
+            put(entry, response.receivedUs());
             return true;
         }
         tracked.entry = entry;
         tracked.deadlineUs = NEVER;
         if (tracked.status != ServerStatus.SERVING) {
-            change(tracked, ServerStatus.SERVING, Cause.NAMED_SERVING, answer.receivedUs());
+            change(tracked, ServerStatus.SERVING, Cause.NAMED_SERVING, response.receivedUs());
         }
         changes.entries.add(entry);
         return true;
     }
 
     /** Whether the server, being the same process, was taken or left out after the call was made. */
-    private boolean isOlderWord(ServerEntry entry, TrackedServer tracked, long begunUs) {
+    private boolean isOlderWord(ServerEntry entry, TrackedServer tracked, long startedUs) {
         if (tracked != null) {
-            return tracked.status != ServerStatus.SERVING && tracked.statusUs > begunUs
+            return tracked.status != ServerStatus.SERVING && tracked.statusUs > startedUs
                     && entry.bootMs() <= tracked.entry.bootMs();
         }
         Gone left = gone.get(entry.uid());
-        return left != null && left.sinceUs > begunUs && entry.bootMs() <= left.bootMs;
+        return left != null && left.sinceUs > startedUs && entry.bootMs() <= left.bootMs;
     }
 
     /** The servers that a trusted list leaves out are gone; where they are most of all, they are unconfirmed first. */
-    private void takeOutLeftOut(ListAnswer answer, long deadlineUs) {
+    private void takeOutLeftOut(ListResponse response, long deadlineUs) {
         Set<String> named = new HashSet<>();
-        answer.content().entries().forEach(entry -> named.add(entry.uid()));
+        response.update().entries().forEach(entry -> named.add(entry.uid()));
         List<TrackedServer> missing = trackedByUid.values().stream().filter(e -> !named.contains(e.entry.uid())).toList();
         long usable = trackedByUid.values().stream().filter(ServerRegistry::isUsable).count();
         long lost = missing.stream().filter(ServerRegistry::isUsable).count();
         boolean isDoubtful = usable >= FEWEST_FOR_DOUBT && lost > usable * MOST_LOST_SHARE;
         for (TrackedServer tracked : missing) {
             if (isDoubtful && isUsable(tracked)) {
-                leftOut(tracked, answer.receivedUs(), deadlineUs);
+                leftOut(tracked, response.receivedUs(), deadlineUs);
             } else {
-                remove(tracked, Cause.LEFT_OUT, answer.receivedUs());
+                remove(tracked, Cause.LEFT_OUT, response.receivedUs());
             }
         }
     }
--- a/core/src/test/java/dapplequay/discovery/ServerRegistryTest.java
+++ b/core/src/test/java/dapplequay/discovery/ServerRegistryTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dapplequay.discovery.ListAnswer.Call;
+import dapplequay.discovery.ListResponse.Request;
 import dapplequay.facade.ListUpdate;
 import dapplequay.facade.ListUpdate.Kind;
 import dapplequay.facade.ListUpdate.ServerEntry;
@@ -40,12 +40,12 @@
         registry.restore(REVISION, serving(0, 1, 2, 3));
     }
 
-    private ServerRegistry.Outcome answer(Call call, long revision, Kind kind, List<ServerEntry> entries) {
-        return registry.answered(new ListAnswer(revision, new ListUpdate(kind, entries), call, nowUs), GRACE_US);
+    private ServerRegistry.Outcome answer(Request request, long revision, Kind kind, List<ServerEntry> entries) {
+        return registry.applyResponse(new ListResponse(revision, new ListUpdate(kind, entries), request, nowUs), GRACE_US);
     }
 
-    private Call call() {
-        return registry.nextCall(nowUs);
+    private Request nextRequest() {
+        return registry.nextRequest(nowUs);
     }
 
     private boolean maySend(int server) {
@@ -55,12 +55,12 @@
     @Test
     void drainsAndDeletionsCountAtOnceAndChangesKeepTheRest() {
         begin();
-        answer(call(), 101, Kind.DELTA, List.of(entry(0, State.DRAINING), entry(1, State.DELETED)));
+        answer(nextRequest(), 101, Kind.DELTA, List.of(entry(0, State.DRAINING), entry(1, State.DELETED)));
         assertThat(registry.statusOf("s0")).isEqualTo(ServerStatus.DRAINING);
         assertThat(registry.statusOf("s1")).isEqualTo(ServerStatus.REMOVED);
         assertThat(maySend(0) || maySend(1)).isFalse();
         assertThat(maySend(2) && maySend(3)).isTrue();
-        assertThat(call()).isEqualTo(new Call(0, 101, nowUs));
+        assertThat(nextRequest()).isEqualTo(new Request(0, 101, nowUs));
     }
 
     /** So many of four are left out: whether they are gone at once, or asked about first. */
@@ -69,10 +69,10 @@
     void aTrustedListThatLosesMoreThanHalfIsAskedAboutAgain(int leftOut, ServerStatus status) {
         begin();
         List<ServerEntry> rest = serving(0, 1, 2, 3).subList(leftOut, SERVERS);
-        answer(call(), 101, Kind.FULL, rest);
+        answer(nextRequest(), 101, Kind.FULL, rest);
         assertThat(registry.statusOf("s0")).isEqualTo(status);
         boolean isAskedAbout = status == ServerStatus.UNCONFIRMED;
-        assertThat(registry.wantsWholeList()).isEqualTo(isAskedAbout);
+        assertThat(registry.needsFullList()).isEqualTo(isAskedAbout);
         assertThat(maySend(0)).isEqualTo(isAskedAbout);
         nowUs += GRACE_US - ServerRegistry.HOLD_UP_US;
         assertThat(maySend(0)).as("a hold-up before the end of the grace").isFalse();
@@ -84,13 +84,13 @@
     @Test
     void aSecondListThatLeavesItOutConfirmsAndOneThatNamesItBringsItBack() {
         begin();
-        answer(call(), 101, Kind.FULL, serving(3));
+        answer(nextRequest(), 101, Kind.FULL, serving(3));
         nowUs += 10 * MS;
-        answer(call(), 101, Kind.FULL, serving(2, 3));
+        answer(nextRequest(), 101, Kind.FULL, serving(2, 3));
         assertThat(registry.statusOf("s0")).isEqualTo(ServerStatus.REMOVED);
         assertThat(registry.statusOf("s2")).isEqualTo(ServerStatus.SERVING);
         assertThat(registry.nextDeadlineUs()).isEqualTo(Long.MAX_VALUE);
-        assertThat(registry.wantsWholeList()).isFalse();
+        assertThat(registry.needsFullList()).isFalse();
     }
 
     /** The answer to a call after the known version has no changes, of a lower one: nothing of that list is known. */
@@ -99,8 +99,8 @@
     void noChangesOfALowerVersionHaveTheWholeListAskedFor(boolean anyRevision) {
         ServerRegistry fresh = new ServerRegistry(anyRevision);
         fresh.restore(REVISION, serving(0, 1, 2, 3));
-        fresh.answered(new ListAnswer(2, new ListUpdate(Kind.DELTA, List.of()), fresh.nextCall(nowUs), nowUs), GRACE_US);
-        assertThat(fresh.nextCall(nowUs).after()).isEqualTo(ListAnswer.WHOLE_LIST);
+        fresh.applyResponse(new ListResponse(2, new ListUpdate(Kind.DELTA, List.of()), fresh.nextRequest(nowUs), nowUs), GRACE_US);
+        assertThat(fresh.nextRequest(nowUs).after()).isEqualTo(ListResponse.FULL_LIST);
         assertThat(fresh.revision()).isEqualTo(REVISION);
     }
 
@@ -110,22 +110,22 @@
         begin();
         List<ServerEntry> lower = new ArrayList<>(serving(0, 1, 2));
         lower.add(entry(9, State.SERVING));
-        answer(call(), 5, Kind.FULL, lower);
+        answer(nextRequest(), 5, Kind.FULL, lower);
         assertThat(registry.statusOf("s3")).isEqualTo(ServerStatus.UNCONFIRMED);
         assertThat(registry.statusOf("s9")).isEqualTo(ServerStatus.REMOVED);
-        assertThat(registry.wantsWholeList()).as("it may be a mistake").isTrue();
+        assertThat(registry.needsFullList()).as("it may be a mistake").isTrue();
         nowUs += 10 * MS;
-        answer(call(), 5, Kind.FULL, lower);
+        answer(nextRequest(), 5, Kind.FULL, lower);
         assertThat(registry.statusOf("s3")).isEqualTo(ServerStatus.REMOVED);
-        assertThat(call().after()).as("its changes are watched for").isEqualTo(5);
-        answer(call(), 6, Kind.DELTA, List.of(entry(2, State.DRAINING)));
+        assertThat(nextRequest().after()).as("its changes are watched for").isEqualTo(5);
+        answer(nextRequest(), 6, Kind.DELTA, List.of(entry(2, State.DRAINING)));
         assertThat(maySend(2)).isFalse();
-        assertThat(call().after()).isEqualTo(6);
+        assertThat(nextRequest().after()).isEqualTo(6);
         assertThat(registry.revision()).isEqualTo(REVISION);
         nowUs += ServerRegistry.REGRESSION_US;
-        answer(call(), 6, Kind.DELTA, List.of());
-        assertThat(registry.wantsWholeList()).isTrue();
-        answer(call(), 6, Kind.FULL, lower.subList(1, 4));
+        answer(nextRequest(), 6, Kind.DELTA, List.of());
+        assertThat(registry.needsFullList()).isTrue();
+        answer(nextRequest(), 6, Kind.FULL, lower.subList(1, 4));
         assertThat(maySend(9)).isTrue();
         assertThat(registry.revision()).isEqualTo(6);
     }
@@ -134,10 +134,10 @@
     @Test
     void aSupersededAnswerTakesOutAndBringsNobodyIn() {
         begin();
-        Call old = call();
+        Request old = nextRequest();
         registry.moved();
-        assertThat(call().after()).as("the new address is asked for all").isEqualTo(ListAnswer.WHOLE_LIST);
-        Call next = call();
+        assertThat(nextRequest().after()).as("the new address is asked for all").isEqualTo(ListResponse.FULL_LIST);
+        Request next = nextRequest();
         nowUs += 10 * MS;
         var outcome = answer(old, 107, Kind.DELTA, List.of(entry(0, State.DRAINING), entry(9, State.SERVING)));
         assertThat(outcome.news().entries()).extracting(ServerEntry::uid).containsExactly("s0");
@@ -145,17 +145,17 @@
         nowUs += 10 * MS;
         answer(next, 3, Kind.FULL, serving(0, 1, 2, 3));
         assertThat(maySend(0)).as("named by an answer to a call made before the drain was heard").isFalse();
-        assertThat(registry.wantsWholeList()).isTrue();
-        answer(call(), 3, Kind.FULL, serving(0, 1, 2, 3));
+        assertThat(registry.needsFullList()).isTrue();
+        answer(nextRequest(), 3, Kind.FULL, serving(0, 1, 2, 3));
         assertThat(maySend(0)).as("asked for again").isTrue();
     }
 
     @Test
     void aLaterStartOfTheServerIsNotTakenForTheProcessThatDrained() {
         begin();
-        answer(call(), 101, Kind.DELTA, List.of(entry(0, State.SERVING, 50)));
+        answer(nextRequest(), 101, Kind.DELTA, List.of(entry(0, State.SERVING, 50)));
         registry.moved();
-        answer(new Call(0, 100, nowUs), 100, Kind.DELTA, List.of(entry(0, State.DRAINING, 0)));
+        answer(new Request(0, 100, nowUs), 100, Kind.DELTA, List.of(entry(0, State.DRAINING, 0)));
         assertThat(maySend(0)).isTrue();
     }
 
@@ -163,7 +163,7 @@
     @Test
     void whatIsKeptWhileServersAreUnconfirmed() {
         begin();
-        answer(call(), 101, Kind.FULL, serving(3));
+        answer(nextRequest(), 101, Kind.FULL, serving(3));
         assertThat(registry.confirmedRevision()).isEqualTo(REVISION);
         assertThat(registry.entries()).filteredOn(entry -> entry.state() == State.DRAINING).hasSize(3);
         nowUs += GRACE_US;
@@ -175,7 +175,7 @@
     @Test
     void theLastSendAfterTheNewsIsTold() {
         begin();
-        answer(call(), 101, Kind.FULL, serving(3));
+        answer(nextRequest(), 101, Kind.FULL, serving(3));
         nowUs += 40 * MS;
         registry.sent("s0", nowUs);
         nowUs += 60 * MS;
@@ -197,15 +197,15 @@
         private long graceUs = GRACE_US;
         private long revision = REVISION;
         private long lower = 5;
-        private Call superseded;
+        private Request superseded;
 
         Walk() {
             registry.restore(REVISION, serving(0, 1, 2, 3));
             Arrays.fill(lastMomentUs, Long.MAX_VALUE);
-            superseded = registry.nextCall(nowUs);
+            superseded = registry.nextRequest(nowUs);
         }
 
-        private void answer(Call call, long itsRevision, Kind kind, List<ServerEntry> entries) {
+        private void answer(Request request, long itsRevision, Kind kind, List<ServerEntry> entries) {
             for (int server = 0; server < SERVERS; server++) {
                 String uid = "s" + server;
                 ServerEntry entry = entries.stream().filter(l -> l.uid().equals(uid)).findFirst().orElse(null);
@@ -214,38 +214,38 @@
                 lastMomentUs[server] = isNamed ? Long.MAX_VALUE : !isTakenOut ? lastMomentUs[server]
                         : Math.min(lastMomentUs[server], nowUs + graceUs);
             }
-            registry.answered(new ListAnswer(itsRevision, new ListUpdate(kind, entries), call, nowUs), graceUs);
+            registry.applyResponse(new ListResponse(itsRevision, new ListUpdate(kind, entries), request, nowUs), graceUs);
         }
 
         void play(Event event) {
             nowUs += 20 * MS;
-            Call call = registry.nextCall(nowUs);
-            boolean isWhole = call.after() == ListAnswer.WHOLE_LIST;
+            Request request = registry.nextRequest(nowUs);
+            boolean isWhole = request.after() == ListResponse.FULL_LIST;
             Kind changes = isWhole ? Kind.FULL : Kind.DELTA;
             List<ServerEntry> drain = new ArrayList<>(isWhole ? serving(1, 2, 3) : List.of());
             drain.add(entry(0, State.DRAINING));
             nowUs += 20 * MS;
             switch (event) {
-                case WHOLE_LIST -> answer(call, ++revision, Kind.FULL, serving(0, 1, 2, 3));
-                case LIST_WITHOUT_MOST -> answer(call, ++revision, Kind.FULL, serving(3));
-                case LIST_WITHOUT_ONE -> answer(call, ++revision, Kind.FULL, serving(1, 2, 3));
-                case LOWER_LIST -> answer(call, ++lower, Kind.FULL, serving(0, 1, 2, 3));
-                case LOWER_LIST_WITHOUT_MOST -> answer(call, ++lower, Kind.FULL, serving(3));
-                case DRAIN -> answer(call, ++revision, changes, drain);
-                case LOWER_DRAIN -> answer(call, ++lower, changes, drain);
+                case WHOLE_LIST -> answer(request, ++revision, Kind.FULL, serving(0, 1, 2, 3));
+                case LIST_WITHOUT_MOST -> answer(request, ++revision, Kind.FULL, serving(3));
+                case LIST_WITHOUT_ONE -> answer(request, ++revision, Kind.FULL, serving(1, 2, 3));
+                case LOWER_LIST -> answer(request, ++lower, Kind.FULL, serving(0, 1, 2, 3));
+                case LOWER_LIST_WITHOUT_MOST -> answer(request, ++lower, Kind.FULL, serving(3));
+                case DRAIN -> answer(request, ++revision, changes, drain);
+                case LOWER_DRAIN -> answer(request, ++lower, changes, drain);
                 case NO_LOWER_CHANGES -> {
-                    answer(call, lower, Kind.DELTA, List.of());
-                    assertThat(call.after() <= lower && !isWhole || registry.wantsWholeList()).isTrue();
+                    answer(request, lower, Kind.DELTA, List.of());
+                    assertThat(request.after() <= lower && !isWhole || registry.needsFullList()).isTrue();
                 }
                 case SUPERSEDED_DRAIN -> answer(superseded, revision, Kind.DELTA, List.of(entry(0, State.DRAINING)));
                 case SUPERSEDED_LIST_WITHOUT_MOST -> answer(superseded, revision, Kind.FULL, serving(3));
                 case MOVE -> {
-                    superseded = call;
+                    superseded = request;
                     registry.moved();
                 }
                 case FAILURE -> registry.expire(nowUs);
                 case SILENCE -> {
-                    superseded = call;
+                    superseded = request;
                     nowUs += 30 * MS;
                     registry.expire(nowUs);
                 }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -1,6 +1,6 @@
 package dapplequay.net;
 
-import dapplequay.discovery.ListAnswer;
+import dapplequay.discovery.ListResponse;
 import dapplequay.discovery.ServerRegistry;
 import dapplequay.discovery.ServerRegistry.Outcome;
 import dapplequay.discovery.ServerStatus;
@@ -49,7 +49,7 @@
     private static final long NEVER = Long.MIN_VALUE;
 
     /** A call under way; {@code closeAtUs}: when it is not read any longer, once it is superseded. */
-    private record Call(ListAnswer.Call id, DiscoveryConnection connection, long closeAtUs) {
+    private record Call(ListResponse.Request id, DiscoveryConnection connection, long closeAtUs) {
         Call superseded(long nowUs) {
             return new Call(id, connection, nowUs + SUPERSEDED_US);
         }
@@ -203,8 +203,8 @@
         }
         hasMoved = false;
         long nowUs = now.getAsLong();
-        ListAnswer.Call id = table.nextCall(nowUs);
-        boolean asksForAll = id.after() == ListAnswer.WHOLE_LIST;
+        ListResponse.Request id = table.nextCall(nowUs);
+        boolean asksForAll = id.after() == ListResponse.FULL_LIST;
         long waitUs = clock.begin(nowUs, asksForAll);
         if (connection == null) {
             connection = new DiscoveryConnection(discovery, this, now);
@@ -349,7 +349,7 @@
         take(applied, isNews);
         String source = "version " + update.revision() + " of " + Sockets.text(call.connection().address())
                 + (isCurrent ? "" : ", on a superseded call") + ", asked for "
-                + (receivedUs - call.id().begunUs()) / 1_000 + " ms before";
+                + (receivedUs - call.id().startedUs()) / 1_000 + " ms before";
         tell(applied.outcome(), source);
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -1,6 +1,6 @@
 package dapplequay.net;
 
-import dapplequay.discovery.ListAnswer;
+import dapplequay.discovery.ListResponse;
 import dapplequay.discovery.ServerRegistry;
 import dapplequay.discovery.ServerStatus;
 import dapplequay.facade.ListUpdate;
@@ -124,10 +124,10 @@
     }
 
     /** Takes in an answer to that call; {@code graceLeftUs}: of the drain's grace for what it brings. */
-    synchronized Applied apply(Update update, ListAnswer.Call call, long receivedUs, long graceLeftUs) {
+    synchronized Applied apply(Update update, ListResponse.Request call, long receivedUs, long graceLeftUs) {
         Set<Endpoint> before = serving();
-        ListAnswer answer = new ListAnswer(update.revision(), update.news(), call, receivedUs);
-        ServerRegistry.Outcome outcome = registry.answered(answer, graceLeftUs);
+        ListResponse answer = new ListResponse(update.revision(), update.news(), call, receivedUs);
+        ServerRegistry.Outcome outcome = registry.applyResponse(answer, graceLeftUs);
         Set<String> takenOver = new HashSet<>();
         outcome.news().entries().forEach(line -> takenOver.add(line.uid()));
         Map<String, InetSocketAddress> addresses = new HashMap<>(update.addresses());
@@ -180,12 +180,12 @@
     }
 
     /** The call to make next. */
-    synchronized ListAnswer.Call nextCall(long nowUs) {
-        return registry.nextCall(nowUs);
+    synchronized ListResponse.Request nextCall(long nowUs) {
+        return registry.nextRequest(nowUs);
     }
 
     synchronized boolean wantsWholeList() {
-        return registry.wantsWholeList();
+        return registry.needsFullList();
     }
 
     /** See {@link ServerRegistry#pauseBeforeAskingAgainUs}. */
@@ -195,7 +195,7 @@
 
     /** The decision module could not take over what this table has: both need all of it. */
     synchronized void wantWholeList() {
-        registry.wantWholeList();
+        registry.requestFullList();
     }
 
     synchronized boolean isRegressed() {
