--- a/core/src/main/java/dapplequay/discovery/ServerRegistry.java
+++ b/core/src/main/java/dapplequay/discovery/ServerRegistry.java
@@ -29,18 +29,18 @@
  */
 public final class ServerRegistry {
     /** A process may be held up this long, us, between looking at a deadline and writing. */
-    public static final long HOLD_UP_US = 150_000;
+    public static final long SEND_DELAY_MARGIN_US = 150_000;
     /** For so long, us, what lists of a lower version bring in is taken for a mistake. */
-    public static final long REGRESSION_US = 30_000_000;
+    public static final long REGRESSION_TIMEOUT_US = 30_000_000;
     /** A server that was taken out is remembered for so long, us, against answers to calls made before. */
-    private static final long REMEMBERED_US = 30_000_000;
-    private static final int MOST_REMEMBERED = 4_096;
+    private static final long REMOVAL_MEMORY_US = 30_000_000;
+    private static final int MAX_REMEMBERED_REMOVALS = 4_096;
     /** Losing a larger share of the servers than this at once is asked about again. */
-    private static final double MOST_LOST_SHARE = 0.5;
+    private static final double MAX_LOSS_SHARE = 0.5;
     /** Of fewer servers than this, any share may go at once. */
-    private static final int FEWEST_FOR_DOUBT = 3;
+    private static final int MIN_SERVERS_FOR_LOSS_CHECK = 3;
     /** Of the time until the next deadline: the pause before a doubtful list is asked about again. */
-    private static final double PAUSE_SHARE = 0.25;
+    private static final double REFETCH_DELAY_SHARE = 0.25;
     private static final long NEVER = Long.MAX_VALUE;
 
     /** A listed server. {@code statusUs}: since when; {@code lastSendUs}: its last send while unconfirmed, or 0. */
@@ -75,20 +75,20 @@
     private static final class Changes {
         private final List<Transition> transitions = new ArrayList<>();
         private final List<ServerEntry> entries = new ArrayList<>();
-        private final List<SendAfterNews> takenOut = new ArrayList<>();
+        private final List<RotationExit> rotationExits = new ArrayList<>();
     }
 
     /** For a server that was taken out: how long after the news the last work was sent to it, microseconds. */
-    public record SendAfterNews(String uid, long lastSendUs) { }
+    public record RotationExit(String uid, long lastSendAfterNewsUs) { }
 
     /**
      * What came of an event.
      *
      * @param news        for the decision module; no lines where it has nothing to learn
      * @param transitions of servers' statuses
-     * @param takenOut    the servers that get no new work from now on
+     * @param rotationExits    the servers that get no new work from now on
      */
-    public record Outcome(ListUpdate news, List<Transition> transitions, List<SendAfterNews> takenOut) {
+    public record Result(ListUpdate update, List<Transition> transitions, List<RotationExit> rotationExits) {
         /** How many servers came to have that status for that cause. */
         public long count(Cause cause, ServerStatus status) {
             return transitions.stream().filter(t -> t.cause() == cause && t.to() == status).count();
@@ -110,7 +110,7 @@
     }
 
     /** Discovery is at another address from now on; deadlines that run stay. */
-    public void moved() {
+    public void discoveryMoved() {
         generation++;
         anyRevision = true;
         fullListNeeded = true;
@@ -127,8 +127,8 @@
      * How long to wait after an answer before all is asked for again, microseconds: a discovery that has lost its state
      * may find it again, and its second answer has to come before the first deadline.
      */
-    public long pauseBeforeAskingAgainUs(long nowUs) {
-        return nextDeadlineUs == NEVER ? 0 : (long) (Math.max(0, nextDeadlineUs - nowUs) * PAUSE_SHARE);
+    public long refetchDelayUs(long nowUs) {
+        return nextDeadlineUs == NEVER ? 0 : (long) (Math.max(0, nextDeadlineUs - nowUs) * REFETCH_DELAY_SHARE);
     }
 
     /** Whether the next call has to ask for the whole list. */
@@ -147,18 +147,18 @@
     }
 
     /** Takes in an answer; {@code graceLeftUs}: what is left of the drain's grace for what it brings, 0 or more. */
-    public Outcome applyResponse(ListResponse response, long graceLeftUs) {
+    public Result applyResponse(ListResponse response, long graceLeftUs) {
         forgetOld(response.receivedUs());
         changes = new Changes();
         boolean isCurrent = response.request().generation() == generation;
         if (isCurrent && response.isFull() && response.request().startedUs() >= newestAppliedRequestUs) {
             fullListNeeded = false;
         }
-        long deadlineUs = response.receivedUs() + Math.max(0, graceLeftUs - HOLD_UP_US);
+        long deadlineUs = response.receivedUs() + Math.max(0, graceLeftUs - SEND_DELAY_MARGIN_US);
         if (!isCurrent || response.request().startedUs() < newestAppliedRequestUs) {
             takeOut(response, deadlineUs);
             fullListNeeded |= !changes.transitions.isEmpty();      // the newer word is asked for again
-            return outcome(ListUpdate.Kind.DELTA, changes.entries);
+            return result(ListUpdate.Kind.DELTA, changes.entries);
         }
         if (belongsToNoList(response) || !anyRevision && response.revision() < revision) {
             return regressed(response, deadlineUs);
@@ -174,14 +174,14 @@
     }
 
     /** An answer of a lower version: it takes out, and what it brings in waits. */
-    private Outcome regressed(ListResponse response, long deadlineUs) {
+    private Result regressed(ListResponse response, long deadlineUs) {
         if (!isRegressed) {
             isRegressed = true;
             regressedSinceUs = response.receivedUs();
             regressedLists = 0;
             regressedRevision = ListResponse.FULL_LIST;
         }
-        boolean isOver = response.receivedUs() - regressedSinceUs >= REGRESSION_US;
+        boolean isOver = response.receivedUs() - regressedSinceUs >= REGRESSION_TIMEOUT_US;
         if (isOver && response.isFull()) {
             return takeOver(response, deadlineUs);
         }
@@ -197,7 +197,7 @@
             regressedRevision = follows ? response.revision() : regressedRevision;
         }
         fullListNeeded = !follows;
-        return outcome(ListUpdate.Kind.DELTA, changes.entries);
+        return result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** Of an answer that is not trusted, what it takes out. */
@@ -246,7 +246,7 @@
     }
 
     /** All of an answer counts, but for servers that it seems to have lost. */
-    private Outcome takeOver(ListResponse response, long deadlineUs) {
+    private Result takeOver(ListResponse response, long deadlineUs) {
         boolean wasRegressed = isRegressed;
         isRegressed = false;
         anyRevision = false;
@@ -265,8 +265,8 @@
         // Changes to a list of which, while versions were lower, not all was taken over.
         fullListNeeded |= !isConfirmed || isPartial || wasRegressed && !response.isFull();
         boolean isAll = response.isFull() && isConfirmed && !isPartial;
-        return isAll ? outcome(ListUpdate.Kind.FULL, response.update().entries())
-                : outcome(ListUpdate.Kind.DELTA, changes.entries);
+        return isAll ? result(ListUpdate.Kind.FULL, response.update().entries())
+                : result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** False where the line would bring back what was taken out after the call was made. */
@@ -319,7 +319,7 @@
         List<TrackedServer> missing = trackedByUid.values().stream().filter(e -> !named.contains(e.entry.uid())).toList();
         long usable = trackedByUid.values().stream().filter(ServerRegistry::isUsable).count();
         long lost = missing.stream().filter(ServerRegistry::isUsable).count();
-        boolean isDoubtful = usable >= FEWEST_FOR_DOUBT && lost > usable * MOST_LOST_SHARE;
+        boolean isDoubtful = usable >= MIN_SERVERS_FOR_LOSS_CHECK && lost > usable * MAX_LOSS_SHARE;
         for (TrackedServer tracked : missing) {
             if (isDoubtful && isUsable(tracked)) {
                 leftOut(tracked, response.receivedUs(), deadlineUs);
@@ -345,7 +345,7 @@
     private void drain(TrackedServer tracked, ServerEntry entry, long nowUs) {
         tracked.entry = in(State.DRAINING, entry);
         if (tracked.status != ServerStatus.DRAINING) {
-            noteTakenOut(tracked);
+            recordRotationExit(tracked);
             change(tracked, ServerStatus.DRAINING, Cause.NAMED_DRAINING, nowUs);
         }
         tracked.deadlineUs = NEVER;
@@ -354,7 +354,7 @@
 
     private void remove(TrackedServer tracked, Cause cause, long nowUs) {
         if (isUsable(tracked)) {
-            noteTakenOut(tracked);
+            recordRotationExit(tracked);
         }
         trackedByUid.remove(tracked.entry.uid());
         gone.remove(tracked.entry.uid());
@@ -363,9 +363,9 @@
         change(tracked, ServerStatus.REMOVED, cause, nowUs);
     }
 
-    private void noteTakenOut(TrackedServer tracked) {
+    private void recordRotationExit(TrackedServer tracked) {
         boolean wasSentTo = tracked.status == ServerStatus.UNCONFIRMED && tracked.lastSendUs > 0;
-        changes.takenOut.add(new SendAfterNews(tracked.entry.uid(), wasSentTo ? tracked.lastSendUs - tracked.statusUs : 0));
+        changes.rotationExits.add(new RotationExit(tracked.entry.uid(), wasSentTo ? tracked.lastSendUs - tracked.statusUs : 0));
     }
 
     private void change(TrackedServer tracked, ServerStatus to, Cause cause, long nowUs) {
@@ -378,15 +378,15 @@
         return new ServerEntry(entry.uid(), entry.zone(), entry.cell(), state, entry.weight(), entry.bootMs());
     }
 
-    private Outcome outcome(ListUpdate.Kind kind, List<ServerEntry> entries) {
-        return new Outcome(new ListUpdate(kind, entries), List.copyOf(changes.transitions), List.copyOf(changes.takenOut));
+    private Result result(ListUpdate.Kind kind, List<ServerEntry> entries) {
+        return new Result(new ListUpdate(kind, entries), List.copyOf(changes.transitions), List.copyOf(changes.rotationExits));
     }
 
     private void forgetOld(long nowUs) {
         Iterator<Gone> oldest = gone.values().iterator();
         while (oldest.hasNext()) {
-            boolean isOld = nowUs - oldest.next().sinceUs > REMEMBERED_US;
-            if (!isOld && gone.size() <= MOST_REMEMBERED) {
+            boolean isOld = nowUs - oldest.next().sinceUs > REMOVAL_MEMORY_US;
+            if (!isOld && gone.size() <= MAX_REMEMBERED_REMOVALS) {
                 return;
             }
             oldest.remove();
@@ -399,7 +399,7 @@
     }
 
     /** Takes out the servers whose deadline has come. */
-    public Outcome expire(long nowUs) {
+    public Result expire(long nowUs) {
         changes = new Changes();
         if (nowUs >= nextDeadlineUs) {
             for (TrackedServer tracked : List.copyOf(trackedByUid.values())) {
@@ -410,7 +410,7 @@
             findNextDeadline();
             confirmedRevision = nextDeadlineUs == NEVER ? revision : confirmedRevision;
         }
-        return outcome(ListUpdate.Kind.DELTA, changes.entries);
+        return result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** Whether new work may go to the server now: asked right before its first byte. */
@@ -420,7 +420,7 @@
     }
 
     /** Work went out to it. */
-    public void sent(String uid, long nowUs) {
+    public void recordSend(String uid, long nowUs) {
         TrackedServer tracked = trackedByUid.get(uid);
         if (tracked != null && tracked.status == ServerStatus.UNCONFIRMED) {
             tracked.lastSendUs = nowUs;
@@ -434,7 +434,7 @@
     }
 
     /** The listed servers' lines, as last heard; of an unconfirmed one, as if it drained. */
-    public List<ServerEntry> entries() {
+    public List<ServerEntry> listedEntries() {
         return trackedByUid.values().stream().map(tracked -> isUsable(tracked) && tracked.status != ServerStatus.SERVING
                 ? in(State.DRAINING, tracked.entry) : tracked.entry).toList();
     }
--- a/core/src/main/java/dapplequay/discovery/Transition.java
+++ b/core/src/main/java/dapplequay/discovery/Transition.java
@@ -3,9 +3,9 @@
 /**
  * One server's change of status, and what brought it.
  *
- * @param heldUs how long the status before had lasted, microseconds; 0 where the server was not listed
+ * @param previousDurationUs how long the status before had lasted, microseconds; 0 where the server was not listed
  */
-public record Transition(String uid, ServerStatus from, ServerStatus to, Cause cause, long heldUs) {
+public record Transition(String uid, ServerStatus from, ServerStatus to, Cause cause, long previousDurationUs) {
     /** Why a status changed. */
     public enum Cause {
         /** A list or a change names the server as serving. */
--- a/core/src/test/java/dapplequay/discovery/ServerRegistryTest.java
+++ b/core/src/test/java/dapplequay/discovery/ServerRegistryTest.java
@@ -40,7 +40,7 @@
         registry.restore(REVISION, serving(0, 1, 2, 3));
     }
 
-    private ServerRegistry.Outcome answer(Request request, long revision, Kind kind, List<ServerEntry> entries) {
+    private ServerRegistry.Result answer(Request request, long revision, Kind kind, List<ServerEntry> entries) {
         return registry.applyResponse(new ListResponse(revision, new ListUpdate(kind, entries), request, nowUs), GRACE_US);
     }
 
@@ -74,10 +74,10 @@
         boolean isAskedAbout = status == ServerStatus.UNCONFIRMED;
         assertThat(registry.needsFullList()).isEqualTo(isAskedAbout);
         assertThat(maySend(0)).isEqualTo(isAskedAbout);
-        nowUs += GRACE_US - ServerRegistry.HOLD_UP_US;
+        nowUs += GRACE_US - ServerRegistry.SEND_DELAY_MARGIN_US;
         assertThat(maySend(0)).as("a hold-up before the end of the grace").isFalse();
         var expired = registry.expire(nowUs);
-        assertThat(expired.news().entries()).hasSize(isAskedAbout ? leftOut : 0);
+        assertThat(expired.update().entries()).hasSize(isAskedAbout ? leftOut : 0);
         assertThat(registry.statusOf("s0")).isEqualTo(ServerStatus.REMOVED);
     }
 
@@ -122,7 +122,7 @@
         assertThat(maySend(2)).isFalse();
         assertThat(nextRequest().after()).isEqualTo(6);
         assertThat(registry.revision()).isEqualTo(REVISION);
-        nowUs += ServerRegistry.REGRESSION_US;
+        nowUs += ServerRegistry.REGRESSION_TIMEOUT_US;
         answer(nextRequest(), 6, Kind.DELTA, List.of());
         assertThat(registry.needsFullList()).isTrue();
         answer(nextRequest(), 6, Kind.FULL, lower.subList(1, 4));
@@ -135,12 +135,12 @@
     void aSupersededAnswerTakesOutAndBringsNobodyIn() {
         begin();
         Request old = nextRequest();
-        registry.moved();
+        registry.discoveryMoved();
         assertThat(nextRequest().after()).as("the new address is asked for all").isEqualTo(ListResponse.FULL_LIST);
         Request next = nextRequest();
         nowUs += 10 * MS;
-        var outcome = answer(old, 107, Kind.DELTA, List.of(entry(0, State.DRAINING), entry(9, State.SERVING)));
-        assertThat(outcome.news().entries()).extracting(ServerEntry::uid).containsExactly("s0");
+        var result = answer(old, 107, Kind.DELTA, List.of(entry(0, State.DRAINING), entry(9, State.SERVING)));
+        assertThat(result.update().entries()).extracting(ServerEntry::uid).containsExactly("s0");
         assertThat(maySend(0)).isFalse();
         nowUs += 10 * MS;
         answer(next, 3, Kind.FULL, serving(0, 1, 2, 3));
@@ -154,7 +154,7 @@
     void aLaterStartOfTheServerIsNotTakenForTheProcessThatDrained() {
         begin();
         answer(nextRequest(), 101, Kind.DELTA, List.of(entry(0, State.SERVING, 50)));
-        registry.moved();
+        registry.discoveryMoved();
         answer(new Request(0, 100, nowUs), 100, Kind.DELTA, List.of(entry(0, State.DRAINING, 0)));
         assertThat(maySend(0)).isTrue();
     }
@@ -165,11 +165,11 @@
         begin();
         answer(nextRequest(), 101, Kind.FULL, serving(3));
         assertThat(registry.confirmedRevision()).isEqualTo(REVISION);
-        assertThat(registry.entries()).filteredOn(entry -> entry.state() == State.DRAINING).hasSize(3);
+        assertThat(registry.listedEntries()).filteredOn(entry -> entry.state() == State.DRAINING).hasSize(3);
         nowUs += GRACE_US;
         registry.expire(nowUs);
         assertThat(registry.confirmedRevision()).isEqualTo(101);
-        assertThat(registry.entries()).hasSize(1);
+        assertThat(registry.listedEntries()).hasSize(1);
     }
 
     @Test
@@ -177,9 +177,9 @@
         begin();
         answer(nextRequest(), 101, Kind.FULL, serving(3));
         nowUs += 40 * MS;
-        registry.sent("s0", nowUs);
+        registry.recordSend("s0", nowUs);
         nowUs += 60 * MS;
-        assertThat(registry.expire(nowUs).takenOut()).extracting(ServerRegistry.SendAfterNews::lastSendUs)
+        assertThat(registry.expire(nowUs).rotationExits()).extracting(ServerRegistry.RotationExit::lastSendAfterNewsUs)
                 .containsExactlyInAnyOrder(40 * MS, 0L, 0L);
     }
 
@@ -241,7 +241,7 @@
                 case SUPERSEDED_LIST_WITHOUT_MOST -> answer(superseded, revision, Kind.FULL, serving(3));
                 case MOVE -> {
                     superseded = request;
-                    registry.moved();
+                    registry.discoveryMoved();
                 }
                 case FAILURE -> registry.expire(nowUs);
                 case SILENCE -> {
@@ -250,7 +250,7 @@
                     registry.expire(nowUs);
                 }
                 case OTHER_GRACE -> graceUs = graceUs == GRACE_US ? 180 * MS : GRACE_US;
-                default -> nowUs += ServerRegistry.HOLD_UP_US;
+                default -> nowUs += ServerRegistry.SEND_DELAY_MARGIN_US;
             }
         }
 
@@ -259,7 +259,7 @@
             for (int server = 0; server < SERVERS; server++) {
                 long lastUs = lastMomentUs[server];
                 if (lastUs != Long.MAX_VALUE
-                        && registry.maySend("s" + server, Math.max(nowUs, lastUs - ServerRegistry.HOLD_UP_US))) {
+                        && registry.maySend("s" + server, Math.max(nowUs, lastUs - ServerRegistry.SEND_DELAY_MARGIN_US))) {
                     return "s" + server + " is used past its last moment";
                 }
                 if (last == Event.WHOLE_LIST && !registry.maySend("s" + server, nowUs)) {
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -2,7 +2,7 @@
 
 import dapplequay.discovery.ListResponse;
 import dapplequay.discovery.ServerRegistry;
-import dapplequay.discovery.ServerRegistry.Outcome;
+import dapplequay.discovery.ServerRegistry.Result;
 import dapplequay.discovery.ServerStatus;
 import dapplequay.discovery.Transition;
 import dapplequay.facade.Facade;
@@ -45,7 +45,7 @@
     static final long WHOLE_LISTS_APART_US = 1_000_000;
     /** For so long, us, after it was heard a version counts: a quiet watch, and as long as an older one is refused. */
     static final long VERSION_COUNTS_US = ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US
-            + ServerRegistry.REGRESSION_US;
+            + ServerRegistry.REGRESSION_TIMEOUT_US;
     private static final long NEVER = Long.MIN_VALUE;
 
     /** A call under way; {@code closeAtUs}: when it is not read any longer, once it is superseded. */
@@ -345,7 +345,7 @@
                     new Object[] {Long.toString(update.revision()), Long.toString(known)});
         }
         tellOfDoubt(applied.outcome());
-        boolean isNews = isCurrent || !applied.outcome().news().entries().isEmpty();
+        boolean isNews = isCurrent || !applied.outcome().update().entries().isEmpty();
         take(applied, isNews);
         String source = "version " + update.revision() + " of " + Sockets.text(call.connection().address())
                 + (isCurrent ? "" : ", on a superseded call") + ", asked for "
@@ -353,7 +353,7 @@
         tell(applied.outcome(), source);
     }
 
-    private static void tellOfDoubt(Outcome outcome) {
+    private static void tellOfDoubt(Result outcome) {
         long unconfirmed = outcome.count(Transition.Cause.LEFT_OUT, ServerStatus.UNCONFIRMED);
         if (unconfirmed > 0) {
             LOG.log(Level.WARNING, "a list without {0} servers that served is asked for again before it counts",
@@ -368,7 +368,7 @@
     private void take(Endpoints.Applied applied, boolean isNews) {
         try {
             if (isNews) {
-                facade.applyListUpdate(applied.outcome().news());
+                facade.applyListUpdate(applied.outcome().update());
             }
         } catch (RuntimeException e) {
             table.wantWholeList();
@@ -379,7 +379,7 @@
         memory.keep().accept(() -> Json.text(table.tree()));
     }
 
-    private void tell(Outcome outcome, String source) {
+    private void tell(Result outcome, String source) {
         TransitionLog.count(outcome, figures);
         if (!outcome.transitions().isEmpty()) {
             LOG.info(() -> TransitionLog.text(outcome, source));
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -37,7 +37,7 @@
     record Update(long revision, ListUpdate news, Map<String, InetSocketAddress> addresses) { }
 
     /** What came of an answer, and the endpoints that take no new work any more. */
-    record Applied(ServerRegistry.Outcome outcome, Set<Endpoint> closed) { }
+    record Applied(ServerRegistry.Result outcome, Set<Endpoint> closed) { }
 
     /** One that begins with no list; the first that comes is trusted whatever its version. */
     Endpoints() {
@@ -127,12 +127,12 @@
     synchronized Applied apply(Update update, ListResponse.Request call, long receivedUs, long graceLeftUs) {
         Set<Endpoint> before = serving();
         ListResponse answer = new ListResponse(update.revision(), update.news(), call, receivedUs);
-        ServerRegistry.Outcome outcome = registry.applyResponse(answer, graceLeftUs);
+        ServerRegistry.Result outcome = registry.applyResponse(answer, graceLeftUs);
         Set<String> takenOver = new HashSet<>();
-        outcome.news().entries().forEach(line -> takenOver.add(line.uid()));
+        outcome.update().entries().forEach(line -> takenOver.add(line.uid()));
         Map<String, InetSocketAddress> addresses = new HashMap<>(update.addresses());
         addresses.keySet().retainAll(takenOver);
-        learn(new Update(update.revision(), outcome.news(), addresses));
+        learn(new Update(update.revision(), outcome.update(), addresses));
         return applied(outcome, before);
     }
 
@@ -145,7 +145,7 @@
         return applied(registry.expire(nowUs), before);
     }
 
-    private Applied applied(ServerRegistry.Outcome outcome, Set<Endpoint> before) {
+    private Applied applied(ServerRegistry.Result outcome, Set<Endpoint> before) {
         endpoints.keySet().removeIf(uid -> registry.statusOf(uid) == ServerStatus.REMOVED);
         before.removeAll(serving());
         return new Applied(outcome, before);
@@ -176,7 +176,7 @@
 
     /** Discovery is at another address from now on. */
     synchronized void moved() {
-        registry.moved();
+        registry.discoveryMoved();
     }
 
     /** The call to make next. */
@@ -188,9 +188,9 @@
         return registry.needsFullList();
     }
 
-    /** See {@link ServerRegistry#pauseBeforeAskingAgainUs}. */
+    /** See {@link ServerRegistry#refetchDelayUs}. */
     synchronized long pauseBeforeAskingAgainUs(long nowUs) {
-        return registry.pauseBeforeAskingAgainUs(nowUs);
+        return registry.refetchDelayUs(nowUs);
     }
 
     /** The decision module could not take over what this table has: both need all of it. */
@@ -205,7 +205,7 @@
     /** The list in discovery's form, so that a later life can begin with it. */
     synchronized Map<String, Object> tree() {
         List<Object> targets = new ArrayList<>();
-        for (ServerEntry line : registry.lines()) {
+        for (ServerEntry line : registry.listedEntries()) {
             Map<String, Object> target = new LinkedHashMap<>();
             target.put("uid", line.uid());
             target.put("endpoint", Sockets.text(endpoints.get(line.uid()).address()));
@@ -239,7 +239,7 @@
         if (!registry.maySend(uid, nowUs)) {
             return null;
         }
-        registry.sent(uid, nowUs);
+        registry.recordSend(uid, nowUs);
         return endpoints.get(uid);
     }
 
--- a/sidecar/src/main/java/dapplequay/net/TransitionLog.java
+++ b/sidecar/src/main/java/dapplequay/net/TransitionLog.java
@@ -1,6 +1,6 @@
 package dapplequay.net;
 
-import dapplequay.discovery.ServerRegistry.Outcome;
+import dapplequay.discovery.ServerRegistry.Result;
 import dapplequay.discovery.ServerStatus;
 import dapplequay.discovery.Transition;
 import dapplequay.management.DiscoveryFigures;
@@ -18,7 +18,7 @@
     private TransitionLog() { }
 
     /** One line: what changed, grouped by the status before and after and by its cause, and what brought it. */
-    static String text(Outcome outcome, String source) {
+    static String text(Result outcome, String source) {
         Map<String, List<String>> uids = new TreeMap<>();
         for (Transition transition : outcome.transitions()) {
             String kind = transition.from() + " -> " + transition.to() + " (" + transition.cause() + ")";
@@ -35,13 +35,13 @@
         return line.toString();
     }
 
-    static void count(Outcome outcome, DiscoveryFigures figures) {
+    static void count(Result outcome, DiscoveryFigures figures) {
         for (Transition transition : outcome.transitions()) {
             figures.transition(transition.to().name().toLowerCase(Locale.ROOT));
             if (transition.from() == ServerStatus.UNCONFIRMED) {
-                figures.unconfirmed(transition.heldUs());
+                figures.unconfirmed(transition.previousDurationUs());
             }
         }
-        outcome.takenOut().forEach(server -> figures.lastSend(server.lastSendUs()));
+        outcome.rotationExits().forEach(server -> figures.lastSend(server.lastSendAfterNewsUs()));
     }
 }
