--- a/core/src/main/java/dapplequay/discovery/ListResponse.java
+++ b/core/src/main/java/dapplequay/discovery/ListResponse.java
@@ -17,11 +17,11 @@
     /**
      * A call to discovery.
      *
-     * @param generation how often discovery had moved when it was made, see {@link ServerRegistry#moved}
+     * @param addressGeneration how often discovery had moved when it was made, see {@link ServerRegistry#moved}
      * @param after      the version after which changes were asked for, or {@link #FULL_LIST}
      * @param startedUs    when it was made, microseconds of the same clock
      */
-    public record Request(int generation, long after, long startedUs) { }
+    public record Request(int addressGeneration, long after, long startedUs) { }
 
     boolean isFull() {
         return update.kind() == ListUpdate.Kind.FULL;
--- a/core/src/main/java/dapplequay/discovery/ServerRegistry.java
+++ b/core/src/main/java/dapplequay/discovery/ServerRegistry.java
@@ -43,30 +43,30 @@
     private static final double REFETCH_DELAY_SHARE = 0.25;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** A listed server. {@code statusUs}: since when; {@code lastSendUs}: its last send while unconfirmed, or 0. */
+    /** A listed server. {@code statusSinceUs}: since when; {@code lastSendUs}: its last send while unconfirmed, or 0. */
     private static final class TrackedServer {
         private ServerEntry entry;
         private ServerStatus status;
-        private long statusUs;
+        private long statusSinceUs;
         private long deadlineUs = NEVER;
         private long lastSendUs;
     }
 
     /** A server that is gone, and the start of the process that it was. */
-    private record Gone(long sinceUs, long bootMs) { }
+    private record RemovedServer(long removedUs, long bootMs) { }
 
     private final Map<String, TrackedServer> trackedByUid = new LinkedHashMap<>();
-    private final Map<String, Gone> gone = new LinkedHashMap<>();      // the first to have gone first
-    private int generation;
+    private final Map<String, RemovedServer> recentlyRemoved = new LinkedHashMap<>();      // the first to have gone first
+    private int addressGeneration;
     private long revision;
     /** The version of the last list that was taken over with nothing left unconfirmed. */
     private long confirmedRevision;
-    private boolean anyRevision;
+    private boolean acceptsAnyRevision;
     private long newestAppliedRequestUs = Long.MIN_VALUE;     // of the answers that were taken over in full
     private boolean fullListNeeded;
     private boolean isRegressed;                    // lists of a lower version come
-    private long regressedSinceUs;
-    private int regressedLists;
+    private long regressionStartUs;
+    private int regressedFullLists;
     private long regressedRevision;
     private long nextDeadlineUs = NEVER;
     private Changes changes = new Changes();
@@ -91,28 +91,28 @@
     public record Result(ListUpdate update, List<Transition> transitions, List<RotationExit> rotationExits) {
         /** How many servers came to have that status for that cause. */
         public long count(Cause cause, ServerStatus status) {
-            return transitions.stream().filter(t -> t.cause() == cause && t.to() == status).count();
+            return transitions.stream().filter(transition -> transition.cause() == cause && transition.to() == status).count();
         }
     }
 
-    /** {@code anyRevision}: the list that it begins with binds nobody, as the count of its versions may be another. */
-    public ServerRegistry(boolean anyRevision) {
-        this.anyRevision = anyRevision;
+    /** {@code acceptsAnyRevision}: the list that it begins with binds nobody, as the count of its versions may be another. */
+    public ServerRegistry(boolean acceptsAnyRevision) {
+        this.acceptsAnyRevision = acceptsAnyRevision;
     }
 
     /** The list to begin with: taken over as it is. */
-    public void restore(long itsRevision, Collection<ServerEntry> entries) {
+    public void restore(long listRevision, Collection<ServerEntry> entries) {
         changes = new Changes();
         trackedByUid.clear();
-        entries.forEach(entry -> put(entry, 0));
-        revision = itsRevision;
-        confirmedRevision = itsRevision;
+        entries.forEach(entry -> add(entry, 0));
+        revision = listRevision;
+        confirmedRevision = listRevision;
     }
 
     /** Discovery is at another address from now on; deadlines that run stay. */
     public void discoveryMoved() {
-        generation++;
-        anyRevision = true;
+        addressGeneration++;
+        acceptsAnyRevision = true;
         fullListNeeded = true;
         isRegressed = false;
     }
@@ -120,7 +120,7 @@
     /** The call to make next, at that time. */
     public ListResponse.Request nextRequest(long nowUs) {
         long after = fullListNeeded ? ListResponse.FULL_LIST : isRegressed ? regressedRevision : revision;
-        return new ListResponse.Request(generation, after, nowUs);
+        return new ListResponse.Request(addressGeneration, after, nowUs);
     }
 
     /**
@@ -148,63 +148,63 @@
 
     /** Takes in an answer; {@code graceLeftUs}: what is left of the drain's grace for what it brings, 0 or more. */
     public Result applyResponse(ListResponse response, long graceLeftUs) {
-        forgetOld(response.receivedUs());
+        forgetOldRemovals(response.receivedUs());
         changes = new Changes();
-        boolean isCurrent = response.request().generation() == generation;
+        boolean isCurrent = response.request().addressGeneration() == addressGeneration;
         if (isCurrent && response.isFull() && response.request().startedUs() >= newestAppliedRequestUs) {
             fullListNeeded = false;
         }
         long deadlineUs = response.receivedUs() + Math.max(0, graceLeftUs - SEND_DELAY_MARGIN_US);
         if (!isCurrent || response.request().startedUs() < newestAppliedRequestUs) {
-            takeOut(response, deadlineUs);
+            applyRemovalsOnly(response, deadlineUs);
             fullListNeeded |= !changes.transitions.isEmpty();      // the newer word is asked for again
             return result(ListUpdate.Kind.DELTA, changes.entries);
         }
-        if (belongsToNoList(response) || !anyRevision && response.revision() < revision) {
-            return regressed(response, deadlineUs);
+        if (isDeltaOfUnknownList(response) || !acceptsAnyRevision && response.revision() < revision) {
+            return applyRegressed(response, deadlineUs);
         }
-        return takeOver(response, deadlineUs);
+        return applyTrusted(response, deadlineUs);
     }
 
     /** Changes to a list that is not known: of a lower version than the one asked after, or, asked for all, of any. */
-    private boolean belongsToNoList(ListResponse response) {
+    private boolean isDeltaOfUnknownList(ListResponse response) {
         long after = response.request().after();
-        boolean isUnknown = after == ListResponse.FULL_LIST ? anyRevision : response.revision() < after;
+        boolean isUnknown = after == ListResponse.FULL_LIST ? acceptsAnyRevision : response.revision() < after;
         return !response.isFull() && isUnknown;
     }
 
     /** An answer of a lower version: it takes out, and what it brings in waits. */
-    private Result regressed(ListResponse response, long deadlineUs) {
+    private Result applyRegressed(ListResponse response, long deadlineUs) {
         if (!isRegressed) {
             isRegressed = true;
-            regressedSinceUs = response.receivedUs();
-            regressedLists = 0;
+            regressionStartUs = response.receivedUs();
+            regressedFullLists = 0;
             regressedRevision = ListResponse.FULL_LIST;
         }
-        boolean isOver = response.receivedUs() - regressedSinceUs >= REGRESSION_TIMEOUT_US;
-        if (isOver && response.isFull()) {
-            return takeOver(response, deadlineUs);
+        boolean isTimedOut = response.receivedUs() - regressionStartUs >= REGRESSION_TIMEOUT_US;
+        if (isTimedOut && response.isFull()) {
+            return applyTrusted(response, deadlineUs);
         }
-        takeOut(response, deadlineUs);
-        boolean follows;
+        applyRemovalsOnly(response, deadlineUs);
+        boolean isFollowed;
         if (response.isFull()) {
-            regressedLists++;
+            regressedFullLists++;
             regressedRevision = response.revision();
-            follows = regressedLists > 1;       // the first may be a mistake that the next one shows
+            isFollowed = regressedFullLists > 1;       // the first may be a mistake that the next one shows
         } else {
-            follows = !isOver && regressedLists > 0 && response.request().after() == regressedRevision
+            isFollowed = !isTimedOut && regressedFullLists > 0 && response.request().after() == regressedRevision
                     && response.revision() >= regressedRevision;
-            regressedRevision = follows ? response.revision() : regressedRevision;
+            regressedRevision = isFollowed ? response.revision() : regressedRevision;
         }
-        fullListNeeded = !follows;
+        fullListNeeded = !isFollowed;
         return result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
     /** Of an answer that is not trusted, what it takes out. */
-    private void takeOut(ListResponse response, long deadlineUs) {
-        Set<String> named = new HashSet<>();
+    private void applyRemovalsOnly(ListResponse response, long deadlineUs) {
+        Set<String> namedUids = new HashSet<>();
         for (ServerEntry entry : response.update().entries()) {
-            named.add(entry.uid());
+            namedUids.add(entry.uid());
             TrackedServer tracked = trackedByUid.get(entry.uid());
             if (tracked == null) {
                 continue;
@@ -218,8 +218,8 @@
         }
         if (response.isFull()) {
             for (TrackedServer tracked : List.copyOf(trackedByUid.values())) {
-                if (!named.contains(tracked.entry.uid()) && isUsable(tracked)) {
-                    leftOut(tracked, response.receivedUs(), deadlineUs);
+                if (!namedUids.contains(tracked.entry.uid()) && isUsable(tracked)) {
+                    markLeftOut(tracked, response.receivedUs(), deadlineUs);
                 }
             }
         }
@@ -230,36 +230,36 @@
     }
 
     /** A list that may be wrong leaves it out: the first time the deadline is set, the second time it is gone. */
-    private void leftOut(TrackedServer tracked, long nowUs, long deadlineUs) {
+    private void markLeftOut(TrackedServer tracked, long nowUs, long deadlineUs) {
         if (tracked.status == ServerStatus.UNCONFIRMED || deadlineUs <= nowUs) {
             remove(tracked, tracked.status == ServerStatus.UNCONFIRMED ? Cause.LEFT_OUT_AGAIN : Cause.LEFT_OUT, nowUs);
             return;
         }
-        change(tracked, ServerStatus.UNCONFIRMED, Cause.LEFT_OUT, nowUs);
+        changeStatus(tracked, ServerStatus.UNCONFIRMED, Cause.LEFT_OUT, nowUs);
         tracked.deadlineUs = deadlineUs;
         tracked.lastSendUs = 0;
         nextDeadlineUs = Math.min(nextDeadlineUs, deadlineUs);
     }
 
-    private void findNextDeadline() {
+    private void updateNextDeadline() {
         nextDeadlineUs = trackedByUid.values().stream().mapToLong(tracked -> tracked.deadlineUs).min().orElse(NEVER);
     }
 
     /** All of an answer counts, but for servers that it seems to have lost. */
-    private Result takeOver(ListResponse response, long deadlineUs) {
+    private Result applyTrusted(ListResponse response, long deadlineUs) {
         boolean wasRegressed = isRegressed;
         isRegressed = false;
-        anyRevision = false;
+        acceptsAnyRevision = false;
         newestAppliedRequestUs = response.request().startedUs();
         if (response.isFull()) {
-            takeOutLeftOut(response, deadlineUs);
+            removeLeftOut(response, deadlineUs);
         }
         boolean isPartial = false;
         for (ServerEntry entry : response.update().entries()) {
-            isPartial |= !takeOver(entry, response);
+            isPartial |= !applyEntry(entry, response);
         }
         revision = response.revision();
-        findNextDeadline();
+        updateNextDeadline();
         boolean isConfirmed = nextDeadlineUs == NEVER;
         confirmedRevision = isConfirmed ? revision : confirmedRevision;
         // Changes to a list of which, while versions were lower, not all was taken over.
@@ -270,7 +270,7 @@
     }
 
     /** False where the line would bring back what was taken out after the call was made. */
-    private boolean takeOver(ServerEntry entry, ListResponse response) {
+    private boolean applyEntry(ServerEntry entry, ListResponse response) {
         TrackedServer tracked = trackedByUid.get(entry.uid());
         if (entry.state() == State.DELETED) {
             if (tracked != null) {
@@ -280,73 +280,73 @@
         }
         if (entry.state() == State.DRAINING) {
             if (tracked == null) {
-                put(entry, response.receivedUs());
+                add(entry, response.receivedUs());
             } else {
                 drain(tracked, entry, response.receivedUs());
             }
             return true;
         }
-        if (isOlderWord(entry, tracked, response.request().startedUs())) {
+        if (isStale(entry, tracked, response.request().startedUs())) {
             return false;
         }
         if (tracked == null) {
-            put(entry, response.receivedUs());
+            add(entry, response.receivedUs());
             return true;
         }
         tracked.entry = entry;
         tracked.deadlineUs = NEVER;
         if (tracked.status != ServerStatus.SERVING) {
-            change(tracked, ServerStatus.SERVING, Cause.NAMED_SERVING, response.receivedUs());
+            changeStatus(tracked, ServerStatus.SERVING, Cause.NAMED_SERVING, response.receivedUs());
         }
         changes.entries.add(entry);
         return true;
     }
 
     /** Whether the server, being the same process, was taken or left out after the call was made. */
-    private boolean isOlderWord(ServerEntry entry, TrackedServer tracked, long startedUs) {
+    private boolean isStale(ServerEntry entry, TrackedServer tracked, long startedUs) {
         if (tracked != null) {
-            return tracked.status != ServerStatus.SERVING && tracked.statusUs > startedUs
+            return tracked.status != ServerStatus.SERVING && tracked.statusSinceUs > startedUs
                     && entry.bootMs() <= tracked.entry.bootMs();
         }
-        Gone left = gone.get(entry.uid());
-        return left != null && left.sinceUs > startedUs && entry.bootMs() <= left.bootMs;
+        RemovedServer removed = recentlyRemoved.get(entry.uid());
+        return removed != null && removed.removedUs > startedUs && entry.bootMs() <= removed.bootMs;
     }
 
     /** The servers that a trusted list leaves out are gone; where they are most of all, they are unconfirmed first. */
-    private void takeOutLeftOut(ListResponse response, long deadlineUs) {
-        Set<String> named = new HashSet<>();
-        response.update().entries().forEach(entry -> named.add(entry.uid()));
-        List<TrackedServer> missing = trackedByUid.values().stream().filter(e -> !named.contains(e.entry.uid())).toList();
-        long usable = trackedByUid.values().stream().filter(ServerRegistry::isUsable).count();
-        long lost = missing.stream().filter(ServerRegistry::isUsable).count();
-        boolean isDoubtful = usable >= MIN_SERVERS_FOR_LOSS_CHECK && lost > usable * MAX_LOSS_SHARE;
+    private void removeLeftOut(ListResponse response, long deadlineUs) {
+        Set<String> namedUids = new HashSet<>();
+        response.update().entries().forEach(entry -> namedUids.add(entry.uid()));
+        List<TrackedServer> missing = trackedByUid.values().stream().filter(tracked -> !namedUids.contains(tracked.entry.uid())).toList();
+        long usableCount = trackedByUid.values().stream().filter(ServerRegistry::isUsable).count();
+        long lostCount = missing.stream().filter(ServerRegistry::isUsable).count();
+        boolean isLossSuspicious = usableCount >= MIN_SERVERS_FOR_LOSS_CHECK && lostCount > usableCount * MAX_LOSS_SHARE;
         for (TrackedServer tracked : missing) {
-            if (isDoubtful && isUsable(tracked)) {
-                leftOut(tracked, response.receivedUs(), deadlineUs);
+            if (isLossSuspicious && isUsable(tracked)) {
+                markLeftOut(tracked, response.receivedUs(), deadlineUs);
             } else {
                 remove(tracked, Cause.LEFT_OUT, response.receivedUs());
             }
         }
     }
 
-    private void put(ServerEntry entry, long nowUs) {
+    private void add(ServerEntry entry, long nowUs) {
         TrackedServer tracked = new TrackedServer();
         tracked.entry = entry;
         tracked.status = entry.state() == State.SERVING ? ServerStatus.SERVING : ServerStatus.DRAINING;
-        tracked.statusUs = nowUs;
+        tracked.statusSinceUs = nowUs;
         trackedByUid.put(entry.uid(), tracked);
-        gone.remove(entry.uid());
+        recentlyRemoved.remove(entry.uid());
         changes.entries.add(entry);
-        boolean serves = tracked.status == ServerStatus.SERVING;
+        boolean isServing = tracked.status == ServerStatus.SERVING;
         changes.transitions.add(new Transition(entry.uid(), ServerStatus.REMOVED, tracked.status,
-                serves ? Cause.NAMED_SERVING : Cause.NAMED_DRAINING, 0));
+                isServing ? Cause.NAMED_SERVING : Cause.NAMED_DRAINING, 0));
     }
 
     private void drain(TrackedServer tracked, ServerEntry entry, long nowUs) {
-        tracked.entry = in(State.DRAINING, entry);
+        tracked.entry = withState(State.DRAINING, entry);
         if (tracked.status != ServerStatus.DRAINING) {
             recordRotationExit(tracked);
-            change(tracked, ServerStatus.DRAINING, Cause.NAMED_DRAINING, nowUs);
+            changeStatus(tracked, ServerStatus.DRAINING, Cause.NAMED_DRAINING, nowUs);
         }
         tracked.deadlineUs = NEVER;
         changes.entries.add(tracked.entry);
@@ -357,24 +357,24 @@
             recordRotationExit(tracked);
         }
         trackedByUid.remove(tracked.entry.uid());
-        gone.remove(tracked.entry.uid());
-        gone.put(tracked.entry.uid(), new Gone(nowUs, tracked.entry.bootMs()));
-        changes.entries.add(in(State.DELETED, tracked.entry));
-        change(tracked, ServerStatus.REMOVED, cause, nowUs);
+        recentlyRemoved.remove(tracked.entry.uid());
+        recentlyRemoved.put(tracked.entry.uid(), new RemovedServer(nowUs, tracked.entry.bootMs()));
+        changes.entries.add(withState(State.DELETED, tracked.entry));
+        changeStatus(tracked, ServerStatus.REMOVED, cause, nowUs);
     }
 
     private void recordRotationExit(TrackedServer tracked) {
-        boolean wasSentTo = tracked.status == ServerStatus.UNCONFIRMED && tracked.lastSendUs > 0;
-        changes.rotationExits.add(new RotationExit(tracked.entry.uid(), wasSentTo ? tracked.lastSendUs - tracked.statusUs : 0));
+        boolean receivedWork = tracked.status == ServerStatus.UNCONFIRMED && tracked.lastSendUs > 0;
+        changes.rotationExits.add(new RotationExit(tracked.entry.uid(), receivedWork ? tracked.lastSendUs - tracked.statusSinceUs : 0));
     }
 
-    private void change(TrackedServer tracked, ServerStatus to, Cause cause, long nowUs) {
-        changes.transitions.add(new Transition(tracked.entry.uid(), tracked.status, to, cause, nowUs - tracked.statusUs));
+    private void changeStatus(TrackedServer tracked, ServerStatus to, Cause cause, long nowUs) {
+        changes.transitions.add(new Transition(tracked.entry.uid(), tracked.status, to, cause, nowUs - tracked.statusSinceUs));
         tracked.status = to;
-        tracked.statusUs = nowUs;
+        tracked.statusSinceUs = nowUs;
     }
 
-    private static ServerEntry in(State state, ServerEntry entry) {
+    private static ServerEntry withState(State state, ServerEntry entry) {
         return new ServerEntry(entry.uid(), entry.zone(), entry.cell(), state, entry.weight(), entry.bootMs());
     }
 
@@ -382,11 +382,11 @@
         return new Result(new ListUpdate(kind, entries), List.copyOf(changes.transitions), List.copyOf(changes.rotationExits));
     }
 
-    private void forgetOld(long nowUs) {
-        Iterator<Gone> oldest = gone.values().iterator();
+    private void forgetOldRemovals(long nowUs) {
+        Iterator<RemovedServer> oldest = recentlyRemoved.values().iterator();
         while (oldest.hasNext()) {
-            boolean isOld = nowUs - oldest.next().sinceUs > REMOVAL_MEMORY_US;
-            if (!isOld && gone.size() <= MAX_REMEMBERED_REMOVALS) {
+            boolean isExpired = nowUs - oldest.next().removedUs > REMOVAL_MEMORY_US;
+            if (!isExpired && recentlyRemoved.size() <= MAX_REMEMBERED_REMOVALS) {
                 return;
             }
             oldest.remove();
@@ -407,7 +407,7 @@
                     remove(tracked, Cause.DEADLINE, nowUs);
                 }
             }
-            findNextDeadline();
+            updateNextDeadline();
             confirmedRevision = nextDeadlineUs == NEVER ? revision : confirmedRevision;
         }
         return result(ListUpdate.Kind.DELTA, changes.entries);
@@ -436,7 +436,7 @@
     /** The listed servers' lines, as last heard; of an unconfirmed one, as if it drained. */
     public List<ServerEntry> listedEntries() {
         return trackedByUid.values().stream().map(tracked -> isUsable(tracked) && tracked.status != ServerStatus.SERVING
-                ? in(State.DRAINING, tracked.entry) : tracked.entry).toList();
+                ? withState(State.DRAINING, tracked.entry) : tracked.entry).toList();
     }
 
     /** The version known. */
