--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -115,19 +115,19 @@
     }
 
     /** The first decision for a new request; one whose class or tenant has just vanished is refused. */
-    public synchronized Decision pick(long id, Call call) {
-        Integer serviceClass = setup.classes().get(call.serviceClass());
-        Integer tenant = call.tenant() == null || setup.tenants().isEmpty() ? Integer.valueOf(-1)
-                : setup.tenants().get(call.tenant());
+    public synchronized Decision pick(long id, RequestInfo request) {
+        Integer serviceClass = setup.classes().get(request.serviceClass());
+        Integer tenant = request.tenant() == null || setup.tenants().isEmpty() ? Integer.valueOf(-1)
+                : setup.tenants().get(request.tenant());
         if (serviceClass == null || tenant == null) {
             return new Decision.Refuse(0);
         }
         begin(id, 0);
         long now = clock.getAsLong();
         boolean sound = guarded(() -> {
-            module.request(now, new Request(id, serviceClass, tenant, call.key(), call.leftUs(), call.costHintUs(),
-                    call.clientRetry()));
-            if (call.upload() && decided instanceof Decision.Send) {
+            module.request(now, new Request(id, serviceClass, tenant, request.key(), request.remainingUs(), request.costHintUs(),
+                    request.clientRetry()));
+            if (request.streamsBody() && decided instanceof Decision.Send) {
                 module.body(now, id, BodyStage.COMING);
             }
         });
@@ -181,17 +181,17 @@
      * {@code load} may be null. Where some of the request was passed on that is not held, no other attempt follows.
      */
     public synchronized Decision report(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean over,
-                                        HostLoad load, Upload body) {
+                                        HostLoad load, RequestBodyState bodyState) {
         begin(id, attempt + 1);
         long now = clock.getAsLong();
         boolean answered = over || end == AttemptEnd.SERVED;
         boolean sound = guarded(() -> {
-            if (body == Upload.PASSED_ON) {
+            if (bodyState == RequestBodyState.STREAMING_UNREPLAYABLE) {
                 module.body(now, id, BodyStage.PASSED_ON);
             }
             module.outcome(now, id, attempt, host, end.outcome, tookUs, answered,
                     load == null ? null : new LoadReport(load.queue(), load.inFlight()));
-            if (body == Upload.COMING && decided instanceof Decision.Send) {
+            if (bodyState == RequestBodyState.STREAMING_REPLAYABLE && decided instanceof Decision.Send) {
                 module.body(now, id, BodyStage.COMING);
             }
         });
@@ -201,7 +201,7 @@
     /** The same for a request that was held whole. */
     public Decision report(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean over,
                            HostLoad load) {
-        return report(id, attempt, host, end, tookUs, over, load, Upload.NONE);
+        return report(id, attempt, host, end, tookUs, over, load, RequestBodyState.BUFFERED);
     }
 
     /** The client has left; an attempt that is still out is reported when it has ended. */
--- a/core/src/main/java/dapplequay/facade/Upload.java
+++ b/core/src/main/java/dapplequay/facade/RequestBodyState.java
@@ -1,11 +1,11 @@
 package dapplequay.facade;
 
 /** How far the body of a request is that is passed on while it comes. */
-public enum Upload {
+public enum RequestBodyState {
     /** It is held whole, like any short one. */
-    NONE,
+    BUFFERED,
     /** The rest is still to come; what went out so far is held. */
-    COMING,
+    STREAMING_REPLAYABLE,
     /** More went out than is held. */
-    PASSED_ON
+    STREAMING_UNREPLAYABLE
 }
--- a/core/src/main/java/dapplequay/facade/Call.java
+++ b/core/src/main/java/dapplequay/facade/RequestInfo.java
@@ -6,10 +6,10 @@
  * cost hint (0: none), whether the client marked a retry, and whether its body is still coming and will be passed on
  * as it comes.
  */
-public record Call(String serviceClass, String tenant, String key, long leftUs, long costHintUs,
-                   boolean clientRetry, boolean upload) {
+public record RequestInfo(String serviceClass, String tenant, String key, long remainingUs, long costHintUs,
+                   boolean clientRetry, boolean streamsBody) {
     /** A request that is held whole. */
-    public Call(String serviceClass, String tenant, String key, long leftUs, long costHintUs, boolean clientRetry) {
-        this(serviceClass, tenant, key, leftUs, costHintUs, clientRetry, false);
+    public RequestInfo(String serviceClass, String tenant, String key, long remainingUs, long costHintUs, boolean clientRetry) {
+        this(serviceClass, tenant, key, remainingUs, costHintUs, clientRetry, false);
     }
 }
--- a/core/src/test/java/dapplequay/facade/FacadeTest.java
+++ b/core/src/test/java/dapplequay/facade/FacadeTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Timeout;
 
 class FacadeTest {
-    private static final Call PAY = new Call("pay", "shop-a", "k", 900_000, 0, false);
+    private static final RequestInfo PAY = new RequestInfo("pay", "shop-a", "k", 900_000, 0, false);
 
     private final AtomicLong now = new AtomicLong(1_000_000_000L);
     private Facade facade;
@@ -73,7 +73,7 @@
     void aLongRequestThatNeverRanAtAHostThatIsGoneGoesElsewhere() {
         Decision.Send sent = (Decision.Send) facade.pick(1, LONG);
         facade.applyListUpdate(new ListUpdate(Kind.FULL, List.of(new ServerEntry("s2", "south", 2, State.SERVING, 1, 0))));
-        assertThat(facade.report(1, 0, sent.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, Upload.COMING))
+        assertThat(facade.report(1, 0, sent.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_REPLAYABLE))
                 .isInstanceOf(Decision.Send.class);
     }
 
@@ -234,7 +234,7 @@
         news(Kind.RESTORED, "north", State.SERVING);
         facade.retune(changed("\"name\": \"quote\"", "\"name\": \"ask\""));
         assertThat(facade.faults()).isOne();
-        assertThat(facade.pick(1, new Call("ask", "shop-a", null, 900_000, 0, false)))
+        assertThat(facade.pick(1, new RequestInfo("ask", "shop-a", null, 900_000, 0, false)))
                 .isInstanceOf(Decision.Send.class);
     }
 
@@ -259,15 +259,15 @@
 
     @Test
     void classesComeGoAndBecomeStricterByName() throws IOException {
-        Decision.Send quote = (Decision.Send) facade.pick(1, new Call("quote", "shop-a", null, 900_000, 0, false));
+        Decision.Send quote = (Decision.Send) facade.pick(1, new RequestInfo("quote", "shop-a", null, 900_000, 0, false));
         facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         facade.retune(changed("{\"name\": \"quote\", \"semantics\": \"retryable\"",
                 "{\"name\": \"once\", \"semantics\": \"fragile\""));
         assertThat(facade.report(1, 0, quote.host(), AttemptEnd.RESET, 1, false, null)).as("keeps its class")
                 .isInstanceOf(Decision.Send.class);
-        assertThat(facade.pick(2, new Call("quote", "shop-a", null, 900_000, 0, false))).as("gone")
+        assertThat(facade.pick(2, new RequestInfo("quote", "shop-a", null, 900_000, 0, false))).as("gone")
                 .isInstanceOf(Decision.Refuse.class);
-        Decision.Send once = (Decision.Send) facade.pick(3, new Call("once", "shop-a", null, 900_000, 0, false));
+        Decision.Send once = (Decision.Send) facade.pick(3, new RequestInfo("once", "shop-a", null, 900_000, 0, false));
         assertThat(facade.report(3, 0, once.host(), AttemptEnd.RESET, 1, false, null)).isEqualTo(new Decision.Fail());
     }
 
@@ -288,20 +288,20 @@
         assertThat(facade.passedOver()).isZero();
     }
 
-    private static final Call LONG = new Call("pay", "shop-a", "k", 900_000, 0, false, true);
+    private static final RequestInfo LONG = new RequestInfo("pay", "shop-a", "k", 900_000, 0, false, true);
 
     @Test
     void aLongRequestGoesElsewhereOnlyWhileAllThatWentOutIsHeld() {
         facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send first = (Decision.Send) facade.pick(1, LONG);
-        assertThat(facade.report(1, 0, first.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, Upload.COMING))
+        assertThat(facade.report(1, 0, first.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_REPLAYABLE))
                 .isInstanceOf(Decision.Send.class);
         Decision.Send other = (Decision.Send) facade.pick(2, LONG);
-        assertThat(facade.report(2, 0, other.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, Upload.PASSED_ON))
+        assertThat(facade.report(2, 0, other.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
                 .as("never ran").isInstanceOf(Decision.Refuse.class);
         Decision.Send third = (Decision.Send) facade.pick(3, LONG);
         facade.uploaded(3);
-        assertThat(facade.report(3, 0, third.host(), AttemptEnd.RESET, 1, false, null, Upload.PASSED_ON))
+        assertThat(facade.report(3, 0, third.host(), AttemptEnd.RESET, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
                 .as("may have run").isInstanceOf(Decision.Fail.class);
     }
 
@@ -317,7 +317,7 @@
         assertThat(facade.passedOver()).isZero();
         facade.uploaded(1);
         now.addAndGet(400_000);
-        assertThat(facade.report(1, 0, sent.host(), AttemptEnd.TURNED_AWAY, 1, false, null, Upload.PASSED_ON))
+        assertThat(facade.report(1, 0, sent.host(), AttemptEnd.TURNED_AWAY, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
                 .isInstanceOf(Decision.Refuse.class);
         Decision.Send next = (Decision.Send) facade.pick(2, PAY);
         for (int i = 0; i < 20; i++) {
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -1,6 +1,6 @@
 package dapplequay.net;
 
-import dapplequay.facade.Call;
+import dapplequay.facade.RequestInfo;
 import dapplequay.http.BadMessage;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
@@ -326,7 +326,7 @@
             answer(Answers.refusal(0));
             return;
         }
-        Call call = request.call(request.budgetUs() - (side.deadlines().now() - receivedUs));
+        RequestInfo call = request.call(request.budgetUs() - (side.deadlines().now() - receivedUs));
         presence.away(exchange, rest == null, () -> side.conductor().begin(exchange, call));
     }
 
--- a/sidecar/src/main/java/dapplequay/net/ClientRequest.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientRequest.java
@@ -1,7 +1,7 @@
 package dapplequay.net;
 
 import dapplequay.BalancerApi.Semantics;
-import dapplequay.facade.Call;
+import dapplequay.facade.RequestInfo;
 import dapplequay.http.BadMessage;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
@@ -86,7 +86,7 @@
         return Long.parseUnsignedLong(head.get("X-Call-Id"), 16);
     }
 
-    Call call(long leftUs) throws BadMessage {
+    RequestInfo call(long leftUs) throws BadMessage {
         long hint = 0;
         String info = head.get("X-Call-Info");
         if (info != null) {
@@ -96,7 +96,7 @@
                 }
             }
         }
-        return new Call(className, tenant, about, leftUs, hint,
+        return new RequestInfo(className, tenant, about, leftUs, hint,
                 "1".equals(head.get("X-Again")), isLong());
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Conductor.java
+++ b/sidecar/src/main/java/dapplequay/net/Conductor.java
@@ -1,11 +1,11 @@
 package dapplequay.net;
 
-import dapplequay.facade.Call;
+import dapplequay.facade.RequestInfo;
 import dapplequay.facade.Decision;
 import dapplequay.facade.Facade;
 import dapplequay.facade.HostLoad;
 import dapplequay.facade.AttemptEnd;
-import dapplequay.facade.Upload;
+import dapplequay.facade.RequestBodyState;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
 import dapplequay.management.Counts.End;
@@ -29,7 +29,7 @@
         this.upstreams = upstreams;
     }
 
-    void begin(Exchange exchange, Call call) {
+    void begin(Exchange exchange, RequestInfo call) {
         guarded(exchange, () -> carryOut(exchange, facade.pick(exchange.id, call)));
     }
 
@@ -62,7 +62,7 @@
     void attemptEnded(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
         Exchange exchange = attempt.exchange;
         out.remove(exchange.id, attempt);
-        Upload upload = exchange.attemptOver(attempt);
+        RequestBodyState upload = exchange.attemptOver(attempt);
         if (LOG.isLoggable(Level.FINE)) {       // once an attempt: nothing is put together for nobody
             LOG.fine("attempt " + attempt.order.host() + ' ' + end + ' ' + (upstreams.now() - attempt.startUs()) + ' '
                     + attempt.idleUs() + ' ' + exchange.id);
@@ -92,7 +92,7 @@
     boolean relay(Attempt attempt, HostLoad load, Head head, Body body, byte[] start) {
         Exchange exchange = attempt.exchange;
         out.remove(exchange.id, attempt);
-        Upload upload = exchange.attemptOver(attempt);
+        RequestBodyState upload = exchange.attemptOver(attempt);
         boolean goesOn = exchange.claim();
         facade.report(exchange.id, attempt.order.attempt(), attempt.order.host(), AttemptEnd.SERVED,
                 attempt.tookUs(AttemptEnd.SERVED, upstreams.now()), true, load, upload);
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -1,6 +1,6 @@
 package dapplequay.net;
 
-import dapplequay.facade.Upload;
+import dapplequay.facade.RequestBodyState;
 import dapplequay.management.Counts;
 
 /** One request of the client's, until its one answer. Whoever claims it first answers it, or drops it. */
@@ -89,11 +89,11 @@
     }
 
     /** The attempt has ended; how far a long request was passed on by then. */
-    synchronized Upload attemptOver(Attempt ended) {
+    synchronized RequestBodyState attemptOver(Attempt ended) {
         if (attempt == ended) {
             attempt = null;
         }
-        return committed ? Upload.PASSED_ON : request.isLong() ? Upload.COMING : Upload.NONE;
+        return committed ? RequestBodyState.STREAMING_UNREPLAYABLE : request.isLong() ? RequestBodyState.STREAMING_REPLAYABLE : RequestBodyState.BUFFERED;
     }
 
     /** Has those look again who wait for an attempt. */
