--- a/core/src/main/java/dapplequay/facade/Decision.java
+++ b/core/src/main/java/dapplequay/facade/Decision.java
@@ -15,11 +15,11 @@
     }
 
     /** Answer that a new try is harmless, after {@code pauseUs} if that is more than 0. */
-    record Refuse(long pauseUs) implements Decision { }
+    record Refuse(long retryAfterUs) implements Decision { }
 
     /** Answer that the request failed, with no promise about effects. */
     record Fail() implements Decision { }
 
     /** Nothing: the request is over. */
-    record Rest() implements Decision { }
+    record NoAction() implements Decision { }
 }
--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -138,7 +138,7 @@
     private Decision givenUp(long now, long id, boolean over) {
         begin(0, 0);
         guarded(() -> module.gone(now, id));
-        return over ? new Decision.Rest() : new Decision.Fail();
+        return over ? new Decision.NoAction() : new Decision.Fail();
     }
 
     /** One call of the module's; false where it threw. */
@@ -298,13 +298,13 @@
     private void begin(long id, int attempts) {
         inHand = id;
         sends = attempts;
-        decided = new Decision.Rest();
+        decided = new Decision.NoAction();
     }
 
     /** The module's actions, kept until the call in hand returns them. */
     private final class Taken implements BalancerApi.Actions {
         private void decide(long id, Decision decision) {
-            if (id != inHand || !(decided instanceof Decision.Rest)) {
+            if (id != inHand || !(decided instanceof Decision.NoAction)) {
                 throw new IllegalStateException("the module decided out of turn: " + decision);
             }
             decided = decision;
--- a/core/src/test/java/dapplequay/facade/FacadeTest.java
+++ b/core/src/test/java/dapplequay/facade/FacadeTest.java
@@ -81,10 +81,10 @@
     void restsOnceServedOrGone() {
         Decision.Send send = (Decision.Send) facade.pick(1, PAY);
         assertThat(facade.report(1, 0, send.host(), AttemptEnd.SERVED, 1, true, new HostLoad(0, 1)))
-                .isEqualTo(new Decision.Rest());
+                .isEqualTo(new Decision.NoAction());
         facade.pick(2, PAY);
         facade.clientGone(2);
-        assertThat(facade.report(2, 0, send.host(), AttemptEnd.GIVEN_UP, 1, true, null)).isEqualTo(new Decision.Rest());
+        assertThat(facade.report(2, 0, send.host(), AttemptEnd.GIVEN_UP, 1, true, null)).isEqualTo(new Decision.NoAction());
     }
 
     @Test
@@ -186,7 +186,7 @@
         broken.set(true);
         assertThat(facade.pick(2, PAY)).isEqualTo(new Decision.Fail());
         assertThat(facade.report(1, 0, before.host(), AttemptEnd.RESET, 1, false, null)).isEqualTo(new Decision.Fail());
-        assertThat(facade.report(1, 0, before.host(), AttemptEnd.SERVED, 1, true, null)).isEqualTo(new Decision.Rest());
+        assertThat(facade.report(1, 0, before.host(), AttemptEnd.SERVED, 1, true, null)).isEqualTo(new Decision.NoAction());
         facade.clientGone(1);
         assertThat(facade.passedOver()).isZero();
         assertThatThrownBy(() -> news(Kind.FULL, "north", State.SERVING)).isInstanceOf(IllegalStateException.class);
--- a/sidecar/src/main/java/dapplequay/net/Conductor.java
+++ b/sidecar/src/main/java/dapplequay/net/Conductor.java
@@ -40,7 +40,7 @@
             upstreams.send(attempt);
         } else if (decision instanceof Decision.Refuse refuse && exchange.claim()) {
             LOG.fine(() -> "refused " + exchange.id);
-            finish(exchange, End.THROTTLED, Answers.refusal(refuse.pauseUs()));
+            finish(exchange, End.THROTTLED, Answers.refusal(refuse.retryAfterUs()));
         } else if (decision instanceof Decision.Fail && exchange.claim()) {
             LOG.fine(() -> "failed " + exchange.id);
             finish(exchange, End.FAULTED, Answers.failure(exchange.failureStatus()));
