--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -23,20 +23,20 @@
 
 /**
  * The decision module in blocking style: each call takes the one lock, tells the module, and returns what is
- * to be done. No call waits for anything but the lock, save {@link #awaitWatch}. It knows no protocol. What the module
+ * to be done. No call waits for anything but the lock, save {@link #awaitListWanted}. It knows no protocol. What the module
  * throws ends here: it is counted and told with its trace, the request in hand fails, and the next is decided as ever.
  */
 public final class Facade {
     /** A timer whose event the module could not take comes again after this, us: what repeats must not stop. */
-    private static final long TIMER_AGAIN_US = 1_000_000;
+    private static final long TIMER_RETRY_US = 1_000_000;
     /** At least this long between two faults that are told with their traces, us; all are counted. */
-    private static final long FAULT_GAP_US = 1_000_000;
+    private static final long FAULT_LOG_INTERVAL_US = 1_000_000;
     /** Between two looks, ms, of who waits for the module to want the list: it is woken anyhow. */
-    private static final long LONGEST_WAIT_MS = 60_000;
+    private static final long MAX_WAIT_MS = 60_000;
     /** At least this long between two lines of the module's, us. */
-    private static final long LINE_GAP_US = 1_000_000;
+    private static final long MODULE_LOG_INTERVAL_US = 1_000_000;
     /** How a line begins that tells of a fault. */
-    public static final String FAULT = "the decision module threw: ";
+    public static final String FAULT_PREFIX = "the decision module threw: ";
 
     private Setup setup;
     private final LongSupplier clock;
@@ -44,26 +44,26 @@
     private final BalancerApi module;
     private final Asking asking;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final List<Cut> cuts = new ArrayList<>();
-    private final Queue<String> lines = new ConcurrentLinkedQueue<>();
-    private long timersSet;
-    private long lastId;
-    private long inHand;
-    private int sends;
-    private Decision decided;
-    private boolean watchWanted;
+    private final List<AttemptCancellation> cancellations = new ArrayList<>();
+    private final Queue<String> logLines = new ConcurrentLinkedQueue<>();
+    private long timersCreated;
+    private long lastRequestId;
+    private long currentRequestId;
+    private int nextAttempt;
+    private Decision currentDecision;
+    private boolean listWanted;
     private long faults;
-    private long nextFaultAt = Long.MIN_VALUE;
-    private long nextLineAt = Long.MIN_VALUE;
+    private long nextFaultLogUs = Long.MIN_VALUE;
+    private long nextModuleLogUs = Long.MIN_VALUE;
 
     /** An attempt that is not to be waited for any longer; its end is reported like any other. */
-    public record Cut(long id, int attempt) { }
+    public record AttemptCancellation(long id, int attempt) { }
 
-    private record Timer(long atUs, long number, long token) implements Comparable<Timer> {
+    private record Timer(long atUs, long sequence, long token) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
             int byTime = Long.compare(atUs, other.atUs);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -78,10 +78,10 @@
         this.setup = setup;
         this.clock = clock;
         this.log = log;
-        Taken actions = new Taken();
+        ModuleActions actions = new ModuleActions();
         this.module = module.apply(actions);
         asking = new Asking(setup.settings(), seed, actions);
-        watchWanted = isPushed(setup);
+        listWanted = isPushed(setup);
     }
 
     // In the simulator's words a pushed list comes by itself, and the module asks for none. Here an agent holds it for
@@ -94,23 +94,23 @@
      * A number for a new request: the module's ids stay below 2^52, while those that clients give use all 64
      * bits and could meet.
      */
-    public synchronized long nextId() {
-        return ++lastId;
+    public synchronized long nextRequestId() {
+        return ++lastRequestId;
     }
 
     /**
      * Other settings from now on. What has been learnt stays, and requests under way keep their class and attempts.
      * IllegalArgumentException, and no change, where they make no sense, or would change the zones.
      */
-    public synchronized void retune(Setup next) {
+    public synchronized void updateSettings(Setup next) {
         next.settings().check(setup.settings());
-        begin(0, 0);
+        beginCall(0, 0);
         // Classes and tenants go by their places in the settings: both sides go over, or each call would meet another.
         setup = next;
-        guarded(() -> module.retune(clock.getAsLong(), next.settings()));
+        runGuarded(() -> module.retune(clock.getAsLong(), next.settings()));
         asking.use(next.settings());
         if (isPushed(next)) {
-            watchAnew();
+            requestListNow();
         }
     }
 
@@ -122,98 +122,98 @@
         if (serviceClass == null || tenant == null) {
             return new Decision.Refuse(0);
         }
-        begin(id, 0);
+        beginCall(id, 0);
         long now = clock.getAsLong();
-        boolean sound = guarded(() -> {
+        boolean succeeded = runGuarded(() -> {
             module.request(now, new Request(id, serviceClass, tenant, request.key(), request.remainingUs(), request.costHintUs(),
                     request.clientRetry()));
-            if (request.streamsBody() && decided instanceof Decision.Send) {
+            if (request.streamsBody() && currentDecision instanceof Decision.Send) {
                 module.body(now, id, BodyStage.COMING);
             }
         });
-        return sound ? decided : givenUp(now, id, false);
+        return succeeded ? currentDecision : abandon(now, id, false);
     }
 
     /** What the module owes an answer for and can't decide: nothing more of it goes out. */
-    private Decision givenUp(long now, long id, boolean over) {
-        begin(0, 0);
-        guarded(() -> module.gone(now, id));
-        return over ? new Decision.NoAction() : new Decision.Fail();
+    private Decision abandon(long now, long id, boolean clientDone) {
+        beginCall(0, 0);
+        runGuarded(() -> module.gone(now, id));
+        return clientDone ? new Decision.NoAction() : new Decision.Fail();
     }
 
     /** One call of the module's; false where it threw. */
-    private boolean guarded(Runnable call) {
+    private boolean runGuarded(Runnable action) {
         try {
-            call.run();
+            action.run();
             return true;
         } catch (RuntimeException e) {
             faults++;
             long now = clock.getAsLong();
-            if (now >= nextFaultAt) {
-                nextFaultAt = now + FAULT_GAP_US;
+            if (now >= nextFaultLogUs) {
+                nextFaultLogUs = now + FAULT_LOG_INTERVAL_US;
                 StringWriter trace = new StringWriter();
                 e.printStackTrace(new PrintWriter(trace, true));
-                lines.add(FAULT + trace.toString().strip());
+                logLines.add(FAULT_PREFIX + trace.toString().strip());
             }
             return false;
         }
     }
 
     /** How often the module has thrown since the start. */
-    public synchronized long faults() {
+    public synchronized long moduleFaults() {
         return faults;
     }
 
     /** The request's attempt is held back no longer: what it waits for from now on is its upstream's doing. */
     public synchronized void attemptStarted(long id) {
-        begin(0, 0);
-        guarded(() -> module.attemptStarted(clock.getAsLong(), id));
+        beginCall(0, 0);
+        runGuarded(() -> module.attemptStarted(clock.getAsLong(), id));
     }
 
     /** The last byte of a long request was written to its attempt: its time begins now. */
-    public synchronized void uploaded(long id) {
-        begin(0, 0);
-        guarded(() -> module.body(clock.getAsLong(), id, BodyStage.WHOLE));
+    public synchronized void requestBodySent(long id) {
+        beginCall(0, 0);
+        runGuarded(() -> module.body(clock.getAsLong(), id, BodyStage.WHOLE));
     }
 
     /**
-     * How an attempt ended, and what is to be done now. {@code over}: the client has its answer, or has left.
+     * How an attempt ended, and what is to be done now. {@code clientDone}: the client has its answer, or has left.
      * {@code load} may be null. Where some of the request was passed on that is not held, no other attempt follows.
      */
-    public synchronized Decision report(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean over,
+    public synchronized Decision reportAttempt(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean clientDone,
                                         HostLoad load, RequestBodyState bodyState) {
-        begin(id, attempt + 1);
+        beginCall(id, attempt + 1);
         long now = clock.getAsLong();
-        boolean answered = over || end == AttemptEnd.SERVED;
-        boolean sound = guarded(() -> {
+        boolean answered = clientDone || end == AttemptEnd.SERVED;
+        boolean succeeded = runGuarded(() -> {
             if (bodyState == RequestBodyState.STREAMING_UNREPLAYABLE) {
                 module.body(now, id, BodyStage.PASSED_ON);
             }
             module.outcome(now, id, attempt, host, end.outcome, tookUs, answered,
                     load == null ? null : new LoadReport(load.queue(), load.inFlight()));
-            if (bodyState == RequestBodyState.STREAMING_REPLAYABLE && decided instanceof Decision.Send) {
+            if (bodyState == RequestBodyState.STREAMING_REPLAYABLE && currentDecision instanceof Decision.Send) {
                 module.body(now, id, BodyStage.COMING);
             }
         });
-        return sound ? decided : givenUp(now, id, answered);
+        return succeeded ? currentDecision : abandon(now, id, answered);
     }
 
     /** The same for a request that was held whole. */
-    public Decision report(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean over,
+    public Decision reportAttempt(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean clientDone,
                            HostLoad load) {
-        return report(id, attempt, host, end, tookUs, over, load, RequestBodyState.BUFFERED);
+        return reportAttempt(id, attempt, host, end, tookUs, clientDone, load, RequestBodyState.BUFFERED);
     }
 
     /** The client has left; an attempt that is still out is reported when it has ended. */
     public synchronized void clientGone(long id) {
-        begin(0, 0);
-        guarded(() -> module.gone(clock.getAsLong(), id));
+        beginCall(0, 0);
+        runGuarded(() -> module.gone(clock.getAsLong(), id));
     }
 
     /** How many listed hosts get no ordinary traffic at present; 0 where the module can't say. */
-    public synchronized int passedOver() {
+    public synchronized int hostsOutOfRotation() {
         int[] count = new int[1];
-        guarded(() -> count[0] = module.passedOver());
+        runGuarded(() -> count[0] = module.passedOver());
         return count[0];
     }
 
@@ -240,79 +240,79 @@
             case FAILED -> ListKind.FAILED;
         };
         if (kind == ListKind.FAILED) {
-            watchWanted = false;
+            listWanted = false;
         }
-        begin(0, 0);
-        if (kind != ListKind.FAILED && !guarded(() -> module.fleet(clock.getAsLong(), kind, fleetEntries))) {
+        beginCall(0, 0);
+        if (kind != ListKind.FAILED && !runGuarded(() -> module.fleet(clock.getAsLong(), kind, fleetEntries))) {
             throw new IllegalStateException("the list could not be taken over");
         }
         asking.heard(kind);
     }
 
     /** Gives the module its timers that are due; returns the attempts that are to be cut now. */
-    public List<Cut> tick() {
-        List<Cut> now = new ArrayList<>();
-        tick(now);
+    public List<AttemptCancellation> tick() {
+        List<AttemptCancellation> cancelNow = new ArrayList<>();
+        tick(cancelNow);
         // Outside the lock: where the log's reader is stuck, the decisions must not wait for it.
-        for (String line = lines.poll(); line != null; line = lines.poll()) {
+        for (String line = logLines.poll(); line != null; line = logLines.poll()) {
             log.accept(line);
         }
-        return now;
+        return cancelNow;
     }
 
-    private synchronized void tick(List<Cut> cutNow) {
+    private synchronized void tick(List<AttemptCancellation> cancelNow) {
         long now = clock.getAsLong();
         while (!timers.isEmpty() && timers.peek().atUs() <= now) {
-            begin(0, 0);
+            beginCall(0, 0);
             long token = timers.poll().token();
-            if (!asking.timer(token) && !guarded(() -> module.timer(now, token))) {
-                timers.add(new Timer(now + TIMER_AGAIN_US, timersSet++, token));
+            if (!asking.timer(token) && !runGuarded(() -> module.timer(now, token))) {
+                timers.add(new Timer(now + TIMER_RETRY_US, timersCreated++, token));
             }
         }
-        cutNow.addAll(cuts);
-        cuts.clear();
+        cancelNow.addAll(cancellations);
+        cancellations.clear();
     }
 
     /**
      * Waits until the module wants the list watched, but no longer than {@code atMostUs}; then it is taken to want
      * it. It goes on wanting that until a watch has failed.
      */
-    public synchronized void awaitWatch(long atMostUs) throws InterruptedException {
+    public synchronized void awaitListWanted(long atMostUs) throws InterruptedException {
         long begunUs = clock.getAsLong();
-        while (!watchWanted) {
+        while (!listWanted) {
             long leftUs = atMostUs - (clock.getAsLong() - begunUs);
             if (leftUs <= 0) {
-                watchWanted = true;     // the call that now follows may bring a list, and no timer would say so then
+                listWanted = true;     // the call that now follows may bring a list, and no timer would say so then
                 return;
             }
-            wait(Math.max(1, Math.min(leftUs / 1_000, LONGEST_WAIT_MS)));
+            wait(Math.max(1, Math.min(leftUs / 1_000, MAX_WAIT_MS)));
         }
     }
 
     /** The list is to be had elsewhere from now on: asked there at once, whatever pause was under way. */
-    public synchronized void watchAnew() {
-        watchWanted = true;
+    public synchronized void requestListNow() {
+        listWanted = true;
         notifyAll();
     }
 
-    private void begin(long id, int attempts) {
-        inHand = id;
-        sends = attempts;
-        decided = new Decision.NoAction();
+    private void beginCall(long id, int attempt) {
+        currentRequestId = id;
+        nextAttempt = attempt;
+        currentDecision = new Decision.NoAction();
     }
 
     /** The module's actions, kept until the call in hand returns them. */
-    private final class Taken implements BalancerApi.Actions {
+    private final class ModuleActions implements BalancerApi.Actions {
         private void decide(long id, Decision decision) {
-            if (id != inHand || !(decided instanceof Decision.NoAction)) {
+            if (id != currentRequestId || !(currentDecision instanceof Decision.NoAction)) {
                 throw new IllegalStateException("the module decided out of turn: " + decision);
             }
-            decided = decision;
+            currentDecision = decision;
         }
 
         @Override
         public void send(long id, String host, long timeoutUs, long beginBy) {
-            decide(id, new Decision.Send(sends, host, timeoutUs, beginBy));
+            decide(id, new Decision.Send(nextAttempt, host, timeoutUs, beginBy));
         }
 
         @Override
@@ -327,27 +327,27 @@
 
         @Override
         public void timer(long afterUs, long token) {
-            timers.add(new Timer(clock.getAsLong() + afterUs, timersSet++, token));
+            timers.add(new Timer(clock.getAsLong() + afterUs, timersCreated++, token));
         }
 
         @Override
         public void watchFleet(boolean on) {
-            watchWanted = on;
+            listWanted = on;
             Facade.this.notifyAll();
         }
 
         @Override
         public void log(String line) {
             long now = clock.getAsLong();
-            if (now >= nextLineAt) {
-                nextLineAt = now + LINE_GAP_US;
-                lines.add(line);
+            if (now >= nextModuleLogUs) {
+                nextModuleLogUs = now + MODULE_LOG_INTERVAL_US;
+                logLines.add(line);
             }
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            cuts.add(new Cut(id, attempt));
+            cancellations.add(new AttemptCancellation(id, attempt));
         }
 
         // The module asks for none of these. Should it begin to, the network has to learn them first.
--- a/core/src/test/java/dapplequay/facade/FacadeTest.java
+++ b/core/src/test/java/dapplequay/facade/FacadeTest.java
@@ -49,10 +49,10 @@
         Decision.Send first = (Decision.Send) facade.pick(1, PAY);
         assertThat(first.attempt()).isZero();
         assertThat(first.timeoutUs()).isEqualTo(900_000);
-        Decision.Send second = (Decision.Send) facade.report(1, 0, first.host(), AttemptEnd.TURNED_AWAY, 1, false, null);
+        Decision.Send second = (Decision.Send) facade.reportAttempt(1, 0, first.host(), AttemptEnd.TURNED_AWAY, 1, false, null);
         assertThat(second.attempt()).isOne();
         assertThat(second.host()).isNotEqualTo(first.host());
-        assertThat(facade.report(1, 1, second.host(), AttemptEnd.RESET, 1, false, null))
+        assertThat(facade.reportAttempt(1, 1, second.host(), AttemptEnd.RESET, 1, false, null))
                 .isEqualTo(new Decision.Fail());
     }
 
@@ -64,7 +64,7 @@
         long sent = now.get();
         assertThat(first.beginByUs()).isEqualTo(Long.MAX_VALUE);
         now.addAndGet(100_000);
-        Decision.Send second = (Decision.Send) facade.report(1, 0, first.host(), AttemptEnd.RESET, 1, false, null);
+        Decision.Send second = (Decision.Send) facade.reportAttempt(1, 0, first.host(), AttemptEnd.RESET, 1, false, null);
         assertThat(second.beginByUs()).isEqualTo(sent + 3_980_000);
     }
 
@@ -73,18 +73,18 @@
     void aLongRequestThatNeverRanAtAHostThatIsGoneGoesElsewhere() {
         Decision.Send sent = (Decision.Send) facade.pick(1, LONG);
         facade.applyListUpdate(new ListUpdate(Kind.FULL, List.of(new ServerEntry("s2", "south", 2, State.SERVING, 1, 0))));
-        assertThat(facade.report(1, 0, sent.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_REPLAYABLE))
+        assertThat(facade.reportAttempt(1, 0, sent.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_REPLAYABLE))
                 .isInstanceOf(Decision.Send.class);
     }
 
     @Test
     void restsOnceServedOrGone() {
         Decision.Send send = (Decision.Send) facade.pick(1, PAY);
-        assertThat(facade.report(1, 0, send.host(), AttemptEnd.SERVED, 1, true, new HostLoad(0, 1)))
+        assertThat(facade.reportAttempt(1, 0, send.host(), AttemptEnd.SERVED, 1, true, new HostLoad(0, 1)))
                 .isEqualTo(new Decision.NoAction());
         facade.pick(2, PAY);
         facade.clientGone(2);
-        assertThat(facade.report(2, 0, send.host(), AttemptEnd.GIVEN_UP, 1, true, null)).isEqualTo(new Decision.NoAction());
+        assertThat(facade.reportAttempt(2, 0, send.host(), AttemptEnd.GIVEN_UP, 1, true, null)).isEqualTo(new Decision.NoAction());
     }
 
     @Test
@@ -105,7 +105,7 @@
     void watchIsWantedWhenTheModulesTimerSaysSo() throws Exception {
         Thread watch = new Thread(() -> {
             try {
-                facade.awaitWatch(Long.MAX_VALUE);
+                facade.awaitListWanted(Long.MAX_VALUE);
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -119,7 +119,7 @@
         facade.applyListUpdate(ListUpdate.failed());
         now.addAndGet(10_000_000);
         facade.tick();
-        facade.awaitWatch(Long.MAX_VALUE);
+        facade.awaitListWanted(Long.MAX_VALUE);
     }
 
     /** A call that was not put off as long as the module wanted brings a list: the watch goes on, timer or not. */
@@ -128,13 +128,13 @@
     void aWatchThatWasTakenUpEarlyGoesOn() throws Exception {
         now.addAndGet(10_000_000);
         facade.tick();
-        facade.awaitWatch(Long.MAX_VALUE);
+        facade.awaitListWanted(Long.MAX_VALUE);
         facade.applyListUpdate(ListUpdate.failed());
-        facade.awaitWatch(0);
+        facade.awaitListWanted(0);
         news(Kind.DELTA, "north", State.SERVING);
         now.addAndGet(60_000_000);
         facade.tick();
-        facade.awaitWatch(Long.MAX_VALUE);
+        facade.awaitListWanted(Long.MAX_VALUE);
     }
 
     /**
@@ -146,12 +146,12 @@
     void pushedListIsWatchedFromTheStartAndSoonAgainAfterAFailure() throws Exception {
         Setup pushed = changed("\"discovery\": \"on_request\"", "\"discovery\": \"pushed\"");
         facade = new Facade(pushed, 7, now::get, line -> { });
-        facade.awaitWatch(Long.MAX_VALUE);
+        facade.awaitListWanted(Long.MAX_VALUE);
         for (int i = 0; i < 20; i++) {
             facade.applyListUpdate(ListUpdate.failed());
             now.addAndGet(pushed.settings().discovery().drainGraceUs() / 8);
             facade.tick();
-            facade.awaitWatch(Long.MAX_VALUE);
+            facade.awaitListWanted(Long.MAX_VALUE);
         }
     }
 
@@ -185,23 +185,23 @@
         Decision.Send before = (Decision.Send) facade.pick(1, PAY);
         broken.set(true);
         assertThat(facade.pick(2, PAY)).isEqualTo(new Decision.Fail());
-        assertThat(facade.report(1, 0, before.host(), AttemptEnd.RESET, 1, false, null)).isEqualTo(new Decision.Fail());
-        assertThat(facade.report(1, 0, before.host(), AttemptEnd.SERVED, 1, true, null)).isEqualTo(new Decision.NoAction());
+        assertThat(facade.reportAttempt(1, 0, before.host(), AttemptEnd.RESET, 1, false, null)).isEqualTo(new Decision.Fail());
+        assertThat(facade.reportAttempt(1, 0, before.host(), AttemptEnd.SERVED, 1, true, null)).isEqualTo(new Decision.NoAction());
         facade.clientGone(1);
-        assertThat(facade.passedOver()).isZero();
+        assertThat(facade.hostsOutOfRotation()).isZero();
         assertThatThrownBy(() -> news(Kind.FULL, "north", State.SERVING)).isInstanceOf(IllegalStateException.class);
         now.addAndGet(10_000_000);
         assertThat(facade.tick()).isEmpty();
-        assertThat(facade.faults()).isGreaterThan(8);
+        assertThat(facade.moduleFaults()).isGreaterThan(8);
         assertThat(lines).as("one a second").hasSize(2);
-        assertThat(lines.get(0)).startsWith(Facade.FAULT).contains("broken at request").contains("\tat ");
+        assertThat(lines.get(0)).startsWith(Facade.FAULT_PREFIX).contains("broken at request").contains("\tat ");
         broken.set(false);
         assertThat(facade.pick(3, PAY)).isInstanceOf(Decision.Send.class);
         calls.clear();
         now.addAndGet(1_000_000);
         facade.tick();
         assertThat(calls).as("the timer that met the fault came again").contains("timer");
-        facade.awaitWatch(Long.MAX_VALUE);
+        facade.awaitListWanted(Long.MAX_VALUE);
     }
 
     @Test
@@ -232,8 +232,8 @@
                     }
                 }));
         news(Kind.RESTORED, "north", State.SERVING);
-        facade.retune(changed("\"name\": \"quote\"", "\"name\": \"ask\""));
-        assertThat(facade.faults()).isOne();
+        facade.updateSettings(changed("\"name\": \"quote\"", "\"name\": \"ask\""));
+        assertThat(facade.moduleFaults()).isOne();
         assertThat(facade.pick(1, new RequestInfo("ask", "shop-a", null, 900_000, 0, false)))
                 .isInstanceOf(Decision.Send.class);
     }
@@ -249,11 +249,11 @@
     void requestsUnderWayKeepTheirAttemptsAndNewOnesHaveTheNew() throws IOException {
         facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send before = (Decision.Send) facade.pick(1, PAY);
-        facade.retune(changed("\"send_cap\": 3", "\"send_cap\": 1"));
-        assertThat(facade.report(1, 0, before.host(), AttemptEnd.TURNED_AWAY, 1, false, null))
+        facade.updateSettings(changed("\"send_cap\": 3", "\"send_cap\": 1"));
+        assertThat(facade.reportAttempt(1, 0, before.host(), AttemptEnd.TURNED_AWAY, 1, false, null))
                 .isInstanceOf(Decision.Send.class);
         Decision.Send after = (Decision.Send) facade.pick(2, PAY);
-        assertThat(facade.report(2, 0, after.host(), AttemptEnd.TURNED_AWAY, 1, false, null))
+        assertThat(facade.reportAttempt(2, 0, after.host(), AttemptEnd.TURNED_AWAY, 1, false, null))
                 .isInstanceOf(Decision.Refuse.class);
     }
 
@@ -261,31 +261,31 @@
     void classesComeGoAndBecomeStricterByName() throws IOException {
         Decision.Send quote = (Decision.Send) facade.pick(1, new RequestInfo("quote", "shop-a", null, 900_000, 0, false));
         facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
-        facade.retune(changed("{\"name\": \"quote\", \"semantics\": \"retryable\"",
+        facade.updateSettings(changed("{\"name\": \"quote\", \"semantics\": \"retryable\"",
                 "{\"name\": \"once\", \"semantics\": \"fragile\""));
-        assertThat(facade.report(1, 0, quote.host(), AttemptEnd.RESET, 1, false, null)).as("keeps its class")
+        assertThat(facade.reportAttempt(1, 0, quote.host(), AttemptEnd.RESET, 1, false, null)).as("keeps its class")
                 .isInstanceOf(Decision.Send.class);
         assertThat(facade.pick(2, new RequestInfo("quote", "shop-a", null, 900_000, 0, false))).as("gone")
                 .isInstanceOf(Decision.Refuse.class);
         Decision.Send once = (Decision.Send) facade.pick(3, new RequestInfo("once", "shop-a", null, 900_000, 0, false));
-        assertThat(facade.report(3, 0, once.host(), AttemptEnd.RESET, 1, false, null)).isEqualTo(new Decision.Fail());
+        assertThat(facade.reportAttempt(3, 0, once.host(), AttemptEnd.RESET, 1, false, null)).isEqualTo(new Decision.Fail());
     }
 
     @Test
     void settingsThatMakeNoSenseChangeNothing() throws IOException {
         Setup other = changed("\"zones\": [\"north\", \"south\"]", "\"zones\": [\"south\", \"north\"]");
-        assertThatThrownBy(() -> facade.retune(other)).isInstanceOf(IllegalArgumentException.class)
+        assertThatThrownBy(() -> facade.updateSettings(other)).isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("zones");
         assertThat(facade.pick(1, PAY)).isInstanceOf(Decision.Send.class);
     }
 
     @Test
     void hostsThatDrainOrFailAreCountedAsPassedOver() {
-        assertThat(facade.passedOver()).isZero();
+        assertThat(facade.hostsOutOfRotation()).isZero();
         news(Kind.DELTA, "north", State.DRAINING);
-        assertThat(facade.passedOver()).isOne();
+        assertThat(facade.hostsOutOfRotation()).isOne();
         news(Kind.DELTA, "north", State.DELETED);
-        assertThat(facade.passedOver()).isZero();
+        assertThat(facade.hostsOutOfRotation()).isZero();
     }
 
     private static final RequestInfo LONG = new RequestInfo("pay", "shop-a", "k", 900_000, 0, false, true);
@@ -294,14 +294,14 @@
     void aLongRequestGoesElsewhereOnlyWhileAllThatWentOutIsHeld() {
         facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send first = (Decision.Send) facade.pick(1, LONG);
-        assertThat(facade.report(1, 0, first.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_REPLAYABLE))
+        assertThat(facade.reportAttempt(1, 0, first.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_REPLAYABLE))
                 .isInstanceOf(Decision.Send.class);
         Decision.Send other = (Decision.Send) facade.pick(2, LONG);
-        assertThat(facade.report(2, 0, other.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
+        assertThat(facade.reportAttempt(2, 0, other.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
                 .as("never ran").isInstanceOf(Decision.Refuse.class);
         Decision.Send third = (Decision.Send) facade.pick(3, LONG);
-        facade.uploaded(3);
-        assertThat(facade.report(3, 0, third.host(), AttemptEnd.RESET, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
+        facade.requestBodySent(3);
+        assertThat(facade.reportAttempt(3, 0, third.host(), AttemptEnd.RESET, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
                 .as("may have run").isInstanceOf(Decision.Fail.class);
     }
 
@@ -314,10 +314,10 @@
             now.addAndGet(100_000);
             assertThat(facade.tick()).isEmpty();
         }
-        assertThat(facade.passedOver()).isZero();
-        facade.uploaded(1);
+        assertThat(facade.hostsOutOfRotation()).isZero();
+        facade.requestBodySent(1);
         now.addAndGet(400_000);
-        assertThat(facade.report(1, 0, sent.host(), AttemptEnd.TURNED_AWAY, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
+        assertThat(facade.reportAttempt(1, 0, sent.host(), AttemptEnd.TURNED_AWAY, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
                 .isInstanceOf(Decision.Refuse.class);
         Decision.Send next = (Decision.Send) facade.pick(2, PAY);
         for (int i = 0; i < 20; i++) {
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientSide.java
@@ -97,7 +97,7 @@
     }
 
     long nextId() {
-        return facade.nextId();
+        return facade.nextRequestId();
     }
 
     Conductor conductor() {
--- a/sidecar/src/main/java/dapplequay/net/Conductor.java
+++ b/sidecar/src/main/java/dapplequay/net/Conductor.java
@@ -71,7 +71,7 @@
             // What the request itself is at fault for, another host would find too.
             boolean serves = (end == AttemptEnd.SERVED || end == AttemptEnd.NOT_ACCEPTED) && exchange.claim();
             exchange.lastAttemptTimedOut(end == AttemptEnd.TIMED_OUT);
-            Decision next = facade.report(exchange.id, attempt.order.attempt(), attempt.order.host(), end,
+            Decision next = facade.reportAttempt(exchange.id, attempt.order.attempt(), attempt.order.host(), end,
                     attempt.tookUs(end, upstreams.now()), exchange.isOver(), load, upload);
             if (serves) {
                 if (end == AttemptEnd.SERVED) {
@@ -94,7 +94,7 @@
         out.remove(exchange.id, attempt);
         RequestBodyState upload = exchange.attemptOver(attempt);
         boolean goesOn = exchange.claim();
-        facade.report(exchange.id, attempt.order.attempt(), attempt.order.host(), AttemptEnd.SERVED,
+        facade.reportAttempt(exchange.id, attempt.order.attempt(), attempt.order.host(), AttemptEnd.SERVED,
                 attempt.tookUs(AttemptEnd.SERVED, upstreams.now()), true, load, upload);
         if (!goesOn) {
             return false;
@@ -117,7 +117,7 @@
         }
         attempt.exchange.taken();
         attempt.exchange.dueBy(attempt.untilUs());
-        facade.uploaded(attempt.exchange.id);
+        facade.requestBodySent(attempt.exchange.id);
         return true;
     }
 
@@ -135,8 +135,8 @@
     }
 
     /** Ends the wait for these attempts; each is reported by its connection's own thread. */
-    void cut(List<Facade.Cut> cuts) {
-        for (Facade.Cut cut : cuts) {
+    void cut(List<Facade.AttemptCancellation> cuts) {
+        for (Facade.AttemptCancellation cut : cuts) {
             Attempt attempt = out.get(cut.id());
             if (attempt != null && attempt.order.attempt() == cut.attempt()) {
                 attempt.cut(AttemptEnd.SILENT);
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -116,7 +116,7 @@
             pauseUs = clock.longestPauseUs(begunUs);
             answers = supersededAnswers;
         }
-        facade.awaitWatch(pauseUs);
+        facade.awaitListWanted(pauseUs);
         if (pauseUs != Long.MAX_VALUE) {
             rest(begunUs + pauseUs, () -> clock.keepsPause() && supersededAnswers == answers);
         }
@@ -171,7 +171,7 @@
             table.moved();
             clock.moved();
         }
-        facade.watchAnew();
+        facade.requestListNow();
     }
 
     /** The call under way is not waited for any longer, and still read. */
@@ -282,7 +282,7 @@
         if (call.id().generation() == table.nextCall(0).generation()) {
             heard();
             supersededAnswers++;
-            facade.watchAnew();
+            facade.requestListNow();
         }
     }
 
@@ -331,7 +331,7 @@
         }
         facade.applyListUpdate(ListUpdate.failed());
         if (hasMoved) {
-            facade.watchAnew();         // the address came just before the module was told of the old one's failure
+            facade.requestListNow();         // the address came just before the module was told of the old one's failure
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -166,7 +166,7 @@
     }
 
     private static void tell(String line) {
-        LOG.log(line.startsWith(Facade.FAULT) ? Level.SEVERE : Level.INFO, "{0}", line);
+        LOG.log(line.startsWith(Facade.FAULT_PREFIX) ? Level.SEVERE : Level.INFO, "{0}", line);
     }
 
     private static Endpoints restored(Plan plan, Facade facade, boolean binds) throws IOException {
@@ -232,7 +232,7 @@
         public String figures() {
             return Exposition.text(counts.read(),
                     new Exposition.Gauges(table.size(), passedOver, cfgAccepted.get(), cfgInvalid.get(),
-                            facade.faults())) + figures.text();
+                            facade.moduleFaults())) + figures.text();
         }
 
         @Override
@@ -265,7 +265,7 @@
      * and takes a restart.
      */
     public List<String> retune(Plan next) {
-        facade.retune(next.setup());            // before the clients' side: no class is let in that is not known
+        facade.updateSettings(next.setup());            // before the clients' side: no class is let in that is not known
         counts.know(next.setup().classes().keySet());
         setup = next.setup();
         discovery.moveTo(next.discovery());
@@ -297,7 +297,7 @@
                 discovery.turn(deadlines.now());
                 threads.turn();
                 if (management != null && turn % PASSED_OVER_TURNS == 0) {
-                    passedOver = facade.passedOver();
+                    passedOver = facade.hostsOutOfRotation();
                 }
                 ClientSide side = clients;
                 if (side != null) {
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -70,7 +70,7 @@
         in.await();
         Head head = in.request();
         ClientRequest request = ClientRequest.check(head, in.requestBody(head), null, setup);
-        long id = facade.nextId();
+        long id = facade.nextRequestId();
         Decision decision = facade.pick(id, request.call(request.budgetUs()));
         if (decision instanceof Decision.Send send) {
             Deadlines.Deadline deadline = deadlines.after(send.timeoutUs(), () -> { });
@@ -78,7 +78,7 @@
             MessageReader back = reader(ANSWER);
             Head answer = back.response();
             byte[] body = back.responseBody(answer);
-            facade.report(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
+            facade.reportAttempt(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
                     LoadText.read(answer));
             Answers.served(answer, body).bytes("");
             deadlines.cancel(deadline);
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -129,7 +129,7 @@
         Endpoints.Update known = Endpoints.read(known().getBytes());
         table.restore(known);
         facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
-        facade.watchAnew();
+        facade.requestListNow();
         UpstreamSide upstreams = new UpstreamSide(table, new Deadlines(clock::get), () -> setup, 4, new Counts(),
                 new DiscoveryFigures());
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(7));
