--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -3,7 +3,7 @@
 import dapplequay.facade.Facade;
 import dapplequay.facade.ListUpdate;
 import dapplequay.http.Sockets;
-import dapplequay.lifecycle.Ending;
+import dapplequay.lifecycle.ShutdownSchedule;
 import dapplequay.management.Counts;
 import dapplequay.management.DiscoveryFigures;
 import dapplequay.management.Exposition;
@@ -339,11 +339,11 @@
 
     /** By then, us after the order, an ending has to be over whatever stands still. */
     public long endsWithinUs() {
-        return ending().latestUs();
+        return ending().exitByUs();
     }
 
-    private Ending ending() {
-        return Ending.of(setup.shortestAimUs(), setup.longestDeadlineUs());
+    private ShutdownSchedule ending() {
+        return ShutdownSchedule.of(setup.shortestAimUs(), setup.longestDeadlineUs());
     }
 
     /** Ends in order, and returns when nothing is held any more. Called again, it goes on by the first call's times. */
@@ -351,7 +351,7 @@
         end(ending());
     }
 
-    void end(Ending ordered) throws InterruptedException {
+    void end(ShutdownSchedule ordered) throws InterruptedException {
         long now = deadlines.now();
         ClientSide side;
         synchronized (opening) {
@@ -361,11 +361,11 @@
         }
         if (side != null) {
             boolean handsOver = side.handsOver();
-            Ending ending = handsOver ? ordered.handingOver() : ordered;
+            ShutdownSchedule ending = handsOver ? ordered.forHandover() : ordered;
             LOG.info(handsOver ? "ending: a successor takes the clients"
                     : "ending: who has a connection is still served");
-            lifetime.end(ending.serveUs());
-            side.awaitEmpty(now + ending.lateUs(), now + ending.heldUs(), now + ending.closedUs());
+            lifetime.end(ending.keepAliveUntilUs());
+            side.awaitEmpty(now + ending.acceptUntilUs(), now + ending.answerUntilUs(), now + ending.closeConnectionsAtUs());
         }
         // A process whose threads stay in their reads is gone only a third of a second later.
         discovery.end();
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import dapplequay.ClosesWhatItOpened;
-import dapplequay.lifecycle.Ending;
+import dapplequay.lifecycle.ShutdownSchedule;
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
 import java.io.IOException;
@@ -538,7 +538,7 @@
         host.next();
         CountDownLatch ended = new CountDownLatch(1);
         Host.daemon(() -> {
-            sidecar.end(new Ending(1_000_000, 1_000_000, 3_000_000));
+            sidecar.end(new ShutdownSchedule(1_000_000, 1_000_000, 3_000_000));
             ended.countDown();
         });
         Host.Client late = client(sidecar);
@@ -675,7 +675,7 @@
         held.send(pay(1, 19_000, ""));
         host.next();
         long start = System.nanoTime();
-        sidecar.end(new Ending(50_000, 50_000, 2_050_000));
+        sidecar.end(new ShutdownSchedule(50_000, 50_000, 2_050_000));
         assertThat(System.nanoTime() - start).isLessThan(15_000_000_000L);
         assertThat(held.answer().status()).isEqualTo(504);
         never.countDown();
--- a/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dapplequay.lifecycle.Ending;
+import dapplequay.lifecycle.ShutdownSchedule;
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
 import java.io.IOException;
@@ -30,7 +30,7 @@
 @Timeout(60)
 class StartAndEndTest {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final Ending ENDING = new Ending(100_000, 200_000, 20_000_000);
+    private static final ShutdownSchedule ENDING = new ShutdownSchedule(100_000, 200_000, 20_000_000);
     private final AtomicInteger calls = new AtomicInteger();
 
     private static Sidecar.Plan plan(int... ports) throws Exception {
