--- a/core/src/main/java/dapplequay/lifecycle/ServiceLife.java
+++ b/core/src/main/java/dapplequay/lifecycle/ServiceLifecycle.java
@@ -5,7 +5,7 @@
  * empty the sidecar in the same way: for a grace nothing changes but what it says of itself, as clients and the front
  * go on for a while, and from then on its connections are to go. Times are microseconds and may not run backwards.
  */
-public final class ServiceLife {
+public final class ServiceLifecycle {
     /** Where the sidecar stands. */
     public enum Phase {
         /** Takes no clients yet. */
@@ -25,15 +25,15 @@
 
     private final long drainGraceUs;
     private Phase phase = Phase.STARTING;
-    private boolean drainWanted;
-    private long emptyFromUs = NEVER;
+    private boolean drainRequested;
+    private long closeConnectionsFromUs = NEVER;
 
     /** {@code drainGraceUs}: how long the front goes on sending after a drain, microseconds, 0 or more. */
-    public ServiceLife(long drainGraceUs) {
-        this.drainGraceUs = checked(drainGraceUs);
+    public ServiceLifecycle(long drainGraceUs) {
+        this.drainGraceUs = requireNotNegative(drainGraceUs);
     }
 
-    private static long checked(long graceUs) {
+    private static long requireNotNegative(long graceUs) {
         if (graceUs < 0) {
             throw new IllegalArgumentException("a grace is negative: " + graceUs);
         }
@@ -45,20 +45,20 @@
     }
 
     /** Whether a front should send clients here. */
-    public boolean wantsClients() {
+    public boolean acceptsClients() {
         return phase == Phase.SERVING;
     }
 
     /** Whether connections are to go: each answer is its connection's last, and idle ones are closed. */
-    public boolean empties(long nowUs) {
-        return nowUs >= emptyFromUs;
+    public boolean closesConnections(long nowUs) {
+        return nowUs >= closeConnectionsFromUs;
     }
 
     /** It listens. A drain that was ordered before begins now. */
-    public void listening(long nowUs) {
+    public void listenerOpened(long nowUs) {
         if (phase == Phase.STARTING) {
             phase = Phase.SERVING;
-            if (drainWanted) {
+            if (drainRequested) {
                 drain(nowUs);
             }
         }
@@ -66,10 +66,10 @@
 
     /** It is to be emptied. Ordered twice, the first order counts; one that is ending may be emptied the sooner. */
     public void drain(long nowUs) {
-        drainWanted = true;
+        drainRequested = true;
         if (phase != Phase.STARTING) {
             phase = phase == Phase.SERVING ? Phase.DRAINING : phase;
-            emptyFromUs = Math.min(emptyFromUs, nowUs + drainGraceUs);
+            closeConnectionsFromUs = Math.min(closeConnectionsFromUs, nowUs + drainGraceUs);
         }
     }
 
@@ -78,10 +78,10 @@
         if (phase == Phase.ENDING) {
             return false;
         }
-        drainWanted = false;
+        drainRequested = false;
         if (phase == Phase.DRAINING || phase == Phase.DRAINED) {
             phase = Phase.SERVING;
-            emptyFromUs = NEVER;
+            closeConnectionsFromUs = NEVER;
         }
         return true;
     }
@@ -90,14 +90,14 @@
      * It is to exit; clients go on coming for {@code graceUs}, 0 or more. What a drain has begun goes on: the grace
      * is over no later than it was before.
      */
-    public void end(long nowUs, long graceUs) {
+    public void beginShutdown(long nowUs, long graceUs) {
         phase = Phase.ENDING;
-        emptyFromUs = Math.min(emptyFromUs, nowUs + checked(graceUs));
+        closeConnectionsFromUs = Math.min(closeConnectionsFromUs, nowUs + requireNotNegative(graceUs));
     }
 
     /** How many clients' connections it holds. */
-    public void holds(int connections, long nowUs) {
-        if (phase == Phase.DRAINING && connections == 0 && empties(nowUs)) {
+    public void updateConnectionCount(int connections, long nowUs) {
+        if (phase == Phase.DRAINING && connections == 0 && closesConnections(nowUs)) {
             phase = Phase.DRAINED;
         } else if (phase == Phase.DRAINED && connections > 0) {
             phase = Phase.DRAINING;
--- a/sidecar/src/main/java/dapplequay/net/Lifetime.java
+++ b/sidecar/src/main/java/dapplequay/net/Lifetime.java
@@ -1,6 +1,6 @@
 package dapplequay.net;
 
-import dapplequay.lifecycle.ServiceLife;
+import dapplequay.lifecycle.ServiceLifecycle;
 import java.util.function.LongSupplier;
 
 /** Whether this sidecar wants clients: the pure machine, with a clock and for many threads. */
@@ -9,26 +9,26 @@
     private static final long FRONT_US = 350_000;
 
     private final LongSupplier clock;
-    private final ServiceLife life = new ServiceLife(FRONT_US);
+    private final ServiceLifecycle life = new ServiceLifecycle(FRONT_US);
 
     Lifetime(LongSupplier clock) {
         this.clock = clock;
     }
 
     synchronized boolean wantsClients() {
-        return life.wantsClients();
+        return life.acceptsClients();
     }
 
     synchronized boolean empties() {
-        return life.empties(clock.getAsLong());
+        return life.closesConnections(clock.getAsLong());
     }
 
     synchronized boolean isEnding() {
-        return life.phase() == ServiceLife.Phase.ENDING;
+        return life.phase() == ServiceLifecycle.Phase.ENDING;
     }
 
     synchronized void listening() {
-        life.listening(clock.getAsLong());
+        life.listenerOpened(clock.getAsLong());
     }
 
     synchronized void drain() {
@@ -40,10 +40,10 @@
     }
 
     synchronized void end(long graceUs) {
-        life.end(clock.getAsLong(), graceUs);
+        life.beginShutdown(clock.getAsLong(), graceUs);
     }
 
     synchronized void holds(int connections) {
-        life.holds(connections, clock.getAsLong());
+        life.updateConnectionCount(connections, clock.getAsLong());
     }
 }
