--- a/core/src/main/java/dapplequay/lifecycle/InstanceLife.java
+++ b/core/src/main/java/dapplequay/lifecycle/InstanceLifecycle.java
@@ -11,7 +11,7 @@
  * row is given up, until somebody wishes it to run once more. Every state but {@link State#STOPPED},
  * {@link State#READY} and {@link State#GIVEN_UP}, in which an instance may rest, has a time at which it is left.
  */
-public final class InstanceLife {
+public final class InstanceLifecycle {
     /** Where an instance stands. */
     public enum State {
         /** Does not run, and nobody wishes it to. */
@@ -23,22 +23,22 @@
         /** Takes nothing new and finishes what it holds. */
         DRAINING,
         /** Failed; is started again when its pause is over. */
-        WAITING,
+        BACKOFF,
         /** Was cut; its end has not been told yet. */
-        CUT,
+        KILL,
         /** Failed too often in a row. */
         GIVEN_UP
     }
 
     /** What is to be done now. */
-    public enum Act {
+    public enum Action {
         NOTHING,
         /** Start it. */
         START,
         /** Let it take nothing new and end when it holds nothing. */
         DRAIN,
         /** End it at once, whatever it holds; asked for again until its end is told. */
-        CUT,
+        KILL,
         /** Nothing more is tried: say so loudly. */
         GIVE_UP
     }
@@ -46,20 +46,20 @@
     /**
      * How patient a life is.
      *
-     * @param startWithinUs a start that takes longer has failed
-     * @param drainWithinUs what is not finished then is cut
-     * @param cutAgainUs    a cut whose end is not told is repeated after this time
-     * @param pauseUs       pause after a first failure
-     * @param longestPauseUs bound on the pause
+     * @param startTimeoutUs a start that takes longer has failed
+     * @param drainTimeoutUs what is not finished then is cut
+     * @param killRetryUs    a cut whose end is not told is repeated after this time
+     * @param initialBackoffUs       pause after a first failure
+     * @param maxBackoffUs bound on the pause
      * @param jitter        random part of a pause that is left out, 0 to 1
-     * @param mostFailures  failures in a row after which it is given up, 1 or more
-     * @param calmUs        an instance that was ready this long has no failures behind it
+     * @param maxFailures  failures in a row after which it is given up, 1 or more
+     * @param failureResetUs        an instance that was ready this long has no failures behind it
      */
-    public record Patience(long startWithinUs, long drainWithinUs, long cutAgainUs, long pauseUs,
-                           long longestPauseUs, double jitter, int mostFailures, long calmUs) {
-        public Patience {
-            if (startWithinUs <= 0 || drainWithinUs <= 0 || cutAgainUs <= 0 || pauseUs <= 0
-                    || longestPauseUs < pauseUs || !(jitter >= 0 && jitter <= 1) || mostFailures < 1 || calmUs < 0) {
+    public record RestartPolicy(long startTimeoutUs, long drainTimeoutUs, long killRetryUs, long initialBackoffUs,
+                           long maxBackoffUs, double jitter, int maxFailures, long failureResetUs) {
+        public RestartPolicy {
+            if (startTimeoutUs <= 0 || drainTimeoutUs <= 0 || killRetryUs <= 0 || initialBackoffUs <= 0
+                    || maxBackoffUs < initialBackoffUs || !(jitter >= 0 && jitter <= 1) || maxFailures < 1 || failureResetUs < 0) {
                 throw new IllegalArgumentException("patience is out of range: " + this);
             }
         }
@@ -68,19 +68,19 @@
     /** What there is no time for: nothing happens by time alone. */
     public static final long NEVER = Long.MAX_VALUE;
 
-    private final Patience patience;
+    private final RestartPolicy policy;
     private final DoubleSupplier random;
     private State state = State.STOPPED;
-    private boolean wanted;
+    private boolean runRequested;
     private boolean restarting;
-    private boolean failedLast;
+    private boolean killedAsFailure;
     private int failures;
     private long readySinceUs;
-    private long dueUs = NEVER;
+    private long nextTickUs = NEVER;
 
     /** {@code random}: evenly spread from 0 to 1, for the pauses. */
-    public InstanceLife(Patience patience, DoubleSupplier random) {
-        this.patience = patience;
+    public InstanceLifecycle(RestartPolicy policy, DoubleSupplier random) {
+        this.policy = policy;
         this.random = random;
     }
 
@@ -89,8 +89,8 @@
     }
 
     /** Whether somebody wishes it to run. */
-    public boolean isWanted() {
-        return wanted;
+    public boolean isRunRequested() {
+        return runRequested;
     }
 
     /** Failures in a row. */
@@ -99,37 +99,37 @@
     }
 
     /** When {@link #tick} is to be called at the latest; {@link #NEVER}: only an event goes on from here. */
-    public long dueUs() {
-        return dueUs;
+    public long nextTickUs() {
+        return nextTickUs;
     }
 
     /** It is to run. One that was given up is tried anew, as if it had never failed. */
-    public Act run(long nowUs) {
-        wanted = true;
+    public Action run(long nowUs) {
+        runRequested = true;
         if (state == State.GIVEN_UP) {
             failures = 0;
         }
-        return state == State.STOPPED || state == State.GIVEN_UP ? start(nowUs) : Act.NOTHING;
+        return state == State.STOPPED || state == State.GIVEN_UP ? start(nowUs) : Action.NOTHING;
     }
 
     /** It is to end in order, and to stay stopped. */
-    public Act stop(long nowUs) {
-        wanted = false;
+    public Action stop(long nowUs) {
+        runRequested = false;
         restarting = false;
         return switch (state) {
             case STARTING, READY -> drain(nowUs);
-            case WAITING, GIVEN_UP -> {
+            case BACKOFF, GIVEN_UP -> {
                 enter(State.STOPPED, NEVER);
-                yield Act.NOTHING;
+                yield Action.NOTHING;
             }
-            case STOPPED, DRAINING, CUT -> Act.NOTHING;
+            case STOPPED, DRAINING, KILLING -> Action.NOTHING;
         };
     }
 
     /** It is to end in order and start again. One that nobody wishes to run stays as it is. */
-    public Act restart(long nowUs) {
-        if (!wanted) {
-            return Act.NOTHING;
+    public Action restart(long nowUs) {
+        if (!runRequested) {
+            return Action.NOTHING;
         }
         return switch (state) {
             case STARTING, READY -> {
@@ -137,108 +137,108 @@
                 yield drain(nowUs);
             }
             case STOPPED, GIVEN_UP -> run(nowUs);
-            case WAITING, DRAINING, CUT -> Act.NOTHING;
+            case BACKOFF, DRAINING, KILLING -> Action.NOTHING;
         };
     }
 
     /** It serves. */
-    public Act ready(long nowUs) {
+    public Action ready(long nowUs) {
         if (state == State.STARTING) {
             readySinceUs = nowUs;
             enter(State.READY, NEVER);
         }
-        return Act.NOTHING;
+        return Action.NOTHING;
     }
 
     /** It has ended, in order or after a cut. An end that nobody asked for is a failure. */
-    public Act ended(long nowUs) {
+    public Action ended(long nowUs) {
         return switch (state) {
             case STARTING, READY -> {
                 forgetOldFailures(nowUs);
                 yield afterEnd(nowUs, true);
             }
             case DRAINING -> afterEnd(nowUs, false);
-            case CUT -> afterEnd(nowUs, failedLast);
-            case STOPPED, WAITING, GIVEN_UP -> Act.NOTHING;
+            case KILLING -> afterEnd(nowUs, killedAsFailure);
+            case STOPPED, BACKOFF, GIVEN_UP -> Action.NOTHING;
         };
     }
 
     /** Something in it broke: what is left of it is of no use. Its end is to be told with {@link #ended}. */
-    public Act failed(long nowUs) {
+    public Action failed(long nowUs) {
         return switch (state) {
             case STARTING, READY -> {
                 forgetOldFailures(nowUs);
-                yield cut(nowUs, true);
+                yield kill(nowUs, true);
             }
-            case DRAINING -> cut(nowUs, false);
-            case STOPPED, WAITING, CUT, GIVEN_UP -> Act.NOTHING;
+            case DRAINING -> kill(nowUs, false);
+            case STOPPED, BACKOFF, KILLING, GIVEN_UP -> Action.NOTHING;
         };
     }
 
     /** Time has passed. */
-    public Act tick(long nowUs) {
-        if (nowUs < dueUs) {
-            return Act.NOTHING;
+    public Action tick(long nowUs) {
+        if (nowUs < nextTickUs) {
+            return Action.NOTHING;
         }
         return switch (state) {
-            case STARTING -> cut(nowUs, true);
-            case DRAINING -> cut(nowUs, false);
-            case CUT -> cut(nowUs, failedLast);
-            case WAITING -> start(nowUs);
-            case STOPPED, READY, GIVEN_UP -> Act.NOTHING;
+            case STARTING -> kill(nowUs, true);
+            case DRAINING -> kill(nowUs, false);
+            case KILLING -> kill(nowUs, killedAsFailure);
+            case BACKOFF -> start(nowUs);
+            case STOPPED, READY, GIVEN_UP -> Action.NOTHING;
         };
     }
 
     private void forgetOldFailures(long nowUs) {
-        if (state == State.READY && nowUs - readySinceUs >= patience.calmUs()) {
+        if (state == State.READY && nowUs - readySinceUs >= policy.failureResetUs()) {
             failures = 0;
         }
     }
 
-    private Act start(long nowUs) {
+    private Action start(long nowUs) {
         restarting = false;
-        enter(State.STARTING, nowUs + patience.startWithinUs());
-        return Act.START;
+        enter(State.STARTING, nowUs + policy.startTimeoutUs());
+        return Action.START;
     }
 
-    private Act drain(long nowUs) {
-        enter(State.DRAINING, nowUs + patience.drainWithinUs());
-        return Act.DRAIN;
+    private Action drain(long nowUs) {
+        enter(State.DRAINING, nowUs + policy.drainTimeoutUs());
+        return Action.DRAIN;
     }
 
-    private Act cut(long nowUs, boolean asFailure) {
-        failedLast = asFailure;
-        enter(State.CUT, nowUs + patience.cutAgainUs());
-        return Act.CUT;
+    private Action kill(long nowUs, boolean asFailure) {
+        killedAsFailure = asFailure;
+        enter(State.KILLING, nowUs + policy.killRetryUs());
+        return Action.KILL;
     }
 
     /** Nothing of it is left: what comes next is what is wished for. */
-    private Act afterEnd(long nowUs, boolean asFailure) {
-        if (!wanted) {
+    private Action afterEnd(long nowUs, boolean asFailure) {
+        if (!runRequested) {
             enter(State.STOPPED, NEVER);
-            return Act.NOTHING;
+            return Action.NOTHING;
         }
         if (!asFailure) {
             return start(nowUs);
         }
         failures++;
-        if (failures >= patience.mostFailures()) {
+        if (failures >= policy.maxFailures()) {
             enter(State.GIVEN_UP, NEVER);
-            return Act.GIVE_UP;
+            return Action.GIVE_UP;
         }
-        enter(State.WAITING, nowUs + pause());
-        return Act.NOTHING;
+        enter(State.BACKOFF, nowUs + backoffUs());
+        return Action.NOTHING;
     }
 
-    private long pause() {
-        double doubled = patience.pauseUs() * Math.pow(2, Math.min(failures - 1, 40));
-        double bounded = Math.min(patience.longestPauseUs(), doubled);
-        return Math.max(1, Math.round(bounded * (1 - patience.jitter() * random.getAsDouble())));
+    private long backoffUs() {
+        double exponentialUs = policy.initialBackoffUs() * Math.pow(2, Math.min(failures - 1, 40));
+        double boundedUs = Math.min(policy.maxBackoffUs(), exponentialUs);
+        return Math.max(1, Math.round(boundedUs * (1 - policy.jitter() * random.getAsDouble())));
     }
 
-    private void enter(State next, long nextDueUs) {
+    private void enter(State next, long tickUs) {
         state = next;
-        dueUs = nextDueUs;
+        nextTickUs = tickUs;
     }
 
     /** Whether it is down only because it was told to restart. */
