--- a/core/src/main/java/dapplequay/lifecycle/InstanceLifecycle.java
+++ b/core/src/main/java/dapplequay/lifecycle/InstanceLifecycle.java
@@ -25,7 +25,7 @@
         /** Failed; is started again when its pause is over. */
         BACKOFF,
         /** Was cut; its end has not been told yet. */
-        KILL,
+        KILLING,
         /** Failed too often in a row. */
         GIVEN_UP
     }
--- a/core/src/main/java/dapplequay/lifecycle/ReloadPlan.java
+++ b/core/src/main/java/dapplequay/lifecycle/ReloadPlan.java
@@ -9,7 +9,7 @@
  * as they are. It is made as a whole before anything is touched.
  */
 public record ReloadPlan(SortedSet<String> added, SortedSet<String> removed, SortedSet<String> changed,
-                         SortedSet<String> untouched) {
+                         SortedSet<String> unchanged) {
     /** The difference of two configurations by name; two of one name are the same where they are equal. */
     public static <T> ReloadPlan between(Map<String, T> before, Map<String, T> after) {
         SortedSet<String> added = new TreeSet<>(after.keySet());
@@ -17,13 +17,13 @@
         SortedSet<String> removed = new TreeSet<>(before.keySet());
         removed.removeAll(after.keySet());
         SortedSet<String> changed = new TreeSet<>();
-        SortedSet<String> untouched = new TreeSet<>();
+        SortedSet<String> unchanged = new TreeSet<>();
         before.forEach((name, value) -> {
             if (after.containsKey(name)) {
-                (value.equals(after.get(name)) ? untouched : changed).add(name);
+                (value.equals(after.get(name)) ? unchanged : changed).add(name);
             }
         });
-        return new ReloadPlan(added, removed, changed, untouched);
+        return new ReloadPlan(added, removed, changed, unchanged);
     }
 
     public boolean isEmpty() {
--- a/core/src/main/java/dapplequay/lifecycle/FleetRoll.java
+++ b/core/src/main/java/dapplequay/lifecycle/RollingRestart.java
@@ -13,37 +13,37 @@
  * the one before is back; never are more instances out than allowed, and those that are out for reasons of
  * their own count. A batch that does not come back in time halts the roll, and somebody has to resume it.
  */
-public final class FleetRoll {
+public final class RollingRestart {
     /** Where a roll stands. */
     public enum Phase { RUNNING, HALTED, DONE, ABORTED }
 
     /**
      * What a roll keeps to.
      *
-     * @param batch       instances at a time, 1 or more
-     * @param mostOut     instances that may be out at once, for whatever reason, 1 or more
-     * @param backWithinUs a batch that takes longer to be ready again halts the roll
+     * @param batchSize instances at a time, 1 or more
+     * @param maxUnavailable     instances that may be out at once, for whatever reason, 1 or more
+     * @param readyTimeoutUs a batch that takes longer to be ready again halts the roll
      */
-    public record Bounds(int batch, int mostOut, long backWithinUs) {
-        public Bounds {
-            if (batch < 1 || mostOut < 1 || backWithinUs <= 0) {
-                throw new IllegalArgumentException("bounds are out of range: " + batch + ", " + mostOut + ", "
-                        + backWithinUs);
+    public record Limits(int batchSize, int maxUnavailable, long readyTimeoutUs) {
+        public Limits {
+            if (batchSize < 1 || maxUnavailable < 1 || readyTimeoutUs <= 0) {
+                throw new IllegalArgumentException("bounds are out of range: " + batchSize + ", " + maxUnavailable + ", "
+                        + readyTimeoutUs);
             }
         }
     }
 
-    private final Bounds bounds;
-    private final ArrayDeque<String> left;
-    private final Set<String> out = new LinkedHashSet<>();
-    private final List<String> done = new ArrayList<>();
+    private final Limits limits;
+    private final ArrayDeque<String> pending;
+    private final Set<String> restarting = new LinkedHashSet<>();
+    private final List<String> completed = new ArrayList<>();
     private Phase phase = Phase.RUNNING;
-    private long backByUs = Long.MAX_VALUE;
+    private long readyDeadlineUs = Long.MAX_VALUE;
 
     /** Over these instances, in this order. */
-    public FleetRoll(Collection<String> instances, Bounds bounds) {
-        this.bounds = bounds;
-        left = new ArrayDeque<>(new LinkedHashSet<>(instances));
+    public RollingRestart(Collection<String> instances, Limits limits) {
+        this.limits = limits;
+        pending = new ArrayDeque<>(new LinkedHashSet<>(instances));
     }
 
     public Phase phase() {
@@ -51,55 +51,55 @@
     }
 
     /** Instances of the batch under way that are not back yet. */
-    public Set<String> out() {
-        return Set.copyOf(out);
+    public Set<String> restarting() {
+        return Set.copyOf(restarting);
     }
 
     /** Instances that are back. */
-    public List<String> done() {
-        return List.copyOf(done);
+    public List<String> completed() {
+        return List.copyOf(completed);
     }
 
     /** Instances whose turn has not come. */
-    public List<String> left() {
-        return List.copyOf(left);
+    public List<String> pending() {
+        return List.copyOf(pending);
     }
 
     /** This one of the batch serves again. */
-    public void back(String instance) {
-        if (out.remove(instance)) {
-            done.add(instance);
+    public void instanceReady(String instance) {
+        if (restarting.remove(instance)) {
+            completed.add(instance);
         }
     }
 
     /** This one is no more: the configuration has dropped it. It is neither waited for nor rolled. */
-    public void removed(String instance) {
-        out.remove(instance);
-        left.remove(instance);
+    public void instanceRemoved(String instance) {
+        restarting.remove(instance);
+        pending.remove(instance);
     }
 
     /**
-     * Which instances are to be restarted now. {@code ready}: all that serve at this moment; {@code all}: how many
+     * Which instances are to be restarted now. {@code ready}: all that serve at this moment; {@code instanceCount}: how many
      * there are. Those that are not ready count as out, whether this roll has them out or not.
      */
-    public List<String> next(long nowUs, Collection<String> ready, int all) {
+    public List<String> nextBatch(long nowUs, Collection<String> ready, int instanceCount) {
         if (phase != Phase.RUNNING) {
             return List.of();
         }
-        if (!out.isEmpty()) {
-            if (nowUs >= backByUs) {
+        if (!restarting.isEmpty()) {
+            if (nowUs >= readyDeadlineUs) {
                 phase = Phase.HALTED;
             }
             return List.of();
         }
-        if (left.isEmpty()) {
+        if (pending.isEmpty()) {
             phase = Phase.DONE;
             return List.of();
         }
-        int outAlready = all - ready.size();
-        int may = Math.min(bounds.batch(), bounds.mostOut() - outAlready);
+        int unavailable = instanceCount - ready.size();
+        int allowed = Math.min(limits.batchSize(), limits.maxUnavailable() - unavailable);
         List<String> batch = new ArrayList<>();
-        for (Iterator<String> each = left.iterator(); each.hasNext() && batch.size() < may;) {
+        for (Iterator<String> each = pending.iterator(); each.hasNext() && batch.size() < allowed;) {
             String instance = each.next();
             // One that is out by itself comes back on its own; its turn is when it has.
             if (ready.contains(instance)) {
@@ -108,8 +108,8 @@
             }
         }
         if (!batch.isEmpty()) {
-            out.addAll(batch);
-            backByUs = nowUs + bounds.backWithinUs();
+            restarting.addAll(batch);
+            readyDeadlineUs = nowUs + limits.readyTimeoutUs();
         }
         return batch;
     }
@@ -118,7 +118,7 @@
     public void resume(long nowUs) {
         if (phase == Phase.HALTED) {
             phase = Phase.RUNNING;
-            backByUs = nowUs + bounds.backWithinUs();
+            readyDeadlineUs = nowUs + limits.readyTimeoutUs();
         }
     }
 
