--- a/sidecar/src/main/java/dapplequay/cli/KeptState.java
+++ b/sidecar/src/main/java/dapplequay/cli/KeptState.java
@@ -2,7 +2,7 @@
 
 import dapplequay.http.Sockets;
 import dapplequay.net.Sidecar;
-import dapplequay.recovery.Beginning;
+import dapplequay.recovery.InitialList;
 import dapplequay.settings.Json;
 import dapplequay.snapshot.StateFolder;
 import dapplequay.state.Snapshot;
@@ -39,15 +39,15 @@
         Snapshot kept = folder.read();
         Object tree = kept == null ? null : tree(kept);
         long now = clock.getAsLong();
-        Beginning.Known own = tree == null ? null : new Beginning.Known(revision(tree), kept.takenUs());
-        Beginning beginning = Beginning.choose(revision(plan.known()), own, now, Sidecar.versionCountsUs());
-        Sidecar.Memory memory = new Sidecar.Memory(beginning.binds(), folder::keep);
-        if (beginning.from() != Beginning.From.KEPT) {
+        InitialList.KeptList own = tree == null ? null : new InitialList.KeptList(revision(tree), kept.takenUs());
+        InitialList beginning = InitialList.choose(revision(plan.known()), own, now, Sidecar.versionCountsUs());
+        Sidecar.Memory memory = new Sidecar.Memory(beginning.enforcesVersion(), folder::keep);
+        if (beginning.source() != InitialList.Source.KEPT) {
             return new Sidecar(plan, memory);
         }
         LOG.log(Level.INFO, "begins with the list kept {0} s ago, version {1}{2}", new Object[] {
             (now - kept.takenUs()) / 1_000_000, revision(tree).toString(),
-            beginning.binds() ? "" : "; discovery may be older"});
+            beginning.enforcesVersion() ? "" : "; discovery may be older"});
         try {
             return new Sidecar(plan.beginningWith(tree), memory);
         } catch (IOException | RuntimeException e) {
