--- a/core/src/main/java/dapplequay/state/Snapshot.java
+++ b/core/src/main/java/dapplequay/state/Snapshot.java
@@ -10,72 +10,72 @@
  * checksum covers the time, too. Pure: where the bytes lie is not its matter.
  *
  * @param takenUs Unix time in microseconds
- * @param list    the list in discovery's form, UTF-8; at most {@link #MOST_BYTES} bytes
+ * @param list    the list in discovery's form, UTF-8; at most {@link #MAX_LIST_BYTES} bytes
  */
 public record Snapshot(long takenUs, byte[] list) {
     public static final int VERSION = 1;
     /** A larger list is no list: ten thousand hosts take a fifth of it. */
-    public static final int MOST_BYTES = 16 * 1024 * 1024;
-    static final int HEAD_BYTES = 28;
+    public static final int MAX_LIST_BYTES = 16 * 1024 * 1024;
+    static final int HEADER_BYTES = 28;
     private static final byte[] MAGIC = {'D', 'Q', 'S', 'N', 'A', 'P'};
 
     /** What bytes turned out to be: a snapshot, or why they are none. One of the two is null. */
-    public record Read(Snapshot snapshot, String fault) { }
+    public record DecodeResult(Snapshot snapshot, String fault) { }
 
     public Snapshot {
-        if (list.length > MOST_BYTES) {
+        if (list.length > MAX_LIST_BYTES) {
             throw new IllegalArgumentException("list of " + list.length + " bytes is too large to keep");
         }
     }
 
     public byte[] encode() {
-        ByteBuffer bytes = ByteBuffer.allocate(HEAD_BYTES + list.length);
-        bytes.put(MAGIC).putShort((short) VERSION).putLong(takenUs).putInt(list.length).putLong(sum(takenUs, list))
+        ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES + list.length);
+        bytes.put(MAGIC).putShort((short) VERSION).putLong(takenUs).putInt(list.length).putLong(checksum(takenUs, list))
                 .put(list);
         return bytes.array();
     }
 
     /** Reads what was kept. Whatever the bytes are, no exception comes of them. */
-    public static Read decode(byte[] bytes) {
-        if (bytes.length < HEAD_BYTES) {
-            return bad("torn: " + bytes.length + " bytes are fewer than a head");
+    public static DecodeResult decode(byte[] bytes) {
+        if (bytes.length < HEADER_BYTES) {
+            return invalid("torn: " + bytes.length + " bytes are fewer than a head");
         }
         ByteBuffer in = ByteBuffer.wrap(bytes);
         byte[] magic = new byte[MAGIC.length];
         in.get(magic);
         if (!Arrays.equals(magic, MAGIC)) {
-            return bad("no snapshot");
+            return invalid("no snapshot");
         }
         int version = in.getShort() & 0xffff;
         if (version != VERSION) {
-            return bad("foreign version " + version + ", this program knows " + VERSION);
+            return invalid("foreign version " + version + ", this program knows " + VERSION);
         }
-        long taken = in.getLong();
+        long takenUs = in.getLong();
         int length = in.getInt();
-        long sum = in.getLong();
-        if (length < 0 || length > MOST_BYTES) {
-            return bad("oversized: " + Integer.toUnsignedString(length) + " bytes");
+        long storedChecksum = in.getLong();
+        if (length < 0 || length > MAX_LIST_BYTES) {
+            return invalid("oversized: " + Integer.toUnsignedString(length) + " bytes");
         }
         if (in.remaining() != length) {
-            return bad("torn: " + in.remaining() + " bytes in place of " + length);
+            return invalid("torn: " + in.remaining() + " bytes in place of " + length);
         }
         byte[] list = new byte[length];
         in.get(list);
-        if (sum(taken, list) != sum) {
-            return bad("corrupt: its checksum does not hold");
+        if (checksum(takenUs, list) != storedChecksum) {
+            return invalid("corrupt: its checksum does not hold");
         }
-        return new Read(new Snapshot(taken, list), null);
+        return new DecodeResult(new Snapshot(takenUs, list), null);
     }
 
-    private static Read bad(String why) {
-        return new Read(null, why);
+    private static DecodeResult invalid(String fault) {
+        return new DecodeResult(null, fault);
     }
 
-    private static long sum(long takenUs, byte[] list) {
-        CRC32C sum = new CRC32C();
-        sum.update(ByteBuffer.allocate(Long.BYTES).putLong(takenUs).flip());
-        sum.update(list, 0, list.length);
-        return sum.getValue();
+    private static long checksum(long takenUs, byte[] list) {
+        CRC32C crc = new CRC32C();
+        crc.update(ByteBuffer.allocate(Long.BYTES).putLong(takenUs).flip());
+        crc.update(list, 0, list.length);
+        return crc.getValue();
     }
 
     @Override
--- a/sidecar/src/main/java/dapplequay/snapshot/SnapshotFile.java
+++ b/sidecar/src/main/java/dapplequay/snapshot/SnapshotFile.java
@@ -40,11 +40,11 @@
     /** The last one kept, or null where there is none that can be used. */
     public Snapshot read() {
         try {
-            byte[] bytes = disk.read(file, Snapshot.MOST_BYTES + HEAD_ROOM);
+            byte[] bytes = disk.read(file, Snapshot.MAX_LIST_BYTES + HEAD_ROOM);
             if (bytes == null) {
                 return null;
             }
-            Snapshot.Read read = Snapshot.decode(bytes);
+            Snapshot.DecodeResult read = Snapshot.decode(bytes);
             if (read.snapshot() != null) {
                 return read.snapshot();
             }
--- a/sidecar/src/main/java/dapplequay/snapshot/StateFolder.java
+++ b/sidecar/src/main/java/dapplequay/snapshot/StateFolder.java
@@ -1,7 +1,7 @@
 package dapplequay.snapshot;
 
 import dapplequay.state.Snapshot;
-import dapplequay.state.WritePace;
+import dapplequay.state.WriteScheduler;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -26,7 +26,7 @@
     private final SnapshotFile file;
     private final Path lockFile;
     private final LongSupplier clock;
-    private final WritePace pace = new WritePace(EVERY_US, AFTER_FAILURE_US);
+    private final WriteScheduler pace = new WriteScheduler(EVERY_US, AFTER_FAILURE_US);
     private Supplier<byte[]> list;
     private boolean ended;
     private FileLock lock;
@@ -47,7 +47,7 @@
     /** The list was heard; {@code text} gives it in discovery's form when it is written. */
     public synchronized void keep(Supplier<byte[]> text) {
         list = text;
-        pace.changed();
+        pace.listChanged();
         if (writer == null && !ended) {
             writer = new Thread(this::run, "state");
             writer.setDaemon(true);
@@ -70,10 +70,10 @@
     private synchronized boolean awaitDue() throws InterruptedException {
         while (!ended) {
             long now = clock.getAsLong();
-            if (pace.dueUs() <= now) {
+            if (pace.nextWriteUs() <= now) {
                 return true;
             }
-            wait(pace.dueUs() == Long.MAX_VALUE ? 0 : (pace.dueUs() - now) / 1_000 + 1);
+            wait(pace.nextWriteUs() == Long.MAX_VALUE ? 0 : (pace.nextWriteUs() - now) / 1_000 + 1);
         }
         return false;
     }
@@ -81,7 +81,7 @@
     private void write() {
         Supplier<byte[]> text;
         synchronized (this) {
-            pace.begun(clock.getAsLong());
+            pace.writeStarted(clock.getAsLong());
             text = list;
         }
         try {
@@ -91,7 +91,7 @@
             file.write(new Snapshot(clock.getAsLong(), text.get()));
         } catch (IOException | RuntimeException e) {
             synchronized (this) {
-                if (pace.failed(clock.getAsLong())) {
+                if (pace.writeFailed(clock.getAsLong())) {
                     LOG.log(Level.SEVERE, "the list is not kept: {0}", e.toString());
                 }
             }
@@ -128,7 +128,7 @@
             last.join();
         }
         synchronized (this) {
-            dirty = pace.dueUs() != Long.MAX_VALUE;
+            dirty = pace.nextWriteUs() != Long.MAX_VALUE;
         }
         if (dirty) {
             write();
