--- a/core/src/main/java/dapplequay/settings/Json.java
+++ b/core/src/main/java/dapplequay/settings/Json.java
@@ -20,12 +20,12 @@
 
     /** The one value that the text holds; IOException where it is not JSON or holds more. */
     public static Object parse(byte[] text) throws IOException {
-        try (JsonParser in = FACTORY.createParser(text)) {
-            if (in.nextToken() == null) {
+        try (JsonParser parser = FACTORY.createParser(text)) {
+            if (parser.nextToken() == null) {
                 throw new IOException("empty text in place of JSON");
             }
-            Object tree = value(in);
-            if (in.nextToken() != null) {
+            Object tree = readValue(parser);
+            if (parser.nextToken() != null) {
                 throw new IOException("more than one JSON value");
             }
             return tree;
@@ -33,62 +33,62 @@
     }
 
     /** The text, UTF-8, of such a tree; IllegalArgumentException where it holds anything else. */
-    public static byte[] text(Object tree) {
+    public static byte[] serialize(Object tree) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
-        try (JsonGenerator out = FACTORY.createGenerator(text)) {
-            write(out, tree);
+        try (JsonGenerator generator = FACTORY.createGenerator(text)) {
+            write(generator, tree);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return text.toByteArray();
     }
 
-    private static void write(JsonGenerator out, Object value) throws IOException {
+    private static void write(JsonGenerator generator, Object value) throws IOException {
         if (value instanceof Map<?, ?> object) {
-            out.writeStartObject();
+            generator.writeStartObject();
             for (Map.Entry<?, ?> field : object.entrySet()) {
-                out.writeFieldName((String) field.getKey());
-                write(out, field.getValue());
+                generator.writeFieldName((String) field.getKey());
+                write(generator, field.getValue());
             }
-            out.writeEndObject();
+            generator.writeEndObject();
         } else if (value instanceof List<?> array) {
-            out.writeStartArray();
+            generator.writeStartArray();
             for (Object item : array) {
-                write(out, item);
+                write(generator, item);
             }
-            out.writeEndArray();
+            generator.writeEndArray();
         } else if (value == null || value instanceof String || value instanceof Boolean || value instanceof Long
                 || value instanceof Integer || value instanceof Double) {
-            out.writeObject(value);
+            generator.writeObject(value);
         } else {
             throw new IllegalArgumentException("not for JSON: " + value.getClass());
         }
     }
 
     /** The value that the parser stands on. */
-    static Object value(JsonParser in) throws IOException {
-        switch (in.currentToken()) {
+    static Object readValue(JsonParser parser) throws IOException {
+        switch (parser.currentToken()) {
             case START_OBJECT -> {
                 Map<String, Object> object = new LinkedHashMap<>();
-                while (in.nextToken() != JsonToken.END_OBJECT) {
-                    String name = in.currentName();
-                    in.nextToken();
-                    object.put(name, value(in));
+                while (parser.nextToken() != JsonToken.END_OBJECT) {
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    object.put(name, readValue(parser));
                 }
                 return object;
             }
             case START_ARRAY -> {
                 List<Object> array = new ArrayList<>();
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(value(in));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    array.add(readValue(parser));
                 }
                 return array;
             }
             case VALUE_STRING -> {
-                return in.getText();
+                return parser.getText();
             }
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> {
-                return in.getNumberValue();
+                return parser.getNumberValue();
             }
             case VALUE_TRUE -> {
                 return Boolean.TRUE;
--- a/core/src/main/java/dapplequay/settings/SettingsReader.java
+++ b/core/src/main/java/dapplequay/settings/SettingsReader.java
@@ -24,8 +24,8 @@
         /** Of all classes, microseconds; 0 where there is none. */
         public long longestDeadlineUs() {
             long longest = 0;
-            for (ServiceClass c : settings.classes()) {
-                longest = Math.max(longest, c.deadlineUs());
+            for (ServiceClass serviceClass : settings.classes()) {
+                longest = Math.max(longest, serviceClass.deadlineUs());
             }
             return longest;
         }
@@ -37,160 +37,160 @@
     }
 
     /** Times beyond this, microseconds, are no times: some thirty years. */
-    private static final long MOST = 1_000_000_000_000_000L;
+    private static final long MAX_ABSOLUTE = 1_000_000_000_000_000L;
 
     /** Only the network needs these two; where the settings leave them out, cautious figures stand in. */
-    private static final long CONNECT_TIMEOUT_US = 250_000;
-    private static final long CONN_IDLE_US = 10_000_000;
+    private static final long DEFAULT_CONNECT_TIMEOUT_US = 250_000;
+    private static final long DEFAULT_CONN_IDLE_US = 10_000_000;
     /** Where the settings do not say how long sends to a draining host may go on, us: as good as not at all. */
-    private static final long DRAIN_GRACE_US = 100_000;
+    private static final long DEFAULT_DRAIN_GRACE_US = 100_000;
 
-    private final String place;
+    private final String source;
     private final Map<String, Object> fields;
 
-    private SettingsReader(String place, Map<String, Object> fields) {
-        this.place = place;
+    private SettingsReader(String source, Map<String, Object> fields) {
+        this.source = source;
         this.fields = fields;
     }
 
     /** Reads the object that the parser stands on. */
-    public static Setup read(JsonParser in, String place) throws IOException {
-        return of(Json.value(in), place);
+    public static Setup read(JsonParser parser, String source) throws IOException {
+        return of(Json.readValue(parser), source);
     }
 
-    /** Settings out of a tree that was read before; {@code place} begins the message where they are bad. */
+    /** Settings out of a tree that was read before; {@code source} begins the message where they are bad. */
     @SuppressWarnings("unchecked")
-    public static Setup of(Object tree, String place) {
+    public static Setup of(Object tree, String source) {
         if (!(tree instanceof Map)) {
-            throw new SettingsException(place + ": field setup must be an object");
+            throw new SettingsException(source + ": field setup must be an object");
         }
-        return new SettingsReader(place, (Map<String, Object>) tree).setup();
+        return new SettingsReader(source, (Map<String, Object>) tree).setup();
     }
 
     private Setup setup() {
-        List<String> zones = names("zones");
-        int zone = zones.indexOf(text("locality"));
-        if (zone < 0) {
-            throw bad("locality", "is none of zones");
+        List<String> zones = strings("zones");
+        int ownZone = zones.indexOf(string("locality"));
+        if (ownZone < 0) {
+            throw invalid("locality", "is none of zones");
         }
         List<ServiceClass> classes = new ArrayList<>();
         Map<String, Integer> classIndex = new HashMap<>();
-        for (SettingsReader c : objects("services")) {
-            if (classIndex.put(c.text("name"), classes.size()) != null) {
-                throw bad("services", "names " + c.text("name") + " twice");
+        for (SettingsReader service : objects("services")) {
+            if (classIndex.put(service.string("name"), classes.size()) != null) {
+                throw invalid("services", "names " + service.string("name") + " twice");
             }
-            classes.add(c.serviceClass());
+            classes.add(service.serviceClass());
         }
         List<Tenant> tenants = new ArrayList<>();
         Map<String, Integer> tenantIndex = new HashMap<>();
-        for (SettingsReader t : objects("projects")) {
-            tenantIndex.put(t.text("name"), tenants.size());
-            tenants.add(new Tenant(t.text("name"), t.real("share", 0), t.real("quota_per_s", 0)));
+        for (SettingsReader project : objects("projects")) {
+            tenantIndex.put(project.string("name"), tenants.size());
+            tenants.add(new Tenant(project.string("name"), project.decimal("share", 0), project.decimal("quota_per_s", 0)));
         }
         SettingsReader limits = object("limits");
-        SettingsReader rules = object("guarantees");
+        SettingsReader guarantees = object("guarantees");
         SettingsReader prices = object("prices");
-        boolean ask = choice("discovery", "pushed", "on_request") == 1;
-        Settings settings = new Settings((int) whole("position"), (int) whole("balancers"), zone, zones,
-                classes, tenants, real("over_share_worth", 1),
-                new Discovery(ask, rules.whole("ask_within_us", 0),
-                        rules.whole("drain_grace_us", DRAIN_GRACE_US)),
-                new Limits((int) limits.whole("send_cap"), limits.truth("may_cancel"),
-                        limits.truth("second_copies"), limits.truth("probing"), limits.truth("retry_after"),
-                        limits.whole("max_retry_after_us", 0)),
-                new ColdStart(rules.real("cold_from"), rules.whole("warm_up_us"), rules.real("tip_multiple"),
-                        rules.whole("tip_after_us")),
-                new Prices(prices.real("cross_zone", 0), prices.real("waste", 0), prices.real("late_fail", 0),
-                        prices.real("probe", 0), prices.real("handshake", 0)),
+        boolean onRequest = choiceIndex("discovery", "pushed", "on_request") == 1;
+        Settings settings = new Settings((int) integer("position"), (int) integer("balancers"), ownZone, zones,
+                classes, tenants, decimal("over_share_worth", 1),
+                new Discovery(onRequest, guarantees.integer("ask_within_us", 0),
+                        guarantees.integer("drain_grace_us", DEFAULT_DRAIN_GRACE_US)),
+                new Limits((int) limits.integer("send_cap"), limits.bool("may_cancel"),
+                        limits.bool("second_copies"), limits.bool("probing"), limits.bool("retry_after"),
+                        limits.integer("max_retry_after_us", 0)),
+                new ColdStart(guarantees.decimal("cold_from"), guarantees.integer("warm_up_us"), guarantees.decimal("tip_multiple"),
+                        guarantees.integer("tip_after_us")),
+                new Prices(prices.decimal("cross_zone", 0), prices.decimal("waste", 0), prices.decimal("late_fail", 0),
+                        prices.decimal("probe", 0), prices.decimal("handshake", 0)),
                 fields.get("domain") != null && object("domain").fields.get("warm_keys") != null
-                        && object("domain").truth("warm_keys"));
+                        && object("domain").bool("warm_keys"));
         return new Setup(settings, classIndex, tenantIndex,
-                limits.whole("connect_timeout_us", CONNECT_TIMEOUT_US),
-                limits.whole("conn_idle_us", CONN_IDLE_US));
+                limits.integer("connect_timeout_us", DEFAULT_CONNECT_TIMEOUT_US),
+                limits.integer("conn_idle_us", DEFAULT_CONN_IDLE_US));
     }
 
     private ServiceClass serviceClass() {
-        Semantics semantics = Semantics.values()[choice("semantics", "retryable", "dedup", "fragile")];
-        Group group = semantics == Semantics.DEDUP ? Group.values()[choice("group", "all", "zone", "cell")]
+        Semantics semantics = Semantics.values()[choiceIndex("semantics", "retryable", "dedup", "fragile")];
+        Group group = semantics == Semantics.DEDUP ? Group.values()[choiceIndex("group", "all", "zone", "cell")]
                 : Group.ALL;
-        return new ServiceClass(text("name"), whole("aim_us"), real("aim_stretch", 0), whole("deadline_us"),
-                real("late_worth", 0), real("importance", 1), semantics, group, whole("window_us", 0),
-                fields.get("stream") != null && truth("stream"));
+        return new ServiceClass(string("name"), integer("aim_us"), decimal("aim_stretch", 0), integer("deadline_us"),
+                decimal("late_worth", 0), decimal("importance", 1), semantics, group, integer("window_us", 0),
+                fields.get("stream") != null && bool("stream"));
     }
 
-    private SettingsException bad(String field, String what) {
-        return new SettingsException(place + ": setup field " + field + " " + what);
+    private SettingsException invalid(String field, String problem) {
+        return new SettingsException(source + ": setup field " + field + " " + problem);
     }
 
-    private Object need(String field) {
+    private Object required(String field) {
         Object value = fields.get(field);
         if (value == null) {
-            throw bad(field, "is missing");
+            throw invalid(field, "is missing");
         }
         return value;
     }
 
     private <T> T typed(String field, Class<T> type) {
-        Object value = need(field);
+        Object value = required(field);
         if (!type.isInstance(value)) {
-            throw bad(field, "is of the wrong type");
+            throw invalid(field, "is of the wrong type");
         }
         return type.cast(value);
     }
 
-    private String text(String field) {
+    private String string(String field) {
         return typed(field, String.class);
     }
 
-    private boolean truth(String field) {
+    private boolean bool(String field) {
         return typed(field, Boolean.class);
     }
 
-    private double real(String field) {
+    private double decimal(String field) {
         return typed(field, Number.class).doubleValue();
     }
 
-    private double real(String field, double absent) {
-        return fields.get(field) == null ? absent : real(field);
+    private double decimal(String field, double defaultValue) {
+        return fields.get(field) == null ? defaultValue : decimal(field);
     }
 
-    private long whole(String field) {
+    private long integer(String field) {
         Number number = typed(field, Number.class);
-        if (number instanceof Double d && d != Math.rint(d)) {
-            throw bad(field, "must be a whole number");
+        if (number instanceof Double decimal && decimal != Math.rint(decimal)) {
+            throw invalid(field, "must be a whole number");
         }
-        if (!(Math.abs(number.doubleValue()) <= MOST)) {
-            throw bad(field, "is out of range");
+        if (!(Math.abs(number.doubleValue()) <= MAX_ABSOLUTE)) {
+            throw invalid(field, "is out of range");
         }
         return number.longValue();
     }
 
-    private long whole(String field, long absent) {
-        return fields.get(field) == null ? absent : whole(field);
+    private long integer(String field, long defaultValue) {
+        return fields.get(field) == null ? defaultValue : integer(field);
     }
 
-    private int choice(String field, String... words) {
-        int index = List.of(words).indexOf(text(field));
+    private int choiceIndex(String field, String... words) {
+        int index = List.of(words).indexOf(string(field));
         if (index < 0) {
-            throw bad(field, "holds the unknown word " + fields.get(field));
+            throw invalid(field, "holds the unknown word " + fields.get(field));
         }
         return index;
     }
 
-    private List<String> names(String field) {
-        List<String> names = new ArrayList<>();
+    private List<String> strings(String field) {
+        List<String> strings = new ArrayList<>();
         for (Object name : typed(field, List.class)) {
-            if (!(name instanceof String s)) {
-                throw bad(field, "must hold names");
+            if (!(name instanceof String string)) {
+                throw invalid(field, "must hold names");
             }
-            names.add(s);
+            strings.add(string);
         }
-        return names;
+        return strings;
     }
 
     @SuppressWarnings("unchecked")
     private SettingsReader object(String field) {
-        return new SettingsReader(place, (Map<String, Object>) typed(field, Map.class));
+        return new SettingsReader(source, (Map<String, Object>) typed(field, Map.class));
     }
 
     @SuppressWarnings("unchecked")
@@ -201,9 +201,9 @@
         }
         for (Object object : typed(field, List.class)) {
             if (!(object instanceof Map)) {
-                throw bad(field, "must hold objects");
+                throw invalid(field, "must hold objects");
             }
-            objects.add(new SettingsReader(place, (Map<String, Object>) object));
+            objects.add(new SettingsReader(source, (Map<String, Object>) object));
         }
         return objects;
     }
--- a/core/src/test/java/dapplequay/settings/CompletenessTest.java
+++ b/core/src/test/java/dapplequay/settings/MissingKeysTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class CompletenessTest {
+class MissingKeysTest {
     private static final String BEFORE = "{'a':1,'b':{'c':2,'n':null},'l':[1,2],"
             + "'s':[{'name':'x','semantics':'q','d':1,'e':2},{'name':'y','semantics':'r','d':1}]}";
 
@@ -23,9 +23,9 @@
         "'l':[1,2]|'l':[]|", ",{'name':'y','semantics':'r','d':1}||", "'name':'y'|'name':'new'|",
         "'semantics':'q','d':1,'e':2|'semantics':'r','d':9|", "'a':1,|'a':1,|",
     })
-    void whatWasThereIsWanted(String find, String replace, String missing) throws Exception {
+    void whatWasThereIsWanted(String find, String replace, String missingPath) throws Exception {
         assertThat(BEFORE).contains(find);
         String now = BEFORE.replace(find, replace == null ? "" : replace);
-        assertThat(Completeness.missing(tree(BEFORE), tree(now))).isEqualTo(missing);
+        assertThat(MissingKeys.firstMissing(tree(BEFORE), tree(now))).isEqualTo(missingPath);
     }
 }
--- a/sidecar/src/main/java/dapplequay/cli/Config.java
+++ b/sidecar/src/main/java/dapplequay/cli/Config.java
@@ -1,11 +1,11 @@
 package dapplequay.cli;
 
 import dapplequay.net.Sidecar;
-import dapplequay.settings.Completeness;
 import dapplequay.settings.Json;
-import dapplequay.settings.Ranges;
+import dapplequay.settings.MissingKeys;
 import dapplequay.settings.SettingsException;
 import dapplequay.settings.SettingsReader;
+import dapplequay.settings.SettingsValidator;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -38,7 +38,7 @@
     static Sidecar.Plan reread(String place, Map<?, ?> fields, Map<?, ?> before, Map<String, String> environment) {
         Map<Object, Object> wanted = new LinkedHashMap<>(before);
         wanted.remove("known");
-        String missing = Completeness.missing(wanted, fields);
+        String missing = MissingKeys.firstMissing(wanted, fields);
         if (missing != null) {
             throw new SettingsException(place + ": " + missing + " is missing");
         }
@@ -54,7 +54,7 @@
                 address(place, fields, "discovery", discovery), seed(place, fields), cores(place, fields),
                 limit(place, fields, "sockets", SOCKETS), limit(place, fields, "memory_mb", MEMORY_MB),
                 fields.get("known"),
-                Ranges.checked(SettingsReader.of(fields.get("settings"), place), place),
+                SettingsValidator.validated(SettingsReader.of(fields.get("settings"), place), place),
                 inherits(environment.get("EDGE_SOCKET_FD")));
     }
 
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -376,7 +376,7 @@
         } finally {
             upstreams.closeIdle(applied.closed());
         }
-        memory.keep().accept(() -> Json.text(table.tree()));
+        memory.keep().accept(() -> Json.serialize(table.tree()));
     }
 
     private void tell(Result outcome, String source) {
