--- a/core/src/main/java/dapplequay/facade/AttemptEnd.java
+++ b/core/src/main/java/dapplequay/facade/AttemptEnd.java
@@ -2,25 +2,25 @@
 
 import dapplequay.BalancerApi.Outcome;
 
-/** How one attempt ended. The rules on repeats hang on which of these say that the request never ran. */
+/** How one attempt ended. Whether the request may be retried depends on which of these rule out that it ran. */
 public enum AttemptEnd {
     SERVED(Outcome.OK),
-    /** The host answered that it failed. */
+    /** The host answered with an error. */
     ERROR(Outcome.ERROR),
-    /** The host found fault with the request itself, as a client made it: this tells nothing of the host. */
+    /** The host rejected the request as the client sent it; says nothing about the state of the host. */
     NOT_ACCEPTED(Outcome.CANCELLED),
-    /** The host sent it back unseen. */
+    /** The host rejected the request without processing it. */
     TURNED_AWAY(Outcome.REFUSED),
     TIMED_OUT(Outcome.TIMEOUT),
-    /** No connection, or it broke before the request's last byte was written. */
+    /** The connection failed, or broke before the last byte of the request was written. */
     NOT_CONNECTED(Outcome.CONNECT_FAILED),
-    /** The connection broke after that. */
+    /** The connection broke after the last byte of the request was written. */
     RESET(Outcome.RESET),
-    /** Given up on this side, as the client left. */
+    /** The sidecar cancelled the attempt because the client disconnected. */
     GIVEN_UP(Outcome.CANCELLED),
-    /** Cut by the decisions, as its host has fallen silent; it may have run. */
+    /** The balancer cancelled the attempt because its host stopped answering; the request may have run. */
     SILENT(Outcome.CANCELLED),
-    /** Never written, for a reason that tells nothing of the host. */
+    /** Nothing was written, for a reason that says nothing about the state of the host. */
     NOT_SENT(Outcome.NOT_SENT);
 
     final Outcome outcome;
--- a/core/src/main/java/dapplequay/facade/Decision.java
+++ b/core/src/main/java/dapplequay/facade/Decision.java
@@ -1,25 +1,28 @@
 package dapplequay.facade;
 
-/** What is to be done now for one request. */
+/** What to do next for one request. */
 public sealed interface Decision {
     /**
-     * Send an attempt to this host and wait for it no longer than the time-out; attempts are numbered from 0. Its first
-     * byte has to go out before {@code beginByUs}, by the facade's clock (Long.MAX_VALUE: whenever): where it can't any
-     * more, nothing of the attempt goes out, and it ends as {@link AttemptEnd#NOT_SENT}.
+     * Send an attempt to a host. An attempt whose first byte can't be written before {@code beginByUs} is not sent at
+     * all and ends as {@link AttemptEnd#NOT_SENT}.
+     *
+     * @param attempt   the number of the attempt, from 0
+     * @param timeoutUs how long to wait for the answer, microseconds
+     * @param beginByUs a time of the facade's clock, microseconds; Long.MAX_VALUE if there is no limit
      */
     record Send(int attempt, String host, long timeoutUs, long beginByUs) implements Decision {
-        /** One that may begin at any time. */
+        /** Creates an attempt that may begin at any time. */
         public Send(int attempt, String host, long timeoutUs) {
             this(attempt, host, timeoutUs, Long.MAX_VALUE);
         }
     }
 
-    /** Answer that a new try is harmless, after {@code pauseUs} if that is more than 0. */
+    /** Answer that a retry is safe, with {@code retryAfterUs} (microseconds) as Retry-After if it is more than 0. */
     record Refuse(long retryAfterUs) implements Decision { }
 
-    /** Answer that the request failed, with no promise about effects. */
+    /** Answer that the request failed; it may have taken effect. */
     record Fail() implements Decision { }
 
-    /** Nothing: the request is over. */
+    /** Do nothing: the request is over. */
     record NoAction() implements Decision { }
 }
--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -22,20 +22,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * The decision module in blocking style: each call takes the one lock, tells the module, and returns what is
- * to be done. No call waits for anything but the lock, save {@link #awaitListWanted}. It knows no protocol. What the module
- * throws ends here: it is counted and told with its trace, the request in hand fails, and the next is decided as ever.
+ * A synchronous, thread-safe front of the decision module: each method takes the one lock, passes an event to the
+ * module and returns the decision that follows. No method but {@link #awaitListWanted} blocks on anything but the lock.
+ * The class knows no protocol. It catches what the module throws, counts it, logs it with its stack trace and fails the
+ * current request; later requests are not affected.
  */
 public final class Facade {
-    /** A timer whose event the module could not take comes again after this, us: what repeats must not stop. */
+    /** Delay until a timer at which the module threw is delivered again, so that periodic work does not stop. */
     private static final long TIMER_RETRY_US = 1_000_000;
-    /** At least this long between two faults that are told with their traces, us; all are counted. */
+    /** Minimum interval between two logged stack traces; every fault is counted. */
     private static final long FAULT_LOG_INTERVAL_US = 1_000_000;
-    /** Between two looks, ms, of who waits for the module to want the list: it is woken anyhow. */
+    /** Longest single wait of {@link #awaitListWanted}, which is also notified. */
     private static final long MAX_WAIT_MS = 60_000;
-    /** At least this long between two lines of the module's, us. */
+    /** Minimum interval between two log lines of the module. */
     private static final long MODULE_LOG_INTERVAL_US = 1_000_000;
-    /** How a line begins that tells of a fault. */
+    /** The prefix of log lines about exceptions of the decision module. */
     public static final String FAULT_PREFIX = "the decision module threw: ";
 
     private Setup setup;
@@ -56,7 +57,7 @@
     private long nextFaultLogUs = Long.MIN_VALUE;
     private long nextModuleLogUs = Long.MIN_VALUE;
 
-    /** An attempt that is not to be waited for any longer; its end is reported like any other. */
+    /** An attempt to abandon. Its end is reported with {@link #reportAttempt} like any other. */
     public record AttemptCancellation(long id, int attempt) { }
 
     private record Timer(long atUs, long sequence, long token) implements Comparable<Timer> {
@@ -67,12 +68,17 @@
         }
     }
 
-    /** {@code clock}: Unix time in microseconds; {@code log}: takes the module's lines, outside the lock. */
+    /**
+     * Creates a facade of a new {@link Balance}.
+     *
+     * @param clock returns Unix time in microseconds
+     * @param log   takes the module's log lines; called without the lock held
+     */
     public Facade(Setup setup, long seed, LongSupplier clock, Consumer<String> log) {
         this(setup, seed, clock, log, actions -> new Balance(setup.settings(), seed, actions));
     }
 
-    /** With another module, as tests have it. */
+    /** Creates a facade of another module, for tests. */
     Facade(Setup setup, long seed, LongSupplier clock, Consumer<String> log,
             Function<BalancerApi.Actions, BalancerApi> module) {
         this.setup = setup;
@@ -84,28 +90,29 @@
         listWanted = isPushed(setup);
     }
 
-    // In the simulator's words a pushed list comes by itself, and the module asks for none. Here an agent holds it for
-    // whoever asks, and what it holds counts as told: asked from the first moment on, not from the first news on.
+    // In the simulator a pushed list arrives by itself, and the module requests none. Here a local agent holds the list
+    // until it is asked, and its content counts as announced: so the list is requested from the start.
     private static boolean isPushed(Setup setup) {
         return !setup.settings().discovery().onRequest();
     }
 
     /**
-     * A number for a new request: the module's ids stay below 2^52, while those that clients give use all 64
-     * bits and could meet.
+     * Returns an id for a new request. Client ids are not used: the module's ids stay below 2^52, while client ids use
+     * all 64 bits and could collide.
      */
     public synchronized long nextRequestId() {
         return ++lastRequestId;
     }
 
     /**
-     * Other settings from now on. What has been learnt stays, and requests under way keep their class and attempts.
-     * IllegalArgumentException, and no change, where they make no sense, or would change the zones.
+     * Replaces the settings. Learned state is kept, and requests in progress keep their class and attempts.
+     *
+     * @throws IllegalArgumentException if the settings are invalid or change the zones; nothing is changed then
      */
     public synchronized void updateSettings(Setup next) {
         next.settings().check(setup.settings());
         beginCall(0, 0);
-        // Classes and tenants go by their places in the settings: both sides go over, or each call would meet another.
+        // The module knows classes and tenants by index, so both sides have to switch together.
         setup = next;
         runGuarded(() -> module.retune(clock.getAsLong(), next.settings()));
         asking.use(next.settings());
@@ -114,7 +121,7 @@
         }
     }
 
-    /** The first decision for a new request; one whose class or tenant has just vanished is refused. */
+    /** Returns the first decision for a new request; refuses one whose class or tenant was just removed. */
     public synchronized Decision pick(long id, RequestInfo request) {
         Integer serviceClass = setup.classes().get(request.serviceClass());
         Integer tenant = request.tenant() == null || setup.tenants().isEmpty() ? Integer.valueOf(-1)
@@ -125,8 +132,8 @@
         beginCall(id, 0);
         long now = clock.getAsLong();
         boolean succeeded = runGuarded(() -> {
-            module.request(now, new Request(id, serviceClass, tenant, request.key(), request.remainingUs(), request.costHintUs(),
-                    request.clientRetry()));
+            module.request(now, new Request(id, serviceClass, tenant, request.key(), request.remainingUs(),
+                    request.costHintUs(), request.clientRetry()));
             if (request.streamsBody() && currentDecision instanceof Decision.Send) {
                 module.body(now, id, BodyStage.COMING);
             }
@@ -134,14 +141,14 @@
         return succeeded ? currentDecision : abandon(now, id, false);
     }
 
-    /** What the module owes an answer for and can't decide: nothing more of it goes out. */
+    /** Ends a request that the module failed to decide: no further attempt is sent. */
     private Decision abandon(long now, long id, boolean clientDone) {
         beginCall(0, 0);
         runGuarded(() -> module.gone(now, id));
         return clientDone ? new Decision.NoAction() : new Decision.Fail();
     }
 
-    /** One call of the module's; false where it threw. */
+    /** Calls the module; returns false if it threw. */
     private boolean runGuarded(Runnable action) {
         try {
             action.run();
@@ -159,29 +166,33 @@
         }
     }
 
-    /** How often the module has thrown since the start. */
+    /** Returns the number of exceptions that the module threw since the start. */
     public synchronized long moduleFaults() {
         return faults;
     }
 
-    /** The request's attempt is held back no longer: what it waits for from now on is its upstream's doing. */
+    /** Records that an attempt is no longer queued in the sidecar: from now on it waits for its upstream. */
     public synchronized void attemptStarted(long id) {
         beginCall(0, 0);
         runGuarded(() -> module.attemptStarted(clock.getAsLong(), id));
     }
 
-    /** The last byte of a long request was written to its attempt: its time begins now. */
+    /** Records that the last byte of a streamed request was sent; its processing time starts now. */
     public synchronized void requestBodySent(long id) {
         beginCall(0, 0);
         runGuarded(() -> module.body(clock.getAsLong(), id, BodyStage.WHOLE));
     }
 
     /**
-     * How an attempt ended, and what is to be done now. {@code clientDone}: the client has its answer, or has left.
-     * {@code load} may be null. Where some of the request was passed on that is not held, no other attempt follows.
+     * Records how an attempt ended and returns what to do next. If the body can't be replayed, no other attempt
+     * follows.
+     *
+     * @param tookUs     how long the attempt took, microseconds
+     * @param clientDone true if the client has its answer or has disconnected
+     * @param load       the load that the host reported, or null
      */
-    public synchronized Decision reportAttempt(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean clientDone,
-                                        HostLoad load, RequestBodyState bodyState) {
+    public synchronized Decision reportAttempt(long id, int attempt, String host, AttemptEnd end, long tookUs,
+                                               boolean clientDone, HostLoad load, RequestBodyState bodyState) {
         beginCall(id, attempt + 1);
         long now = clock.getAsLong();
         boolean answered = clientDone || end == AttemptEnd.SERVED;
@@ -198,26 +209,31 @@
         return succeeded ? currentDecision : abandon(now, id, answered);
     }
 
-    /** The same for a request that was held whole. */
+    /** Does the same for a request whose body is completely buffered. */
     public Decision reportAttempt(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean clientDone,
-                           HostLoad load) {
+                                  HostLoad load) {
         return reportAttempt(id, attempt, host, end, tookUs, clientDone, load, RequestBodyState.BUFFERED);
     }
 
-    /** The client has left; an attempt that is still out is reported when it has ended. */
+    /** Records that the client disconnected; a pending attempt is still reported when it ends. */
     public synchronized void clientGone(long id) {
         beginCall(0, 0);
         runGuarded(() -> module.gone(clock.getAsLong(), id));
     }
 
-    /** How many listed hosts get no ordinary traffic at present; 0 where the module can't say. */
+    /** Returns how many listed hosts get no regular traffic now; 0 if the module throws. */
     public synchronized int hostsOutOfRotation() {
         int[] count = new int[1];
         runGuarded(() -> count[0] = module.passedOver());
         return count[0];
     }
 
-    /** IllegalArgumentException, and no change, where a line names a zone that the settings do not. */
+    /**
+     * Passes an update of the server list to the module.
+     *
+     * @throws IllegalArgumentException if an entry has an unknown zone; nothing is changed then
+     * @throws IllegalStateException if the module threw
+     */
     public synchronized void applyListUpdate(ListUpdate update) {
         List<FleetEntry> fleetEntries = new ArrayList<>(update.entries().size());
         for (ListUpdate.ServerEntry entry : update.entries()) {
@@ -249,11 +265,11 @@
         asking.heard(kind);
     }
 
-    /** Gives the module its timers that are due; returns the attempts that are to be cut now. */
+    /** Delivers the timers that are due and writes pending log lines; returns the attempts to abandon now. */
     public List<AttemptCancellation> tick() {
         List<AttemptCancellation> cancelNow = new ArrayList<>();
         tick(cancelNow);
-        // Outside the lock: where the log's reader is stuck, the decisions must not wait for it.
+        // Without the lock, so that a blocked log reader does not block decisions.
         for (String line = logLines.poll(); line != null; line = logLines.poll()) {
             log.accept(line);
         }
@@ -274,22 +290,22 @@
     }
 
     /**
-     * Waits until the module wants the list watched, but no longer than {@code atMostUs}; then it is taken to want
-     * it. It goes on wanting that until a watch has failed.
+     * Waits until the module wants the server list, but no longer than {@code atMostUs}. From then on the list counts
+     * as wanted until a call to discovery has failed.
      */
     public synchronized void awaitListWanted(long atMostUs) throws InterruptedException {
         long begunUs = clock.getAsLong();
         while (!listWanted) {
             long leftUs = atMostUs - (clock.getAsLong() - begunUs);
             if (leftUs <= 0) {
-                listWanted = true;     // the call that now follows may bring a list, and no timer would say so then
+                listWanted = true;     // the next call may succeed, and then no timer sets this
                 return;
             }
             wait(Math.max(1, Math.min(leftUs / 1_000, MAX_WAIT_MS)));
         }
     }
 
-    /** The list is to be had elsewhere from now on: asked there at once, whatever pause was under way. */
+    /** Ends the wait in {@link #awaitListWanted}: discovery has another address, which has to be asked at once. */
     public synchronized void requestListNow() {
         listWanted = true;
         notifyAll();
@@ -301,11 +317,12 @@
         currentDecision = new Decision.NoAction();
     }
 
-    /** The module's actions, kept until the call in hand returns them. */
+    /** Takes the actions of the module and keeps the decision for the current call. */
     private final class ModuleActions implements BalancerApi.Actions {
         private void decide(long id, Decision decision) {
             if (id != currentRequestId || !(currentDecision instanceof Decision.NoAction)) {
-                throw new IllegalStateException("the module decided out of turn: " + decision);
+                throw new IllegalStateException(
+                        "the module decided twice, or for a request that is not the current one: " + decision);
             }
             currentDecision = decision;
         }
@@ -350,7 +367,7 @@
             cancellations.add(new AttemptCancellation(id, attempt));
         }
 
-        // The module asks for none of these. Should it begin to, the network has to learn them first.
+        // The module never requests these. The network code has to implement them first.
 
         @Override
         public void fetchFleet() {
--- a/core/src/main/java/dapplequay/facade/HostLoad.java
+++ b/core/src/main/java/dapplequay/facade/HostLoad.java
@@ -1,4 +1,4 @@
 package dapplequay.facade;
 
-/** A host's load as it came with an answer; NaN: not told. */
+/** The load that a host reported with an answer; a value that is missing from the report is NaN. */
 public record HostLoad(double queue, double inFlight) { }
--- a/core/src/main/java/dapplequay/facade/ListUpdate.java
+++ b/core/src/main/java/dapplequay/facade/ListUpdate.java
@@ -2,14 +2,23 @@
 
 import java.util.List;
 
-/** What discovery told: a kind, and the lines that go with it (none with FAILED). */
+/** One update of the server list from discovery; {@code entries} is empty for {@link Kind#FAILED}. */
 public record ListUpdate(Kind kind, List<ServerEntry> entries) {
-    /** CHANGES: the changed lines alone. RESTORED: the whole list as held before the start; it may be old. */
+    /**
+     * DELTA has only the entries that changed, FULL has the complete list. RESTORED has the complete list that was
+     * stored before the process started, which may be outdated. FAILED says that discovery could not be read.
+     */
     public enum Kind { DELTA, FULL, RESTORED, FAILED }
 
     public enum State { SERVING, DRAINING, DELETED }
 
-    /** One host. Its uid is the same for every balancer, which the module's orders are hashed from. */
+    /**
+     * One server. Every balancer sees the same uid for it, as the balancer hashes the uid to order the servers.
+     *
+     * @param cell   the number of its pod group
+     * @param weight its capacity relative to other servers
+     * @param bootMs when its process started, Unix time in milliseconds; 0 if unknown
+     */
     public record ServerEntry(String uid, String zone, int cell, State state, double weight, long bootMs) { }
 
     public ListUpdate {
--- a/core/src/main/java/dapplequay/facade/RequestBodyState.java
+++ b/core/src/main/java/dapplequay/facade/RequestBodyState.java
@@ -1,11 +1,11 @@
 package dapplequay.facade;
 
-/** How far the body of a request is that is passed on while it comes. */
+/** Whether the body of a request is still available for another attempt. */
 public enum RequestBodyState {
-    /** It is held whole, like any short one. */
+    /** The body is completely buffered, as short ones are. */
     BUFFERED,
-    /** The rest is still to come; what went out so far is held. */
+    /** The body is forwarded while it is received; all that was sent so far is still buffered. */
     STREAMING_REPLAYABLE,
-    /** More went out than is held. */
+    /** The body is forwarded while it is received; some of what was sent is no longer buffered. */
     STREAMING_UNREPLAYABLE
 }
--- a/core/src/main/java/dapplequay/facade/RequestInfo.java
+++ b/core/src/main/java/dapplequay/facade/RequestInfo.java
@@ -1,15 +1,21 @@
 package dapplequay.facade;
 
 /**
- * What the module is told of one request: class and tenant by name, as their places may change with the settings
- * ({@code tenant} null: none), what it is about ({@code key}, null: not said), the time the client still waits, the
- * cost hint (0: none), whether the client marked a retry, and whether its body is still coming and will be passed on
- * as it comes.
+ * What the balancer needs to know about one request.
+ *
+ * @param serviceClass the name of its service class; not an index, as indexes may change with the settings
+ * @param tenant       the name of its tenant, or null
+ * @param key          the object that it concerns, or null if unknown
+ * @param remainingUs  how long the client still waits, microseconds
+ * @param costHintUs   the client's estimate of the work, microseconds; 0 if there is none
+ * @param clientRetry  true if the client marked the request as a retry
+ * @param streamsBody  true if the body has not arrived completely and is forwarded while it is received
  */
 public record RequestInfo(String serviceClass, String tenant, String key, long remainingUs, long costHintUs,
-                   boolean clientRetry, boolean streamsBody) {
-    /** A request that is held whole. */
-    public RequestInfo(String serviceClass, String tenant, String key, long remainingUs, long costHintUs, boolean clientRetry) {
+                          boolean clientRetry, boolean streamsBody) {
+    /** Creates the description of a request whose body is completely buffered. */
+    public RequestInfo(String serviceClass, String tenant, String key, long remainingUs, long costHintUs,
+                       boolean clientRetry) {
         this(serviceClass, tenant, key, remainingUs, costHintUs, clientRetry, false);
     }
 }
