--- a/core/src/main/java/dapplequay/discovery/ServerRegistry.java
+++ b/core/src/main/java/dapplequay/discovery/ServerRegistry.java
@@ -14,93 +14,108 @@
 import java.util.Set;
 
 /**
- * Whether new work may be sent to each server, until when at the latest, and why. All that discovery says goes through
- * here, so that no two rules can put off a drain between them: <b>what takes a server out never waits longer than its
- * deadline, what brings one in may wait</b>.
+ * Decides from the lists of discovery whether new requests may be sent to each server, and until when. Every response
+ * of discovery is applied here, so that no two rules together can delay a drain: <b>removing a server never takes
+ * longer than its deadline, while adding one may be delayed</b>.
  *
- * <p>A drain or a deletion counts at once, whichever version, address or call it comes from. A server that a whole list
- * leaves out is {@link ServerStatus#REMOVED} at once where the list is trusted, and else
- * {@link ServerStatus#UNCONFIRMED} with a deadline that lies inside the drain's grace; once set, no other event moves
- * it: only a trusted list that was asked for and names the server ends it. A list is trusted where it belongs to the
- * count of versions that is followed, and does not lose more than half of the servers at once, as a discovery does that
- * has lost its state.
+ * <p>A drain or a deletion takes effect at once, whichever version, address or request it comes from. A server that a
+ * full list omits becomes {@link ServerStatus#REMOVED} at once if the list is trusted. Otherwise it becomes
+ * {@link ServerStatus#UNCONFIRMED} with a deadline within the drain grace. No other event moves that deadline; only a
+ * trusted list that contains the server clears it. A list is trusted if its version continues the known sequence of
+ * versions and it does not lose more than half of the servers at once, as happens when discovery has lost its state.
  *
- * <p>Pure; times are microseconds of one monotonic clock. Not thread-safe.
+ * <p>Does no I/O and reads no clock; times are microseconds of one monotonic clock. Not thread-safe.
  */
 public final class ServerRegistry {
-    /** A process may be held up this long, us, between looking at a deadline and writing. */
+    /** How long the process may be stalled between the check of a deadline and the write that follows. */
     public static final long SEND_DELAY_MARGIN_US = 150_000;
-    /** For so long, us, what lists of a lower version bring in is taken for a mistake. */
+    /** How long lists of a lower version are taken for a mistake, so that they add no servers. */
     public static final long REGRESSION_TIMEOUT_US = 30_000_000;
-    /** A server that was taken out is remembered for so long, us, against answers to calls made before. */
+    /** How long a removal is remembered, so that a response to an earlier request does not undo it. */
     private static final long REMOVAL_MEMORY_US = 30_000_000;
     private static final int MAX_REMEMBERED_REMOVALS = 4_096;
-    /** Losing a larger share of the servers than this at once is asked about again. */
+    /** If a list loses a larger share of the servers than this, it is requested again before it counts. */
     private static final double MAX_LOSS_SHARE = 0.5;
-    /** Of fewer servers than this, any share may go at once. */
+    /** With fewer usable servers than this, a list may remove any share of them. */
     private static final int MIN_SERVERS_FOR_LOSS_CHECK = 3;
-    /** Of the time until the next deadline: the pause before a doubtful list is asked about again. */
+    /** The delay before a doubtful list is requested again, as a share of the time until the next deadline. */
     private static final double REFETCH_DELAY_SHARE = 0.25;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** A listed server. {@code statusSinceUs}: since when; {@code lastSendUs}: its last send while unconfirmed, or 0. */
+    /** A listed server. */
     private static final class TrackedServer {
         private ServerEntry entry;
         private ServerStatus status;
         private long statusSinceUs;
         private long deadlineUs = NEVER;
+        /** When a request was last sent to the server while it was unconfirmed; 0 if none was. */
         private long lastSendUs;
     }
 
-    /** A server that is gone, and the start of the process that it was. */
+    /** When a server was removed, and when its process had started (Unix time in milliseconds). */
     private record RemovedServer(long removedUs, long bootMs) { }
 
     private final Map<String, TrackedServer> trackedByUid = new LinkedHashMap<>();
-    private final Map<String, RemovedServer> recentlyRemoved = new LinkedHashMap<>();      // the first to have gone first
+    /** By uid, the oldest removal first. */
+    private final Map<String, RemovedServer> recentlyRemoved = new LinkedHashMap<>();
     private int addressGeneration;
     private long revision;
-    /** The version of the last list that was taken over with nothing left unconfirmed. */
+    /** The version of the last list after which no server was unconfirmed. */
     private long confirmedRevision;
+    /** True while a list of any version is trusted, as after a change of discovery's address. */
     private boolean acceptsAnyRevision;
-    private long newestAppliedRequestUs = Long.MIN_VALUE;     // of the answers that were taken over in full
+    /** When the newest request was made of which a response was trusted. */
+    private long newestAppliedRequestUs = Long.MIN_VALUE;
     private boolean fullListNeeded;
-    private boolean isRegressed;                    // lists of a lower version come
+    /** True while discovery sends lists of a lower version than {@link #revision}. */
+    private boolean isRegressed;
     private long regressionStartUs;
     private int regressedFullLists;
     private long regressedRevision;
     private long nextDeadlineUs = NEVER;
     private Changes changes = new Changes();
 
-    /** What one event has changed. */
+    /** The changes made by one event. */
     private static final class Changes {
         private final List<Transition> transitions = new ArrayList<>();
         private final List<ServerEntry> entries = new ArrayList<>();
         private final List<RotationExit> rotationExits = new ArrayList<>();
     }
 
-    /** For a server that was taken out: how long after the news the last work was sent to it, microseconds. */
+    /**
+     * A server that gets no new requests any more.
+     *
+     * @param lastSendAfterNewsUs how long after the list that first omitted it a request was last sent to it,
+     *                            microseconds; 0 if none was
+     */
     public record RotationExit(String uid, long lastSendAfterNewsUs) { }
 
     /**
-     * What came of an event.
+     * The result of an event.
      *
-     * @param news        for the decision module; no lines where it has nothing to learn
-     * @param transitions of servers' statuses
-     * @param rotationExits    the servers that get no new work from now on
+     * @param update        the update for the decision module; without entries if nothing changed for it
+     * @param transitions   the changes of servers' status
+     * @param rotationExits the servers that get no new requests from now on
      */
     public record Result(ListUpdate update, List<Transition> transitions, List<RotationExit> rotationExits) {
-        /** How many servers came to have that status for that cause. */
+        /** Returns how many servers changed to the status for the given cause. */
         public long count(Cause cause, ServerStatus status) {
-            return transitions.stream().filter(transition -> transition.cause() == cause && transition.to() == status).count();
+            return transitions.stream()
+                    .filter(transition -> transition.cause() == cause && transition.to() == status).count();
         }
     }
 
-    /** {@code acceptsAnyRevision}: the list that it begins with binds nobody, as the count of its versions may be another. */
+    /**
+     * Creates an empty registry.
+     *
+     * @param acceptsAnyRevision true if the first list is trusted whatever its version, as the versions of the list
+     *                           that the registry starts with may belong to another sequence
+     */
     public ServerRegistry(boolean acceptsAnyRevision) {
         this.acceptsAnyRevision = acceptsAnyRevision;
     }
 
-    /** The list to begin with: taken over as it is. */
+    /** Replaces the content with a stored list, without any check. */
     public void restore(long listRevision, Collection<ServerEntry> entries) {
         changes = new Changes();
         trackedByUid.clear();
@@ -109,7 +124,7 @@
         confirmedRevision = listRevision;
     }
 
-    /** Discovery is at another address from now on; deadlines that run stay. */
+    /** Records that discovery has another address from now on; running deadlines stay. */
     public void discoveryMoved() {
         addressGeneration++;
         acceptsAnyRevision = true;
@@ -117,36 +132,36 @@
         isRegressed = false;
     }
 
-    /** The call to make next, at that time. */
+    /** Returns the request to make now. */
     public ListResponse.Request nextRequest(long nowUs) {
         long after = fullListNeeded ? ListResponse.FULL_LIST : isRegressed ? regressedRevision : revision;
         return new ListResponse.Request(addressGeneration, after, nowUs);
     }
 
     /**
-     * How long to wait after an answer before all is asked for again, microseconds: a discovery that has lost its state
-     * may find it again, and its second answer has to come before the first deadline.
+     * Returns how long to wait before the full list is requested again, microseconds. This gives a discovery service
+     * that has lost its state time to recover, and still brings the second response before the first deadline.
      */
     public long refetchDelayUs(long nowUs) {
         return nextDeadlineUs == NEVER ? 0 : (long) (Math.max(0, nextDeadlineUs - nowUs) * REFETCH_DELAY_SHARE);
     }
 
-    /** Whether the next call has to ask for the whole list. */
+    /** Returns whether the next request has to ask for the full list. */
     public boolean needsFullList() {
         return fullListNeeded;
     }
 
-    /** The last list could not be used by others: all of it is asked for again. */
+    /** Makes the next request ask for the full list, as the last update could not be applied elsewhere. */
     public void requestFullList() {
         fullListNeeded = true;
     }
 
-    /** Whether lists of a lower version than the one known are coming. */
+    /** Returns whether discovery sends lists of a lower version than the known one. */
     public boolean isRegressed() {
         return isRegressed;
     }
 
-    /** Takes in an answer; {@code graceLeftUs}: what is left of the drain's grace for what it brings, 0 or more. */
+    /** Applies a response; {@code graceLeftUs} is what is left of the drain grace for its content, 0 or more. */
     public Result applyResponse(ListResponse response, long graceLeftUs) {
         forgetOldRemovals(response.receivedUs());
         changes = new Changes();
@@ -157,7 +172,7 @@
         long deadlineUs = response.receivedUs() + Math.max(0, graceLeftUs - SEND_DELAY_MARGIN_US);
         if (!isCurrent || response.request().startedUs() < newestAppliedRequestUs) {
             applyRemovalsOnly(response, deadlineUs);
-            fullListNeeded |= !changes.transitions.isEmpty();      // the newer word is asked for again
+            fullListNeeded |= !changes.transitions.isEmpty();      // the current state is requested again
             return result(ListUpdate.Kind.DELTA, changes.entries);
         }
         if (isDeltaOfUnknownList(response) || !acceptsAnyRevision && response.revision() < revision) {
@@ -166,14 +181,17 @@
         return applyTrusted(response, deadlineUs);
     }
 
-    /** Changes to a list that is not known: of a lower version than the one asked after, or, asked for all, of any. */
+    /**
+     * Returns whether the response is a delta to a list that is not known: one of a lower version than the request
+     * names, or, while any version is accepted, one in place of a full list.
+     */
     private boolean isDeltaOfUnknownList(ListResponse response) {
         long after = response.request().after();
         boolean isUnknown = after == ListResponse.FULL_LIST ? acceptsAnyRevision : response.revision() < after;
         return !response.isFull() && isUnknown;
     }
 
-    /** An answer of a lower version: it takes out, and what it brings in waits. */
+    /** Applies a response of a lower version: removals at once, additions only after a time-out. */
     private Result applyRegressed(ListResponse response, long deadlineUs) {
         if (!isRegressed) {
             isRegressed = true;
@@ -190,7 +208,7 @@
         if (response.isFull()) {
             regressedFullLists++;
             regressedRevision = response.revision();
-            isFollowed = regressedFullLists > 1;       // the first may be a mistake that the next one shows
+            isFollowed = regressedFullLists > 1;       // the first may be a mistake that the second one corrects
         } else {
             isFollowed = !isTimedOut && regressedFullLists > 0 && response.request().after() == regressedRevision
                     && response.revision() >= regressedRevision;
@@ -200,7 +218,7 @@
         return result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
-    /** Of an answer that is not trusted, what it takes out. */
+    /** Applies only the removals of a response that is not trusted. */
     private void applyRemovalsOnly(ListResponse response, long deadlineUs) {
         Set<String> namedUids = new HashSet<>();
         for (ServerEntry entry : response.update().entries()) {
@@ -209,7 +227,7 @@
             if (tracked == null) {
                 continue;
             }
-            // A drain before a later start of the server is over.
+            // A drain of an earlier process of the server does not concern the current one.
             if (entry.state() == State.DRAINING && entry.bootMs() >= tracked.entry.bootMs() && isUsable(tracked)) {
                 drain(tracked, tracked.entry, response.receivedUs());
             } else if (entry.state() == State.DELETED) {
@@ -229,7 +247,7 @@
         return tracked.status == ServerStatus.SERVING || tracked.status == ServerStatus.UNCONFIRMED;
     }
 
-    /** A list that may be wrong leaves it out: the first time the deadline is set, the second time it is gone. */
+    /** Handles a server that a doubtful list omits: sets a deadline the first time, removes it the second time. */
     private void markLeftOut(TrackedServer tracked, long nowUs, long deadlineUs) {
         if (tracked.status == ServerStatus.UNCONFIRMED || deadlineUs <= nowUs) {
             remove(tracked, tracked.status == ServerStatus.UNCONFIRMED ? Cause.LEFT_OUT_AGAIN : Cause.LEFT_OUT, nowUs);
@@ -245,7 +263,7 @@
         nextDeadlineUs = trackedByUid.values().stream().mapToLong(tracked -> tracked.deadlineUs).min().orElse(NEVER);
     }
 
-    /** All of an answer counts, but for servers that it seems to have lost. */
+    /** Applies a trusted response completely, except for servers that it seems to have lost. */
     private Result applyTrusted(ListResponse response, long deadlineUs) {
         boolean wasRegressed = isRegressed;
         isRegressed = false;
@@ -262,14 +280,14 @@
         updateNextDeadline();
         boolean isConfirmed = nextDeadlineUs == NEVER;
         confirmedRevision = isConfirmed ? revision : confirmedRevision;
-        // Changes to a list of which, while versions were lower, not all was taken over.
+        // While versions were lower, lists were applied only in part, so a delta does not complete them.
         fullListNeeded |= !isConfirmed || isPartial || wasRegressed && !response.isFull();
         boolean isAll = response.isFull() && isConfirmed && !isPartial;
         return isAll ? result(ListUpdate.Kind.FULL, response.update().entries())
                 : result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
-    /** False where the line would bring back what was taken out after the call was made. */
+    /** Applies one entry; returns false if it would add a server that was removed after the request was made. */
     private boolean applyEntry(ServerEntry entry, ListResponse response) {
         TrackedServer tracked = trackedByUid.get(entry.uid());
         if (entry.state() == State.DELETED) {
@@ -302,7 +320,7 @@
         return true;
     }
 
-    /** Whether the server, being the same process, was taken or left out after the call was made. */
+    /** Returns whether the same process of the server was drained, omitted or removed after the request was made. */
     private boolean isStale(ServerEntry entry, TrackedServer tracked, long startedUs) {
         if (tracked != null) {
             return tracked.status != ServerStatus.SERVING && tracked.statusSinceUs > startedUs
@@ -312,14 +330,16 @@
         return removed != null && removed.removedUs > startedUs && entry.bootMs() <= removed.bootMs;
     }
 
-    /** The servers that a trusted list leaves out are gone; where they are most of all, they are unconfirmed first. */
+    /** Removes the servers that a trusted list omits; if it omits most of them, they become unconfirmed first. */
     private void removeLeftOut(ListResponse response, long deadlineUs) {
         Set<String> namedUids = new HashSet<>();
         response.update().entries().forEach(entry -> namedUids.add(entry.uid()));
-        List<TrackedServer> missing = trackedByUid.values().stream().filter(tracked -> !namedUids.contains(tracked.entry.uid())).toList();
+        List<TrackedServer> missing = trackedByUid.values().stream()
+                .filter(tracked -> !namedUids.contains(tracked.entry.uid())).toList();
         long usableCount = trackedByUid.values().stream().filter(ServerRegistry::isUsable).count();
         long lostCount = missing.stream().filter(ServerRegistry::isUsable).count();
-        boolean isLossSuspicious = usableCount >= MIN_SERVERS_FOR_LOSS_CHECK && lostCount > usableCount * MAX_LOSS_SHARE;
+        boolean isLossSuspicious = usableCount >= MIN_SERVERS_FOR_LOSS_CHECK
+                && lostCount > usableCount * MAX_LOSS_SHARE;
         for (TrackedServer tracked : missing) {
             if (isLossSuspicious && isUsable(tracked)) {
                 markLeftOut(tracked, response.receivedUs(), deadlineUs);
@@ -365,11 +385,13 @@
 
     private void recordRotationExit(TrackedServer tracked) {
         boolean receivedWork = tracked.status == ServerStatus.UNCONFIRMED && tracked.lastSendUs > 0;
-        changes.rotationExits.add(new RotationExit(tracked.entry.uid(), receivedWork ? tracked.lastSendUs - tracked.statusSinceUs : 0));
+        changes.rotationExits.add(new RotationExit(tracked.entry.uid(),
+                receivedWork ? tracked.lastSendUs - tracked.statusSinceUs : 0));
     }
 
     private void changeStatus(TrackedServer tracked, ServerStatus to, Cause cause, long nowUs) {
-        changes.transitions.add(new Transition(tracked.entry.uid(), tracked.status, to, cause, nowUs - tracked.statusSinceUs));
+        changes.transitions.add(
+                new Transition(tracked.entry.uid(), tracked.status, to, cause, nowUs - tracked.statusSinceUs));
         tracked.status = to;
         tracked.statusSinceUs = nowUs;
     }
@@ -379,7 +401,8 @@
     }
 
     private Result result(ListUpdate.Kind kind, List<ServerEntry> entries) {
-        return new Result(new ListUpdate(kind, entries), List.copyOf(changes.transitions), List.copyOf(changes.rotationExits));
+        return new Result(new ListUpdate(kind, entries), List.copyOf(changes.transitions),
+                List.copyOf(changes.rotationExits));
     }
 
     private void forgetOldRemovals(long nowUs) {
@@ -393,12 +416,12 @@
         }
     }
 
-    /** When {@link #expire} has something to do next; {@link Long#MAX_VALUE} where no deadline runs. */
+    /** Returns when {@link #expire} has to be called next; {@link Long#MAX_VALUE} if no deadline runs. */
     public long nextDeadlineUs() {
         return nextDeadlineUs;
     }
 
-    /** Takes out the servers whose deadline has come. */
+    /** Removes the servers whose deadline has passed. */
     public Result expire(long nowUs) {
         changes = new Changes();
         if (nowUs >= nextDeadlineUs) {
@@ -413,13 +436,13 @@
         return result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
-    /** Whether new work may go to the server now: asked right before its first byte. */
+    /** Returns whether a request may be sent to the server now; to be checked right before its first byte. */
     public boolean maySend(String uid, long nowUs) {
         TrackedServer tracked = trackedByUid.get(uid);
         return tracked != null && isUsable(tracked) && nowUs < tracked.deadlineUs;
     }
 
-    /** Work went out to it. */
+    /** Records that a request is sent to the server. */
     public void recordSend(String uid, long nowUs) {
         TrackedServer tracked = trackedByUid.get(uid);
         if (tracked != null && tracked.status == ServerStatus.UNCONFIRMED) {
@@ -427,29 +450,32 @@
         }
     }
 
-    /** Its status; {@link ServerStatus#REMOVED} where it is not listed. */
+    /** Returns the status of the server; {@link ServerStatus#REMOVED} if it is not listed. */
     public ServerStatus statusOf(String uid) {
         TrackedServer tracked = trackedByUid.get(uid);
         return tracked == null ? ServerStatus.REMOVED : tracked.status;
     }
 
-    /** The listed servers' lines, as last heard; of an unconfirmed one, as if it drained. */
+    /** Returns the last known entries of the listed servers; an unconfirmed one is returned as draining. */
     public List<ServerEntry> listedEntries() {
         return trackedByUid.values().stream().map(tracked -> isUsable(tracked) && tracked.status != ServerStatus.SERVING
                 ? withState(State.DRAINING, tracked.entry) : tracked.entry).toList();
     }
 
-    /** The version known. */
+    /** Returns the version of the last list that was trusted or restored. */
     public long revision() {
         return revision;
     }
 
-    /** The version with which a later life may begin: changes after it tell of those that are unconfirmed now. */
+    /**
+     * Returns the version that a later process may start from: the changes after it include the servers that are
+     * unconfirmed now.
+     */
     public long confirmedRevision() {
         return confirmedRevision;
     }
 
-    /** How many servers are listed, those that drain included. */
+    /** Returns how many servers are listed, including those that drain. */
     public int size() {
         return trackedByUid.size();
     }
--- a/core/src/main/java/dapplequay/discovery/ServerStatus.java
+++ b/core/src/main/java/dapplequay/discovery/ServerStatus.java
@@ -1,13 +1,13 @@
 package dapplequay.discovery;
 
-/** Whether new work may be sent to a server. */
+/** Whether new requests may be sent to a server. */
 public enum ServerStatus {
-    /** It may. */
+    /** New requests may be sent. */
     SERVING,
-    /** A whole list that may be wrong leaves it out: it may until the deadline that began with that list. */
+    /** A full list that may be wrong omits the server: requests may be sent until a deadline set by that list. */
     UNCONFIRMED,
-    /** It may not: it finishes what it has. */
+    /** No new requests: the server finishes those that it has. */
     DRAINING,
-    /** It may not: it is not in the list. */
+    /** No new requests: the server is not listed. */
     REMOVED
 }
--- a/core/src/main/java/dapplequay/discovery/Transition.java
+++ b/core/src/main/java/dapplequay/discovery/Transition.java
@@ -1,24 +1,24 @@
 package dapplequay.discovery;
 
 /**
- * One server's change of status, and what brought it.
+ * One server's change of status and its cause.
  *
- * @param previousDurationUs how long the status before had lasted, microseconds; 0 where the server was not listed
+ * @param previousDurationUs how long the previous status lasted, microseconds; 0 if the server was not listed
  */
 public record Transition(String uid, ServerStatus from, ServerStatus to, Cause cause, long previousDurationUs) {
     /** Why a status changed. */
     public enum Cause {
-        /** A list or a change names the server as serving. */
+        /** A full list or a delta lists the server as serving. */
         NAMED_SERVING,
-        /** A list or a change names it as draining. */
+        /** A full list or a delta lists it as draining. */
         NAMED_DRAINING,
-        /** A change names it as deleted. */
+        /** A delta lists it as deleted. */
         NAMED_DELETED,
-        /** A whole list does not name it. */
+        /** A full list omits it. */
         LEFT_OUT,
-        /** Another whole list does not name it either. */
+        /** A second full list omits it, too. */
         LEFT_OUT_AGAIN,
-        /** Nothing confirmed or denied that it is gone until its deadline. */
+        /** Its deadline passed before discovery confirmed or denied that it is gone. */
         DEADLINE
     }
 }
