--- a/core/src/main/java/dapplequay/lifecycle/InstanceLifecycle.java
+++ b/core/src/main/java/dapplequay/lifecycle/InstanceLifecycle.java
@@ -3,69 +3,70 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The life of one instance, as a pure state machine: it is told what is wished for, what happened and what time
- * it is, and answers what is to be done. Times are microseconds and may not run backwards.
+ * A state machine that supervises one instance. Each event returns the action to perform. Times are microseconds and
+ * must not decrease.
  *
- * <p>An instance that fails is started again after a pause that doubles with each failure, up to a bound, less a
- * random part, so that instances which failed together do not come back together. One that fails too often in a
- * row is given up, until somebody wishes it to run once more. Every state but {@link State#STOPPED},
- * {@link State#READY} and {@link State#GIVEN_UP}, in which an instance may rest, has a time at which it is left.
+ * <p>A failed instance is restarted after an exponential backoff with an upper bound. A random part is subtracted, so
+ * that instances which failed together do not restart together. After too many consecutive failures the instance is
+ * given up until {@link #run} is called again. An instance may stay in {@link State#STOPPED}, {@link State#READY} and
+ * {@link State#GIVEN_UP} indefinitely; every other state has a time-out.
  */
 public final class InstanceLifecycle {
-    /** Where an instance stands. */
+    /** The states of an instance. */
     public enum State {
-        /** Does not run, and nobody wishes it to. */
+        /** Not running, and not requested to run. */
         STOPPED,
-        /** Told to start, not ready yet. */
+        /** Started, but not ready yet. */
         STARTING,
         /** Serves. */
         READY,
-        /** Takes nothing new and finishes what it holds. */
+        /** Accepts no new work and finishes the work that it has. */
         DRAINING,
-        /** Failed; is started again when its pause is over. */
+        /** Failed, and restarted after the backoff. */
         BACKOFF,
-        /** Was cut; its end has not been told yet. */
+        /** Killed, but its end is not confirmed yet. */
         KILLING,
-        /** Failed too often in a row. */
+        /** Failed too often in a row, and not restarted. */
         GIVEN_UP
     }
 
-    /** What is to be done now. */
+    /** The actions for the caller to perform. */
     public enum Action {
         NOTHING,
-        /** Start it. */
+        /** Start the instance. */
         START,
-        /** Let it take nothing new and end when it holds nothing. */
+        /** Let it accept no new work and exit when its work is finished. */
         DRAIN,
-        /** End it at once, whatever it holds; asked for again until its end is told. */
+        /** Kill it at once, whatever work it has; returned again until its end is reported. */
         KILL,
-        /** Nothing more is tried: say so loudly. */
+        /** Report with high severity that the instance is not restarted any more. */
         GIVE_UP
     }
 
     /**
-     * How patient a life is.
+     * The time-outs and backoffs of an instance.
      *
-     * @param startTimeoutUs a start that takes longer has failed
-     * @param drainTimeoutUs what is not finished then is cut
-     * @param killRetryUs    a cut whose end is not told is repeated after this time
-     * @param initialBackoffUs       pause after a first failure
-     * @param maxBackoffUs bound on the pause
-     * @param jitter        random part of a pause that is left out, 0 to 1
-     * @param maxFailures  failures in a row after which it is given up, 1 or more
-     * @param failureResetUs        an instance that was ready this long has no failures behind it
+     * @param startTimeoutUs   a start that takes longer counts as failed
+     * @param drainTimeoutUs   an instance that drains for longer is killed
+     * @param killRetryUs      time after which a kill is repeated if the end is not reported
+     * @param initialBackoffUs backoff after the first failure
+     * @param maxBackoffUs     upper bound of the backoff
+     * @param jitter           largest random share that is subtracted from a backoff, 0 to 1
+     * @param maxFailures      consecutive failures after which the instance is given up, 1 or more
+     * @param failureResetUs   an instance that was ready for this long starts again with no failures
      */
     public record RestartPolicy(long startTimeoutUs, long drainTimeoutUs, long killRetryUs, long initialBackoffUs,
-                           long maxBackoffUs, double jitter, int maxFailures, long failureResetUs) {
+                                long maxBackoffUs, double jitter, int maxFailures, long failureResetUs) {
         public RestartPolicy {
             if (startTimeoutUs <= 0 || drainTimeoutUs <= 0 || killRetryUs <= 0 || initialBackoffUs <= 0
-                    || maxBackoffUs < initialBackoffUs || !(jitter >= 0 && jitter <= 1) || maxFailures < 1 || failureResetUs < 0) {
-                throw new IllegalArgumentException("patience is out of range: " + this);
+                    || maxBackoffUs < initialBackoffUs || !(jitter >= 0 && jitter <= 1) || maxFailures < 1
+                    || failureResetUs < 0) {
+                throw new IllegalArgumentException("restart policy is out of range: " + this);
             }
         }
     }
 
-    /** What there is no time for: nothing happens by time alone. */
+    /** A time that never comes: the current state has no time-out. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private final RestartPolicy policy;
@@ -78,7 +79,7 @@
     private long readySinceUs;
     private long nextTickUs = NEVER;
 
-    /** {@code random}: evenly spread from 0 to 1, for the pauses. */
+    /** Creates a lifecycle; {@code random} returns uniformly distributed numbers from 0 to 1 for the backoffs. */
     public InstanceLifecycle(RestartPolicy policy, DoubleSupplier random) {
         this.policy = policy;
         this.random = random;
@@ -88,22 +89,22 @@
         return state;
     }
 
-    /** Whether somebody wishes it to run. */
+    /** Returns whether the instance is requested to run. */
     public boolean isRunRequested() {
         return runRequested;
     }
 
-    /** Failures in a row. */
+    /** Returns the number of consecutive failures. */
     public int failures() {
         return failures;
     }
 
-    /** When {@link #tick} is to be called at the latest; {@link #NEVER}: only an event goes on from here. */
+    /** Returns when {@link #tick} has to be called; {@link #NEVER} if only an event leaves the current state. */
     public long nextTickUs() {
         return nextTickUs;
     }
 
-    /** It is to run. One that was given up is tried anew, as if it had never failed. */
+    /** Requests the instance to run. One that was given up is started again with no failures. */
     public Action run(long nowUs) {
         runRequested = true;
         if (state == State.GIVEN_UP) {
@@ -112,7 +113,7 @@
         return state == State.STOPPED || state == State.GIVEN_UP ? start(nowUs) : Action.NOTHING;
     }
 
-    /** It is to end in order, and to stay stopped. */
+    /** Requests an orderly stop. */
     public Action stop(long nowUs) {
         runRequested = false;
         restarting = false;
@@ -126,7 +127,7 @@
         };
     }
 
-    /** It is to end in order and start again. One that nobody wishes to run stays as it is. */
+    /** Requests an orderly restart; does nothing if the instance is not requested to run. */
     public Action restart(long nowUs) {
         if (!runRequested) {
             return Action.NOTHING;
@@ -141,7 +142,7 @@
         };
     }
 
-    /** It serves. */
+    /** Reports that the instance is ready. */
     public Action ready(long nowUs) {
         if (state == State.STARTING) {
             readySinceUs = nowUs;
@@ -150,7 +151,7 @@
         return Action.NOTHING;
     }
 
-    /** It has ended, in order or after a cut. An end that nobody asked for is a failure. */
+    /** Reports that the instance has exited, orderly or killed. An exit that was not requested is a failure. */
     public Action ended(long nowUs) {
         return switch (state) {
             case STARTING, READY -> {
@@ -163,7 +164,7 @@
         };
     }
 
-    /** Something in it broke: what is left of it is of no use. Its end is to be told with {@link #ended}. */
+    /** Reports that the instance broke and has to be killed. Its end is reported with {@link #ended}. */
     public Action failed(long nowUs) {
         return switch (state) {
             case STARTING, READY -> {
@@ -175,7 +176,7 @@
         };
     }
 
-    /** Time has passed. */
+    /** Handles the time-out of the current state if it has passed. */
     public Action tick(long nowUs) {
         if (nowUs < nextTickUs) {
             return Action.NOTHING;
@@ -212,7 +213,7 @@
         return Action.KILL;
     }
 
-    /** Nothing of it is left: what comes next is what is wished for. */
+    /** Decides what follows the end of the instance. */
     private Action afterEnd(long nowUs, boolean asFailure) {
         if (!runRequested) {
             enter(State.STOPPED, NEVER);
@@ -241,7 +242,7 @@
         nextTickUs = tickUs;
     }
 
-    /** Whether it is down only because it was told to restart. */
+    /** Returns whether the instance is down only because of a requested restart. */
     public boolean isRestarting() {
         return restarting;
     }
--- a/core/src/main/java/dapplequay/lifecycle/ReloadPlan.java
+++ b/core/src/main/java/dapplequay/lifecycle/ReloadPlan.java
@@ -5,12 +5,12 @@
 import java.util.TreeSet;
 
 /**
- * What goes over from one configuration to another: the names of the instances that come, go, change and stay
- * as they are. It is made as a whole before anything is touched.
+ * The difference between two configurations: the names of the instances that are added, removed, changed and unchanged.
+ * It is computed completely before anything is changed.
  */
 public record ReloadPlan(SortedSet<String> added, SortedSet<String> removed, SortedSet<String> changed,
                          SortedSet<String> unchanged) {
-    /** The difference of two configurations by name; two of one name are the same where they are equal. */
+    /** Compares two configurations by instance name; an instance is unchanged if its two values are equal. */
     public static <T> ReloadPlan between(Map<String, T> before, Map<String, T> after) {
         SortedSet<String> added = new TreeSet<>(after.keySet());
         added.removeAll(before.keySet());
--- a/core/src/main/java/dapplequay/lifecycle/RollingRestart.java
+++ b/core/src/main/java/dapplequay/lifecycle/RollingRestart.java
@@ -9,26 +9,26 @@
 import java.util.Set;
 
 /**
- * A restart of many instances, some at a time: pure, time passed in, in microseconds. A batch begins only when
- * the one before is back; never are more instances out than allowed, and those that are out for reasons of
- * their own count. A batch that does not come back in time halts the roll, and somebody has to resume it.
+ * A rolling restart of many instances in batches. A batch begins only when the previous one is ready again, and never
+ * are more instances unavailable than allowed, including those that are unavailable for other reasons. A batch that is
+ * not ready in time halts the restart until {@link #resume} is called. Times are microseconds.
  */
 public final class RollingRestart {
-    /** Where a roll stands. */
+    /** The phases of a rolling restart. */
     public enum Phase { RUNNING, HALTED, DONE, ABORTED }
 
     /**
-     * What a roll keeps to.
+     * The limits of a rolling restart.
      *
-     * @param batchSize instances at a time, 1 or more
-     * @param maxUnavailable     instances that may be out at once, for whatever reason, 1 or more
-     * @param readyTimeoutUs a batch that takes longer to be ready again halts the roll
+     * @param batchSize      instances to restart at a time, 1 or more
+     * @param maxUnavailable instances that may be unavailable at once, for whatever reason, 1 or more
+     * @param readyTimeoutUs time for a batch to become ready again; a longer one halts the restart
      */
     public record Limits(int batchSize, int maxUnavailable, long readyTimeoutUs) {
         public Limits {
             if (batchSize < 1 || maxUnavailable < 1 || readyTimeoutUs <= 0) {
-                throw new IllegalArgumentException("bounds are out of range: " + batchSize + ", " + maxUnavailable + ", "
-                        + readyTimeoutUs);
+                throw new IllegalArgumentException("limits are out of range: " + batchSize + ", "
+                        + maxUnavailable + ", " + readyTimeoutUs);
             }
         }
     }
@@ -40,7 +40,7 @@
     private Phase phase = Phase.RUNNING;
     private long readyDeadlineUs = Long.MAX_VALUE;
 
-    /** Over these instances, in this order. */
+    /** Creates a rolling restart of the given instances, in this order. */
     public RollingRestart(Collection<String> instances, Limits limits) {
         this.limits = limits;
         pending = new ArrayDeque<>(new LinkedHashSet<>(instances));
@@ -50,37 +50,39 @@
         return phase;
     }
 
-    /** Instances of the batch under way that are not back yet. */
+    /** Returns the instances of the current batch that are not ready yet. */
     public Set<String> restarting() {
         return Set.copyOf(restarting);
     }
 
-    /** Instances that are back. */
+    /** Returns the instances that are ready again. */
     public List<String> completed() {
         return List.copyOf(completed);
     }
 
-    /** Instances whose turn has not come. */
+    /** Returns the instances that are not restarted yet. */
     public List<String> pending() {
         return List.copyOf(pending);
     }
 
-    /** This one of the batch serves again. */
+    /** Records that an instance of the current batch is ready again. */
     public void instanceReady(String instance) {
         if (restarting.remove(instance)) {
             completed.add(instance);
         }
     }
 
-    /** This one is no more: the configuration has dropped it. It is neither waited for nor rolled. */
+    /** Records that the configuration no longer has the instance: it is neither waited for nor restarted. */
     public void instanceRemoved(String instance) {
         restarting.remove(instance);
         pending.remove(instance);
     }
 
     /**
-     * Which instances are to be restarted now. {@code ready}: all that serve at this moment; {@code instanceCount}: how many
-     * there are. Those that are not ready count as out, whether this roll has them out or not.
+     * Returns the instances to restart now; none while a batch is in progress or if the limits allow none.
+     *
+     * @param ready         all instances that are ready now; any other counts as unavailable, whatever the reason
+     * @param instanceCount the number of all instances
      */
     public List<String> nextBatch(long nowUs, Collection<String> ready, int instanceCount) {
         if (phase != Phase.RUNNING) {
@@ -101,7 +103,7 @@
         List<String> batch = new ArrayList<>();
         for (Iterator<String> each = pending.iterator(); each.hasNext() && batch.size() < allowed;) {
             String instance = each.next();
-            // One that is out by itself comes back on its own; its turn is when it has.
+            // An instance that is unavailable for another reason is restarted once it is ready again.
             if (ready.contains(instance)) {
                 each.remove();
                 batch.add(instance);
@@ -114,7 +116,7 @@
         return batch;
     }
 
-    /** Goes on after a halt: what is still out is waited for as long again. */
+    /** Continues after a halt; the current batch gets a new time-out. */
     public void resume(long nowUs) {
         if (phase == Phase.HALTED) {
             phase = Phase.RUNNING;
@@ -122,7 +124,7 @@
         }
     }
 
-    /** Begins no further batch; what is out comes back by itself. */
+    /** Begins no further batch; the current one is not waited for. */
     public void abort() {
         if (phase == Phase.RUNNING || phase == Phase.HALTED) {
             phase = Phase.ABORTED;
--- a/core/src/main/java/dapplequay/lifecycle/ServiceLifecycle.java
+++ b/core/src/main/java/dapplequay/lifecycle/ServiceLifecycle.java
@@ -1,26 +1,26 @@
 package dapplequay.lifecycle;
 
 /**
- * Whether one sidecar wants clients, as a pure state machine. A drain can be taken back, an ending can not; both
- * empty the sidecar in the same way: for a grace nothing changes but what it says of itself, as clients and the front
- * go on for a while, and from then on its connections are to go. Times are microseconds and may not run backwards.
+ * A state machine of whether a sidecar accepts clients. A drain can be undone, a shutdown can not. Both work alike:
+ * during a grace period only the reported readiness changes, as clients and the load balancer in front of the sidecar
+ * keep sending for a while; after it, connections are closed. Times are microseconds and must not decrease.
  */
 public final class ServiceLifecycle {
-    /** Where the sidecar stands. */
+    /** The phases of a sidecar. */
     public enum Phase {
-        /** Takes no clients yet. */
+        /** Does not accept clients yet. */
         STARTING,
-        /** Takes clients. */
+        /** Accepts clients. */
         SERVING,
-        /** Serves what comes and sends it away after. */
+        /** Answers requests, then closes their connections. */
         DRAINING,
-        /** The same, and holds no client's connection at the moment. */
+        /** Draining, and no client is connected now. */
         DRAINED,
-        /** Sends away what it has, and will exit. */
+        /** Closes its connections and will exit. */
         ENDING
     }
 
-    /** What there is no time for. */
+    /** A time that never comes. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private final long drainGraceUs;
@@ -28,14 +28,14 @@
     private boolean drainRequested;
     private long closeConnectionsFromUs = NEVER;
 
-    /** {@code drainGraceUs}: how long the front goes on sending after a drain, microseconds, 0 or more. */
+    /** Creates a lifecycle; {@code drainGraceUs} is how long clients are still sent here after a drain, 0 or more. */
     public ServiceLifecycle(long drainGraceUs) {
         this.drainGraceUs = requireNotNegative(drainGraceUs);
     }
 
     private static long requireNotNegative(long graceUs) {
         if (graceUs < 0) {
-            throw new IllegalArgumentException("a grace is negative: " + graceUs);
+            throw new IllegalArgumentException("the grace period is negative: " + graceUs);
         }
         return graceUs;
     }
@@ -44,17 +44,17 @@
         return phase;
     }
 
-    /** Whether a front should send clients here. */
+    /** Returns whether a load balancer in front should send clients here. */
     public boolean acceptsClients() {
         return phase == Phase.SERVING;
     }
 
-    /** Whether connections are to go: each answer is its connection's last, and idle ones are closed. */
+    /** Returns whether connections are closed: each one after its next answer, idle ones at once. */
     public boolean closesConnections(long nowUs) {
         return nowUs >= closeConnectionsFromUs;
     }
 
-    /** It listens. A drain that was ordered before begins now. */
+    /** Records that the listener is open. A drain that was ordered before begins now. */
     public void listenerOpened(long nowUs) {
         if (phase == Phase.STARTING) {
             phase = Phase.SERVING;
@@ -64,7 +64,7 @@
         }
     }
 
-    /** It is to be emptied. Ordered twice, the first order counts; one that is ending may be emptied the sooner. */
+    /** Begins a drain. A repeated order changes nothing; during a shutdown it may bring the closing forward. */
     public void drain(long nowUs) {
         drainRequested = true;
         if (phase != Phase.STARTING) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** It is to take clients again; false, and nothing changes, where it is ending. */
+    /** Undoes a drain; returns false and changes nothing during a shutdown. */
     public boolean resume() {
         if (phase == Phase.ENDING) {
             return false;
@@ -87,15 +87,15 @@
     }
 
     /**
-     * It is to exit; clients go on coming for {@code graceUs}, 0 or more. What a drain has begun goes on: the grace
-     * is over no later than it was before.
+     * Begins a shutdown, with clients arriving for {@code graceUs}, 0 or more. A drain in progress goes on: its grace
+     * period does not become longer.
      */
     public void beginShutdown(long nowUs, long graceUs) {
         phase = Phase.ENDING;
         closeConnectionsFromUs = Math.min(closeConnectionsFromUs, nowUs + requireNotNegative(graceUs));
     }
 
-    /** How many clients' connections it holds. */
+    /** Updates the number of client connections. */
     public void updateConnectionCount(int connections, long nowUs) {
         if (phase == Phase.DRAINING && connections == 0 && closesConnections(nowUs)) {
             phase = Phase.DRAINED;
