--- a/core/src/main/java/dapplequay/state/Snapshot.java
+++ b/core/src/main/java/dapplequay/state/Snapshot.java
@@ -5,21 +5,21 @@
 import java.util.zip.CRC32C;
 
 /**
- * The last list of an instance in the form in which it is kept: a head of 28 bytes with the words {@code DQSNAP},
- * a version, when it was taken, and length and CRC32C of what follows, then the list in discovery's form. The
- * checksum covers the time, too. Pure: where the bytes lie is not its matter.
+ * The last server list of an instance and its binary format: a header of 28 bytes, then the list in the JSON format of
+ * discovery. The header has the magic bytes {@code DQSNAP}, the format version, the time of the snapshot, and the
+ * length and CRC32C checksum of the list. The checksum covers the time, too. Files are read and written elsewhere.
  *
- * @param takenUs Unix time in microseconds
- * @param list    the list in discovery's form, UTF-8; at most {@link #MAX_LIST_BYTES} bytes
+ * @param takenUs when the snapshot was taken, Unix time in microseconds
+ * @param list    the list in the JSON format of discovery, UTF-8; at most {@link #MAX_LIST_BYTES} bytes
  */
 public record Snapshot(long takenUs, byte[] list) {
     public static final int VERSION = 1;
-    /** A larger list is no list: ten thousand hosts take a fifth of it. */
+    /** Larger lists are taken for corrupt: ten thousand servers need a fifth of this. */
     public static final int MAX_LIST_BYTES = 16 * 1024 * 1024;
     static final int HEADER_BYTES = 28;
     private static final byte[] MAGIC = {'D', 'Q', 'S', 'N', 'A', 'P'};
 
-    /** What bytes turned out to be: a snapshot, or why they are none. One of the two is null. */
+    /** A decoded snapshot, or the reason why the bytes are not valid; the other one is null. */
     public record DecodeResult(Snapshot snapshot, String fault) { }
 
     public Snapshot {
@@ -35,7 +35,7 @@
         return bytes.array();
     }
 
-    /** Reads what was kept. Whatever the bytes are, no exception comes of them. */
+    /** Decodes a snapshot. Throws no exception, whatever the bytes are. */
     public static DecodeResult decode(byte[] bytes) {
         if (bytes.length < HEADER_BYTES) {
             return invalid("torn: " + bytes.length + " bytes are fewer than a head");
--- a/core/src/main/java/dapplequay/state/WriteScheduler.java
+++ b/core/src/main/java/dapplequay/state/WriteScheduler.java
@@ -1,8 +1,9 @@
 package dapplequay.state;
 
 /**
- * When an instance's list is written: at most once in a stated time, the latest always in the end, and after a
- * failure not sooner than after a pause, told at most once a minute. Pure; times in microseconds.
+ * Decides when the server list of an instance is written to disk: at most once per interval, the latest list always in
+ * the end, and after a failed write only after a delay. Failures are logged at most once a minute. Does no I/O and
+ * reads no clock; times are microseconds.
  */
 public final class WriteScheduler {
     private static final long LOG_INTERVAL_US = 60_000_000;
@@ -13,32 +14,37 @@
     private long earliestWriteUs = Long.MIN_VALUE;
     private long lastLoggedUs = Long.MIN_VALUE;
 
-    /** {@code minIntervalUs}: least time between two writes; {@code retryDelayUs}: after one that failed. */
+    /**
+     * Creates a scheduler.
+     *
+     * @param minIntervalUs minimum time between the starts of two writes, 0 or more
+     * @param retryDelayUs  time from a failed write to the next one, not less than {@code minIntervalUs}
+     */
     public WriteScheduler(long minIntervalUs, long retryDelayUs) {
         if (minIntervalUs < 0 || retryDelayUs < minIntervalUs) {
-            throw new IllegalArgumentException("pace is out of range: " + minIntervalUs + ", " + retryDelayUs);
+            throw new IllegalArgumentException("intervals are out of range: " + minIntervalUs + ", " + retryDelayUs);
         }
         this.minIntervalUs = minIntervalUs;
         this.retryDelayUs = retryDelayUs;
     }
 
-    /** The list is another than what was written. */
+    /** Records that the list differs from the one that was written last. */
     public void listChanged() {
         hasChanges = true;
     }
 
-    /** When to write next; Long.MAX_VALUE: there is nothing to write. */
+    /** Returns when to write next; Long.MAX_VALUE if there is nothing to write. */
     public long nextWriteUs() {
         return hasChanges ? earliestWriteUs : Long.MAX_VALUE;
     }
 
-    /** A write begins with the list of this moment. */
+    /** Records that a write of the current list begins. */
     public void writeStarted(long nowUs) {
         hasChanges = false;
         earliestWriteUs = nowUs + minIntervalUs;
     }
 
-    /** The write failed. Returns whether that is to be told now. */
+    /** Records that the write failed; returns whether to log it. */
     public boolean writeFailed(long nowUs) {
         hasChanges = true;
         earliestWriteUs = nowUs + retryDelayUs;
