--- a/core/src/main/java/dapplequay/recovery/InitialList.java
+++ b/core/src/main/java/dapplequay/recovery/InitialList.java
@@ -1,27 +1,32 @@
 package dapplequay.recovery;
 
 /**
- * Which list an instance begins its life with, and whether older words of discovery's may undo it. Pure; times are Unix
- * time in microseconds.
+ * The choice of the server list that an instance starts with. Times are Unix time in microseconds.
  *
- * @param source  where the list comes from
- * @param enforcesVersion true: a list of an older version is refused, as by an instance that runs; false: any is believed
+ * @param source          where the list comes from
+ * @param enforcesVersion true if a list of a lower version is doubted, as by a running instance; false if discovery is
+ *                        believed whatever the version of its list
  */
 public record InitialList(Source source, boolean enforcesVersion) {
+    /** No list, the list in the configuration file of the platform, or the snapshot that was kept on disk. */
     public enum Source { NOTHING, PLATFORM, KEPT }
 
-    /** A list by its version, and when it was last heard. */
+    /** A kept list: its version, and when it was last received. */
     public record KeptList(long revision, long heardUs) { }
 
     /**
-     * {@code platformRevision}: its version, or null where none was handed over; {@code kept}: what a life before kept, or
-     * null; {@code maxAgeUs}: for so long after it was heard the kept list's version counts.
+     * Chooses the list of the higher version; of equal versions, the kept one.
+     *
+     * @param platformRevision the version of the list in the configuration file, or null if it has none
+     * @param kept             the list that an earlier process kept, or null
+     * @param maxAgeUs         how long the version of a kept list is enforced
      */
     public static InitialList choose(Long platformRevision, KeptList kept, long nowUs, long maxAgeUs) {
         if (kept == null || platformRevision != null && platformRevision > kept.revision()) {
             return new InitialList(platformRevision == null ? Source.NOTHING : Source.PLATFORM, false);
         }
-        // Of a clock that ran ahead its age can't be told, and so not whether the versions are of one count.
+        // A negative age means that the clock was wrong. The age is unknown then, and with it whether discovery still
+        // continues the same sequence of versions.
         long ageUs = nowUs - kept.heardUs();
         return new InitialList(Source.KEPT, ageUs >= 0 && ageUs <= maxAgeUs);
     }
