--- a/core/src/main/java/dapplequay/settings/Json.java
+++ b/core/src/main/java/dapplequay/settings/Json.java
@@ -12,13 +12,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Small JSON texts as trees of maps, lists, strings, numbers and truths. */
+/** Converts small JSON texts to and from trees of maps, lists, strings, numbers and Booleans. */
 public final class Json {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private Json() { }
 
-    /** The one value that the text holds; IOException where it is not JSON or holds more. */
+    /** Returns the single value of the text; throws IOException if the text is not JSON or has more than one value. */
     public static Object parse(byte[] text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             if (parser.nextToken() == null) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** The text, UTF-8, of such a tree; IllegalArgumentException where it holds anything else. */
+    /** Returns the tree as UTF-8 text; throws IllegalArgumentException if it has values of other types. */
     public static byte[] serialize(Object tree) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try (JsonGenerator generator = FACTORY.createGenerator(text)) {
@@ -61,11 +61,11 @@
                 || value instanceof Integer || value instanceof Double) {
             generator.writeObject(value);
         } else {
-            throw new IllegalArgumentException("not for JSON: " + value.getClass());
+            throw new IllegalArgumentException("type not supported in JSON: " + value.getClass());
         }
     }
 
-    /** The value that the parser stands on. */
+    /** Reads the value at the current token of the parser. */
     static Object readValue(JsonParser parser) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT -> {
--- a/core/src/main/java/dapplequay/settings/MissingKeys.java
+++ b/core/src/main/java/dapplequay/settings/MissingKeys.java
@@ -6,16 +6,16 @@
 import java.util.Set;
 
 /**
- * Whether a configuration is there as a whole: what the last one taken has, the next one has too. A key that is
- * missing would else be taken for its default, a change that nobody ordered. Entries of a list that carry a name are
- * held against the one of the same name, new ones against what all had; such entries may come and go.
+ * Finds keys that are present in the current configuration but missing from a new one. A missing key would otherwise
+ * get its default value, a change that nobody asked for. A list entry with a name is compared with the entry of the
+ * same name, and a new one with the keys that all named entries had. Such entries may be added and removed.
  */
 public final class MissingKeys {
     private static final String NAME = "name";
 
     private MissingKeys() { }
 
-    /** The path of the first thing missing, as {@code settings.limits.send_cap}; null where nothing is. */
+    /** Returns the path of the first missing key, such as {@code settings.limits.send_cap}, or null. */
     public static String firstMissing(Object before, Object now) {
         return firstMissing(before, now, "");
     }
@@ -54,9 +54,11 @@
                 continue;
             }
             String childPath = path + "[" + map.get(NAME) + "]";
-            Map<?, ?> sameName = namedBefore.stream().filter(candidate -> candidate.get(NAME).equals(map.get(NAME))).findFirst().orElse(null);
-            if (sameName != null && sameName.get("semantics") != null && !sameName.get("semantics").equals(map.get("semantics"))) {
-                sameName = null;            // other semantics go with other keys
+            Map<?, ?> sameName = namedBefore.stream()
+                    .filter(candidate -> candidate.get(NAME).equals(map.get(NAME))).findFirst().orElse(null);
+            if (sameName != null && sameName.get("semantics") != null
+                    && !sameName.get("semantics").equals(map.get("semantics"))) {
+                sameName = null;            // other semantics have other keys
             }
             for (Object key : sameName == null ? commonKeys(namedBefore) : sameName.keySet()) {
                 if (map.get(key) == null) {
--- a/core/src/main/java/dapplequay/settings/SettingsException.java
+++ b/core/src/main/java/dapplequay/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package dapplequay.settings;
 
-/** Settings that make no sense; its message is the one plain line the operator gets to read. */
+/** Thrown for invalid settings. Its message is a single line that is shown to the operator. */
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/dapplequay/settings/SettingsReader.java
+++ b/core/src/main/java/dapplequay/settings/SettingsReader.java
@@ -16,12 +16,17 @@
 import dapplequay.BalancerApi.Settings;
 import dapplequay.BalancerApi.Tenant;
 
-/** Turns a {@code setup} object into settings. Fields it does not know are passed over. */
+/** Reads settings from a JSON object, {@code setup} in the simulator's messages. Unknown fields are ignored. */
 public final class SettingsReader {
-    /** Settings, and what the wire's names stand for under them. */
+    /**
+     * The settings, and what the network code needs beside them.
+     *
+     * @param classes the index in the settings of each service class, by name
+     * @param tenants the index in the settings of each tenant, by name
+     */
     public record Setup(Settings settings, Map<String, Integer> classes, Map<String, Integer> tenants,
                         long connectTimeoutUs, long connIdleUs) {
-        /** Of all classes, microseconds; 0 where there is none. */
+        /** Returns the longest deadline of all classes, microseconds; 0 if there are no classes. */
         public long longestDeadlineUs() {
             long longest = 0;
             for (ServiceClass serviceClass : settings.classes()) {
@@ -30,19 +35,19 @@
             return longest;
         }
 
-        /** Of all classes, microseconds; 0 where there is none. */
+        /** Returns the shortest target latency of all classes, microseconds; 0 if there are no classes. */
         public long shortestAimUs() {
             return settings.classes().stream().mapToLong(ServiceClass::aimUs).min().orElse(0);
         }
     }
 
-    /** Times beyond this, microseconds, are no times: some thirty years. */
+    /** Larger integers are rejected. As a time in microseconds this is some thirty years. */
     private static final long MAX_ABSOLUTE = 1_000_000_000_000_000L;
 
-    /** Only the network needs these two; where the settings leave them out, cautious figures stand in. */
+    // Only the network code uses these two settings, so they are optional and have cautious defaults.
     private static final long DEFAULT_CONNECT_TIMEOUT_US = 250_000;
     private static final long DEFAULT_CONN_IDLE_US = 10_000_000;
-    /** Where the settings do not say how long sends to a draining host may go on, us: as good as not at all. */
+    /** Default for how long requests may still be sent to a draining host: close to not at all. */
     private static final long DEFAULT_DRAIN_GRACE_US = 100_000;
 
     private final String source;
@@ -53,12 +58,12 @@
         this.fields = fields;
     }
 
-    /** Reads the object that the parser stands on. */
+    /** Reads the object at the current token of the parser; see {@link #of} for {@code source}. */
     public static Setup read(JsonParser parser, String source) throws IOException {
         return of(Json.readValue(parser), source);
     }
 
-    /** Settings out of a tree that was read before; {@code source} begins the message where they are bad. */
+    /** Reads a parsed object; throws SettingsException, whose message begins with {@code source}, if it is invalid. */
     @SuppressWarnings("unchecked")
     public static Setup of(Object tree, String source) {
         if (!(tree instanceof Map)) {
@@ -85,7 +90,8 @@
         Map<String, Integer> tenantIndex = new HashMap<>();
         for (SettingsReader project : objects("projects")) {
             tenantIndex.put(project.string("name"), tenants.size());
-            tenants.add(new Tenant(project.string("name"), project.decimal("share", 0), project.decimal("quota_per_s", 0)));
+            tenants.add(new Tenant(project.string("name"), project.decimal("share", 0),
+                    project.decimal("quota_per_s", 0)));
         }
         SettingsReader limits = object("limits");
         SettingsReader guarantees = object("guarantees");
@@ -98,8 +104,8 @@
                 new Limits((int) limits.integer("send_cap"), limits.bool("may_cancel"),
                         limits.bool("second_copies"), limits.bool("probing"), limits.bool("retry_after"),
                         limits.integer("max_retry_after_us", 0)),
-                new ColdStart(guarantees.decimal("cold_from"), guarantees.integer("warm_up_us"), guarantees.decimal("tip_multiple"),
-                        guarantees.integer("tip_after_us")),
+                new ColdStart(guarantees.decimal("cold_from"), guarantees.integer("warm_up_us"),
+                        guarantees.decimal("tip_multiple"), guarantees.integer("tip_after_us")),
                 new Prices(prices.decimal("cross_zone", 0), prices.decimal("waste", 0), prices.decimal("late_fail", 0),
                         prices.decimal("probe", 0), prices.decimal("handshake", 0)),
                 fields.get("domain") != null && object("domain").fields.get("warm_keys") != null
--- a/core/src/main/java/dapplequay/settings/SettingsValidator.java
+++ b/core/src/main/java/dapplequay/settings/SettingsValidator.java
@@ -4,7 +4,7 @@
 import dapplequay.BalancerApi.Tenant;
 import dapplequay.settings.SettingsReader.Setup;
 
-/** Whether the settings of an operator's file lie within their ranges, told with the file's own keys. */
+/** Checks that the settings of the operators' file are within their ranges. Messages use the keys of that file. */
 public final class SettingsValidator {
     private final String source;
 
@@ -12,7 +12,12 @@
         this.source = source;
     }
 
-    /** The same settings; SettingsException where one is out of range. {@code source} begins its message. */
+    /**
+     * Returns the same settings.
+     *
+     * @param source the prefix of error messages, such as the name of the file
+     * @throws SettingsException if a value is out of range
+     */
     public static Setup validated(Setup setup, String source) {
         SettingsValidator validator = new SettingsValidator(source);
         if (setup.settings().classes().isEmpty()) {
