--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -331,7 +331,7 @@
         }
         facade.applyListUpdate(ListUpdate.failed());
         if (hasMoved) {
-            facade.requestListNow();         // the address came just before the module was told of the old one's failure
+            facade.requestListNow();    // the address came just before the module was told of the old one's failure
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -93,7 +93,8 @@
         if (attempt == ended) {
             attempt = null;
         }
-        return committed ? RequestBodyState.STREAMING_UNREPLAYABLE : request.isLong() ? RequestBodyState.STREAMING_REPLAYABLE : RequestBodyState.BUFFERED;
+        return committed ? RequestBodyState.STREAMING_UNREPLAYABLE
+                : request.isLong() ? RequestBodyState.STREAMING_REPLAYABLE : RequestBodyState.BUFFERED;
     }
 
     /** Has those look again who wait for an attempt. */
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -265,7 +265,7 @@
      * and takes a restart.
      */
     public List<String> retune(Plan next) {
-        facade.updateSettings(next.setup());            // before the clients' side: no class is let in that is not known
+        facade.updateSettings(next.setup());    // before the clients' side: no class is let in that is not known
         counts.know(next.setup().classes().keySet());
         setup = next.setup();
         discovery.moveTo(next.discovery());
@@ -365,7 +365,8 @@
             LOG.info(handsOver ? "ending: a successor takes the clients"
                     : "ending: who has a connection is still served");
             lifetime.end(ending.keepAliveUntilUs());
-            side.awaitEmpty(now + ending.acceptUntilUs(), now + ending.answerUntilUs(), now + ending.closeConnectionsAtUs());
+            side.awaitEmpty(now + ending.acceptUntilUs(), now + ending.answerUntilUs(),
+                    now + ending.closeConnectionsAtUs());
         }
         // A process whose threads stay in their reads is gone only a third of a second later.
         discovery.end();
