--- a/core/src/test/java/dapplequay/facade/FacadeTest.java
+++ b/core/src/test/java/dapplequay/facade/FacadeTest.java
@@ -44,57 +44,64 @@
     }
 
     @Test
-    void sendsUntilTheModuleGivesUpAndNumbersTheAttempts() {
-        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
+    void numbersAttemptsUntilTheModuleFailsTheRequest() {
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA,
+                List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send first = (Decision.Send) facade.pick(1, PAY);
         assertThat(first.attempt()).isZero();
         assertThat(first.timeoutUs()).isEqualTo(900_000);
-        Decision.Send second = (Decision.Send) facade.reportAttempt(1, 0, first.host(), AttemptEnd.TURNED_AWAY, 1, false, null);
+        Decision.Send second = (Decision.Send)
+                facade.reportAttempt(1, 0, first.host(), AttemptEnd.TURNED_AWAY, 1, false, null);
         assertThat(second.attempt()).isOne();
         assertThat(second.host()).isNotEqualTo(first.host());
         assertThat(facade.reportAttempt(1, 1, second.host(), AttemptEnd.RESET, 1, false, null))
                 .isEqualTo(new Decision.Fail());
     }
 
-    /** The window of the example's keyed class is 4 s, of which 20 ms are for the way. */
+    /** The deduplication window of the example's keyed class is 4 s; 20 ms of it are reserved for the network. */
     @Test
-    void aRepeatSaysUntilWhenItMayBegin() {
-        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
+    void aRetryHasALatestStartTime() {
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA,
+                List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send first = (Decision.Send) facade.pick(1, PAY);
         long sent = now.get();
         assertThat(first.beginByUs()).isEqualTo(Long.MAX_VALUE);
         now.addAndGet(100_000);
-        Decision.Send second = (Decision.Send) facade.reportAttempt(1, 0, first.host(), AttemptEnd.RESET, 1, false, null);
+        Decision.Send second = (Decision.Send)
+                facade.reportAttempt(1, 0, first.host(), AttemptEnd.RESET, 1, false, null);
         assertThat(second.beginByUs()).isEqualTo(sent + 3_980_000);
     }
 
-    /** A long request whose host has gone from the list meanwhile was taken for one that may have run. */
+    /** Such a request was once treated as one that may have run, because its host was no longer listed. */
     @Test
-    void aLongRequestThatNeverRanAtAHostThatIsGoneGoesElsewhere() {
-        Decision.Send sent = (Decision.Send) facade.pick(1, LONG);
-        facade.applyListUpdate(new ListUpdate(Kind.FULL, List.of(new ServerEntry("s2", "south", 2, State.SERVING, 1, 0))));
-        assertThat(facade.reportAttempt(1, 0, sent.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_REPLAYABLE))
+    void aStreamedRequestThatNeverRanIsRetriedAfterItsHostWasRemoved() {
+        Decision.Send sent = (Decision.Send) facade.pick(1, STREAMED);
+        facade.applyListUpdate(new ListUpdate(Kind.FULL,
+                List.of(new ServerEntry("s2", "south", 2, State.SERVING, 1, 0))));
+        assertThat(facade.reportAttempt(1, 0, sent.host(), AttemptEnd.NOT_CONNECTED, 1, false, null,
+                RequestBodyState.STREAMING_REPLAYABLE))
                 .isInstanceOf(Decision.Send.class);
     }
 
     @Test
-    void restsOnceServedOrGone() {
+    void takesNoActionOnceTheRequestIsServedOrTheClientIsGone() {
         Decision.Send send = (Decision.Send) facade.pick(1, PAY);
         assertThat(facade.reportAttempt(1, 0, send.host(), AttemptEnd.SERVED, 1, true, new HostLoad(0, 1)))
                 .isEqualTo(new Decision.NoAction());
         facade.pick(2, PAY);
         facade.clientGone(2);
-        assertThat(facade.reportAttempt(2, 0, send.host(), AttemptEnd.GIVEN_UP, 1, true, null)).isEqualTo(new Decision.NoAction());
+        assertThat(facade.reportAttempt(2, 0, send.host(), AttemptEnd.GIVEN_UP, 1, true, null))
+                .isEqualTo(new Decision.NoAction());
     }
 
     @Test
-    void drainedListRefusesWithThePause() {
+    void refusesWithRetryAfterWhenAllHostsDrain() {
         news(Kind.DELTA, "north", State.DRAINING);
         assertThat(facade.pick(1, PAY)).isEqualTo(new Decision.Refuse(250_000));
     }
 
     @Test
-    void unknownZoneChangesNothing() {
+    void anUpdateWithAnUnknownZoneChangesNothing() {
         assertThatThrownBy(() -> news(Kind.FULL, "nowhere", State.SERVING))
                 .isInstanceOf(IllegalArgumentException.class);
         assertThat(facade.pick(1, PAY)).isInstanceOf(Decision.Send.class);
@@ -102,7 +109,7 @@
 
     @Test
     @Timeout(30)
-    void watchIsWantedWhenTheModulesTimerSaysSo() throws Exception {
+    void theListIsWantedWhenTheModulesTimerFires() throws Exception {
         Thread watch = new Thread(() -> {
             try {
                 facade.awaitListWanted(Long.MAX_VALUE);
@@ -122,10 +129,10 @@
         facade.awaitListWanted(Long.MAX_VALUE);
     }
 
-    /** A call that was not put off as long as the module wanted brings a list: the watch goes on, timer or not. */
+    /** If discovery is called before the module wants the list and answers, the list stays wanted without a timer. */
     @Test
     @Timeout(30)
-    void aWatchThatWasTakenUpEarlyGoesOn() throws Exception {
+    void theListStaysWantedAfterAnEarlyCallThatSucceeded() throws Exception {
         now.addAndGet(10_000_000);
         facade.tick();
         facade.awaitListWanted(Long.MAX_VALUE);
@@ -138,12 +145,12 @@
     }
 
     /**
-     * Where lists are pushed the module asks for none: nobody ever called the agent, and all it had counted as told. A
-     * call that failed is followed by another well within the grace of a drain.
+     * With pushed lists the module never requests one, so the local agent was never called although its content counted
+     * as announced. After a failed call the next one follows well within the drain grace.
      */
     @Test
     @Timeout(30)
-    void pushedListIsWatchedFromTheStartAndSoonAgainAfterAFailure() throws Exception {
+    void aPushedListIsWantedFromTheStartAndSoonAfterAFailure() throws Exception {
         Setup pushed = changed("\"discovery\": \"on_request\"", "\"discovery\": \"pushed\"");
         facade = new Facade(pushed, 7, now::get, line -> { });
         facade.awaitListWanted(Long.MAX_VALUE);
@@ -155,7 +162,7 @@
         }
     }
 
-    /** The module, with something done, or thrown, before and after each call, by the call's name. */
+    /** Returns the module with hooks that run, and may throw, before and after each call; they get the method name. */
     private static BalancerApi around(BalancerApi module, Consumer<String> before, Consumer<String> after) {
         return (BalancerApi) Proxy.newProxyInstance(BalancerApi.class.getClassLoader(),
                 new Class<?>[] {BalancerApi.class}, (proxy, method, arguments) -> {
@@ -166,10 +173,10 @@
                 });
     }
 
-    /** What the module threw left its caller without an answer, and its timers without their next turn. */
+    /** An exception of the module once left the request without an answer and lost the timer. */
     @Test
     @Timeout(30)
-    void whatTheModuleThrowsFailsTheRequestInHandAlone() throws Exception {
+    void anExceptionOfTheModuleFailsOnlyTheCurrentRequest() throws Exception {
         AtomicBoolean broken = new AtomicBoolean();
         List<String> lines = new ArrayList<>();
         List<String> calls = new ArrayList<>();
@@ -185,27 +192,29 @@
         Decision.Send before = (Decision.Send) facade.pick(1, PAY);
         broken.set(true);
         assertThat(facade.pick(2, PAY)).isEqualTo(new Decision.Fail());
-        assertThat(facade.reportAttempt(1, 0, before.host(), AttemptEnd.RESET, 1, false, null)).isEqualTo(new Decision.Fail());
-        assertThat(facade.reportAttempt(1, 0, before.host(), AttemptEnd.SERVED, 1, true, null)).isEqualTo(new Decision.NoAction());
+        assertThat(facade.reportAttempt(1, 0, before.host(), AttemptEnd.RESET, 1, false, null))
+                .isEqualTo(new Decision.Fail());
+        assertThat(facade.reportAttempt(1, 0, before.host(), AttemptEnd.SERVED, 1, true, null))
+                .isEqualTo(new Decision.NoAction());
         facade.clientGone(1);
         assertThat(facade.hostsOutOfRotation()).isZero();
         assertThatThrownBy(() -> news(Kind.FULL, "north", State.SERVING)).isInstanceOf(IllegalStateException.class);
         now.addAndGet(10_000_000);
         assertThat(facade.tick()).isEmpty();
         assertThat(facade.moduleFaults()).isGreaterThan(8);
-        assertThat(lines).as("one a second").hasSize(2);
+        assertThat(lines).as("one stack trace a second").hasSize(2);
         assertThat(lines.get(0)).startsWith(Facade.FAULT_PREFIX).contains("broken at request").contains("\tat ");
         broken.set(false);
         assertThat(facade.pick(3, PAY)).isInstanceOf(Decision.Send.class);
         calls.clear();
         now.addAndGet(1_000_000);
         facade.tick();
-        assertThat(calls).as("the timer that met the fault came again").contains("timer");
+        assertThat(calls).as("the timer at which the module threw is delivered again").contains("timer");
         facade.awaitListWanted(Long.MAX_VALUE);
     }
 
     @Test
-    void linesOfTheModuleComeOnceASecondAtMost() throws IOException {
+    void logLinesOfTheModuleAreLimitedToOneASecond() throws IOException {
         List<String> lines = new ArrayList<>();
         List<BalancerApi.Actions> module = new ArrayList<>();
         Setup setup = changed("\"send_cap\": 3", "\"send_cap\": 3");
@@ -221,9 +230,9 @@
         assertThat(lines).containsExactly("line 0", "line 34");
     }
 
-    /** New settings whose taking over failed half-way left one side with the classes of the other. */
+    /** An exception during a change of the settings once left the facade and the module with different classes. */
     @Test
-    void settingsThatTheModuleChokesOnLeaveBothSidesWithTheSame() throws IOException {
+    void facadeAndModuleKeepTheSameSettingsWhenTheModuleThrows() throws IOException {
         Setup setup = changed("\"send_cap\": 3", "\"send_cap\": 3");
         facade = new Facade(setup, 7, now::get, line -> { },
                 actions -> around(new Balance(setup.settings(), 7, actions), call -> { }, call -> {
@@ -246,8 +255,9 @@
     }
 
     @Test
-    void requestsUnderWayKeepTheirAttemptsAndNewOnesHaveTheNew() throws IOException {
-        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
+    void requestsInProgressKeepTheirSendCapAndNewOnesGetTheNewOne() throws IOException {
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA,
+                List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         Decision.Send before = (Decision.Send) facade.pick(1, PAY);
         facade.updateSettings(changed("\"send_cap\": 3", "\"send_cap\": 1"));
         assertThat(facade.reportAttempt(1, 0, before.host(), AttemptEnd.TURNED_AWAY, 1, false, null))
@@ -258,21 +268,24 @@
     }
 
     @Test
-    void classesComeGoAndBecomeStricterByName() throws IOException {
-        Decision.Send quote = (Decision.Send) facade.pick(1, new RequestInfo("quote", "shop-a", null, 900_000, 0, false));
-        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
+    void classesAreAddedRemovedAndChangedByName() throws IOException {
+        Decision.Send quote = (Decision.Send)
+                facade.pick(1, new RequestInfo("quote", "shop-a", null, 900_000, 0, false));
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA,
+                List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
         facade.updateSettings(changed("{\"name\": \"quote\", \"semantics\": \"retryable\"",
                 "{\"name\": \"once\", \"semantics\": \"fragile\""));
-        assertThat(facade.reportAttempt(1, 0, quote.host(), AttemptEnd.RESET, 1, false, null)).as("keeps its class")
-                .isInstanceOf(Decision.Send.class);
-        assertThat(facade.pick(2, new RequestInfo("quote", "shop-a", null, 900_000, 0, false))).as("gone")
-                .isInstanceOf(Decision.Refuse.class);
+        assertThat(facade.reportAttempt(1, 0, quote.host(), AttemptEnd.RESET, 1, false, null))
+                .as("a request in progress keeps its class").isInstanceOf(Decision.Send.class);
+        assertThat(facade.pick(2, new RequestInfo("quote", "shop-a", null, 900_000, 0, false)))
+                .as("the class was removed").isInstanceOf(Decision.Refuse.class);
         Decision.Send once = (Decision.Send) facade.pick(3, new RequestInfo("once", "shop-a", null, 900_000, 0, false));
-        assertThat(facade.reportAttempt(3, 0, once.host(), AttemptEnd.RESET, 1, false, null)).isEqualTo(new Decision.Fail());
+        assertThat(facade.reportAttempt(3, 0, once.host(), AttemptEnd.RESET, 1, false, null))
+                .isEqualTo(new Decision.Fail());
     }
 
     @Test
-    void settingsThatMakeNoSenseChangeNothing() throws IOException {
+    void invalidSettingsChangeNothing() throws IOException {
         Setup other = changed("\"zones\": [\"north\", \"south\"]", "\"zones\": [\"south\", \"north\"]");
         assertThatThrownBy(() -> facade.updateSettings(other)).isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("zones");
@@ -280,7 +293,7 @@
     }
 
     @Test
-    void hostsThatDrainOrFailAreCountedAsPassedOver() {
+    void drainingHostsCountAsOutOfRotation() {
         assertThat(facade.hostsOutOfRotation()).isZero();
         news(Kind.DELTA, "north", State.DRAINING);
         assertThat(facade.hostsOutOfRotation()).isOne();
@@ -288,28 +301,33 @@
         assertThat(facade.hostsOutOfRotation()).isZero();
     }
 
-    private static final RequestInfo LONG = new RequestInfo("pay", "shop-a", "k", 900_000, 0, false, true);
+    private static final RequestInfo STREAMED = new RequestInfo("pay", "shop-a", "k", 900_000, 0, false, true);
 
     @Test
-    void aLongRequestGoesElsewhereOnlyWhileAllThatWentOutIsHeld() {
-        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
-        Decision.Send first = (Decision.Send) facade.pick(1, LONG);
-        assertThat(facade.reportAttempt(1, 0, first.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_REPLAYABLE))
+    void aStreamedRequestIsRetriedOnlyWhileItsBodyIsReplayable() {
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA,
+                List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
+        Decision.Send first = (Decision.Send) facade.pick(1, STREAMED);
+        assertThat(facade.reportAttempt(1, 0, first.host(), AttemptEnd.NOT_CONNECTED, 1, false, null,
+                RequestBodyState.STREAMING_REPLAYABLE))
                 .isInstanceOf(Decision.Send.class);
-        Decision.Send other = (Decision.Send) facade.pick(2, LONG);
-        assertThat(facade.reportAttempt(2, 0, other.host(), AttemptEnd.NOT_CONNECTED, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
-                .as("never ran").isInstanceOf(Decision.Refuse.class);
-        Decision.Send third = (Decision.Send) facade.pick(3, LONG);
+        Decision.Send other = (Decision.Send) facade.pick(2, STREAMED);
+        assertThat(facade.reportAttempt(2, 0, other.host(), AttemptEnd.NOT_CONNECTED, 1, false, null,
+                RequestBodyState.STREAMING_UNREPLAYABLE))
+                .as("not replayable, never ran").isInstanceOf(Decision.Refuse.class);
+        Decision.Send third = (Decision.Send) facade.pick(3, STREAMED);
         facade.requestBodySent(3);
-        assertThat(facade.reportAttempt(3, 0, third.host(), AttemptEnd.RESET, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
-                .as("may have run").isInstanceOf(Decision.Fail.class);
+        assertThat(facade.reportAttempt(3, 0, third.host(), AttemptEnd.RESET, 1, false, null,
+                RequestBodyState.STREAMING_UNREPLAYABLE))
+                .as("not replayable, may have run").isInstanceOf(Decision.Fail.class);
     }
 
-    /** A client may send for a minute: that is no silence of the host's, and the request's time begins after it. */
+    /** A client may send a body for a minute. The host's time to answer starts only after its last byte. */
     @Test
-    void anAttemptWhoseRequestIsStillComingIsNotTakenForASilentHosts() {
-        facade.applyListUpdate(new ListUpdate(Kind.DELTA, List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
-        Decision.Send sent = (Decision.Send) facade.pick(1, LONG);
+    void anIncompleteRequestBodyDoesNotCountAsSilenceOfTheHost() {
+        facade.applyListUpdate(new ListUpdate(Kind.DELTA,
+                List.of(new ServerEntry("s2", "north", 1, State.SERVING, 1, 0))));
+        Decision.Send sent = (Decision.Send) facade.pick(1, STREAMED);
         for (int i = 0; i < 600; i++) {
             now.addAndGet(100_000);
             assertThat(facade.tick()).isEmpty();
@@ -317,15 +335,16 @@
         assertThat(facade.hostsOutOfRotation()).isZero();
         facade.requestBodySent(1);
         now.addAndGet(400_000);
-        assertThat(facade.reportAttempt(1, 0, sent.host(), AttemptEnd.TURNED_AWAY, 1, false, null, RequestBodyState.STREAMING_UNREPLAYABLE))
+        assertThat(facade.reportAttempt(1, 0, sent.host(), AttemptEnd.TURNED_AWAY, 1, false, null,
+                RequestBodyState.STREAMING_UNREPLAYABLE))
                 .isInstanceOf(Decision.Refuse.class);
         Decision.Send next = (Decision.Send) facade.pick(2, PAY);
         for (int i = 0; i < 20; i++) {
             now.addAndGet(100_000);
             if (!facade.tick().isEmpty()) {
-                return;                         // a short one's silence still shows
+                return;                         // silence after a buffered request is still detected
             }
         }
-        throw new AssertionError("silence of " + next.host() + " went unseen");
+        throw new AssertionError("the silence of " + next.host() + " was not detected");
     }
 }
--- a/core/src/test/java/dapplequay/lifecycle/InstanceLifecycleTest.java
+++ b/core/src/test/java/dapplequay/lifecycle/InstanceLifecycleTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aRestartDrainsFirstAndIsNoFailure() {
+    void aRestartDrainsFirstAndDoesNotCountAsAFailure() {
         InstanceLifecycle lifecycle = ready();
         assertThat(lifecycle.restart(10)).isEqualTo(Action.DRAIN);
         assertThat(lifecycle.isRestarting()).isTrue();
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aWishToRunWhileItDrainsIsGrantedWhenItHasEnded() {
+    void aRunRequestedDuringADrainStartsTheInstanceAfterItsEnd() {
         InstanceLifecycle lifecycle = ready();
         lifecycle.stop(10);
         assertThat(lifecycle.run(11)).isEqualTo(Action.NOTHING);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aDrainThatTakesTooLongIsCutAgainAndAgain() {
+    void aDrainThatTimesOutIsKilledRepeatedly() {
         InstanceLifecycle lifecycle = ready();
         lifecycle.stop(10);
         assertThat(lifecycle.tick(209)).isEqualTo(Action.NOTHING);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void pausesDoubleUpToTheirBoundAndThenItIsGivenUp() {
+    void backoffDoublesUpToItsBoundAndThenTheInstanceIsGivenUp() {
         InstanceLifecycle lifecycle = lifecycle();
         lifecycle.run(0);
         long now = 0;
@@ -80,12 +80,12 @@
         lifecycle.failed(now);
         assertThat(lifecycle.ended(now)).isEqualTo(Action.GIVE_UP);
         assertThat(lifecycle.state()).isEqualTo(State.GIVEN_UP);
-        assertThat(lifecycle.run(now)).as("somebody asks once more").isEqualTo(Action.START);
+        assertThat(lifecycle.run(now)).as("a new request to run").isEqualTo(Action.START);
         assertThat(lifecycle.failures()).isZero();
     }
 
     @Test
-    void aPartOfThePauseIsLeftToChance() {
+    void aRandomPartIsSubtractedFromTheBackoff() {
         InstanceLifecycle lifecycle = new InstanceLifecycle(POLICY, () -> 1);
         lifecycle.run(0);
         lifecycle.failed(0);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aStartThatTakesTooLongHasFailed() {
+    void aStartThatTimesOutCountsAsAFailure() {
         InstanceLifecycle lifecycle = lifecycle();
         lifecycle.run(0);
         assertThat(lifecycle.tick(100)).isEqualTo(Action.KILL);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void anInstanceThatServedForLongHasItsFailuresBehindIt() {
+    void failuresAreResetAfterALongTimeInReady() {
         InstanceLifecycle lifecycle = ready();
         for (int i = 0; i < 10; i++) {
             long now = lifecycle.nextTickUs() == InstanceLifecycle.NEVER ? 5 + i * 3000L : lifecycle.nextTickUs();
@@ -117,19 +117,22 @@
     }
 
     @Test
-    void patienceOutOfRangeIsRefused() {
-        assertThatThrownBy(() -> new RestartPolicy(0, 1, 1, 1, 1, 0, 1, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new RestartPolicy(1, 1, 1, 2, 1, 0, 1, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new RestartPolicy(1, 1, 1, 1, 1, 2, 1, 0)).isInstanceOf(IllegalArgumentException.class);
+    void rejectsAnInvalidRestartPolicy() {
+        assertThatThrownBy(() -> new RestartPolicy(0, 1, 1, 1, 1, 0, 1, 0))
+                .isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new RestartPolicy(1, 1, 1, 2, 1, 0, 1, 0))
+                .isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new RestartPolicy(1, 1, 1, 1, 1, 2, 1, 0))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 
-    /** Every sequence of events up to this length; all pairs, and all that follow from them, are among them. */
+    /** All sequences of this many events are tried. */
     private static final int DEPTH = 7;
     private static final List<String> EVENTS =
             List.of("run", "stop", "restart", "ready", "ended", "failed", "tick");
 
     @Test
-    void whateverHappensThereIsAWayOutAndNothingIsStartedTwice() {
+    void everyStateCanBeLeftAndNoInstanceIsStartedTwice() {
         explore(new int[DEPTH], 0);
     }
 
@@ -176,21 +179,21 @@
             boolean isAtRest = lifecycle.state() == State.STOPPED || lifecycle.state() == State.READY
                     || lifecycle.state() == State.GIVEN_UP;
             if (isAtRest == (lifecycle.nextTickUs() != InstanceLifecycle.NEVER)) {
-                throw new AssertionError("rests with a time, or waits without one: " + sequence);
+                throw new AssertionError("a resting state has a time-out, or another has none: " + sequence);
             }
             if (lifecycle.isRunRequested() && lifecycle.state() == State.STOPPED) {
-                throw new AssertionError("lost: " + sequence);
+                throw new AssertionError("requested to run, but stopped: " + sequence);
             }
             if (!lifecycle.isRunRequested() && (lifecycle.state() == State.READY || lifecycle.state() == State.STARTING
                     || lifecycle.state() == State.BACKOFF)) {
-                throw new AssertionError("runs though nobody wishes it: " + sequence);
+                throw new AssertionError("runs without a request: " + sequence);
             }
         }
-        // From anywhere, a stop and an end lead to rest.
+        // A stop and the end of the instance lead to STOPPED from any state.
         lifecycle.stop(now + 1);
         lifecycle.ended(now + 2);
         if (lifecycle.state() != State.STOPPED) {
-            throw new AssertionError("can't be stopped: " + lifecycle.state());
+            throw new AssertionError("cannot be stopped: " + lifecycle.state());
         }
     }
 }
--- a/core/src/test/java/dapplequay/lifecycle/RollingRestartTest.java
+++ b/core/src/test/java/dapplequay/lifecycle/RollingRestartTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void batchesFollowEachOtherWhenTheOneBeforeIsBack() {
+    void aBatchBeginsWhenThePreviousOneIsReady() {
         RollingRestart restart = rollingRestart(2, 5);
         assertThat(restart.nextBatch(0, FIVE, 5)).containsExactly("a", "b");
         assertThat(restart.nextBatch(1, List.of("c", "d", "e"), 5)).isEmpty();
@@ -37,9 +37,10 @@
     }
 
     @Test
-    void whatIsOutByItselfCounts() {
+    void instancesThatAreUnavailableForOtherReasonsCount() {
         RollingRestart restart = rollingRestart(3, 2);
-        assertThat(restart.nextBatch(0, List.of("b", "c", "d", "e"), 5)).as("a is out: one more may be").containsExactly("b");
+        assertThat(restart.nextBatch(0, List.of("b", "c", "d", "e"), 5))
+                .as("a is unavailable, so only one more may be").containsExactly("b");
         RollingRestart atLimit = rollingRestart(3, 2);
         assertThat(atLimit.nextBatch(0, List.of("c", "d", "e"), 5)).isEmpty();
         assertThat(atLimit.phase()).isEqualTo(Phase.RUNNING);
@@ -47,7 +48,7 @@
     }
 
     @Test
-    void aBatchThatDoesNotComeBackHaltsTheRollUntilItIsResumed() {
+    void aBatchThatTimesOutHaltsTheRestartUntilItIsResumed() {
         RollingRestart restart = rollingRestart(2, 5);
         restart.nextBatch(0, FIVE, 5);
         restart.instanceReady("a");
@@ -62,7 +63,7 @@
     }
 
     @Test
-    void anAbortedRollBeginsNothingMore() {
+    void anAbortedRestartBeginsNoFurtherBatch() {
         RollingRestart restart = rollingRestart(2, 5);
         restart.nextBatch(0, FIVE, 5);
         restart.abort();
@@ -74,7 +75,7 @@
     }
 
     @Test
-    void oneThatIsRemovedIsNotWaitedFor() {
+    void aRemovedInstanceIsNeitherWaitedForNorRestarted() {
         RollingRestart restart = rollingRestart(2, 5);
         restart.nextBatch(0, FIVE, 5);
         restart.instanceRemoved("a");
@@ -83,9 +84,9 @@
         assertThat(restart.nextBatch(1, List.of("b", "d", "e"), 3)).containsExactly("d", "e");
     }
 
-    /** All ways in which three instances come back, fail by themselves and recover, up to a depth. */
+    /** Tries all sequences in which three instances get ready, fail and recover, up to a length. */
     @Test
-    void neverAreMoreOutThanAllowedWhateverFailsMeanwhile() {
+    void neverExceedsTheUnavailableLimitWhateverFailsMeanwhile() {
         for (int batchSize = 1; batchSize <= 3; batchSize++) {
             for (int maxUnavailable = 1; maxUnavailable <= 3; maxUnavailable++) {
                 explore(batchSize, maxUnavailable, new ArrayList<>());
@@ -107,7 +108,7 @@
         }
     }
 
-    /** Event i below 3: instance i goes up if it is down, down if it is up. Event 3: the roll's turn. */
+    /** Event i below 3 makes instance i ready if it is down, and down if it is ready. Event 3 asks for a batch. */
     private static void play(int batchSize, int maxUnavailable, List<Integer> sequence) {
         List<String> all = List.of("0", "1", "2");
         RollingRestart restart = new RollingRestart(all, new Limits(batchSize, maxUnavailable, 1_000_000));
@@ -128,20 +129,20 @@
             List<String> batch = restart.nextBatch(now, ready, 3);
             if (!batch.isEmpty() && unavailable + batch.size() > maxUnavailable || batch.size() > batchSize
                     || !ready.containsAll(batch)) {
-                throw new AssertionError(sequence + ": " + batch + " with " + unavailable + " out");
+                throw new AssertionError(sequence + ": " + batch + " with " + unavailable + " unavailable");
             }
             ready.removeAll(batch);
             Set<String> known = new HashSet<>(restart.restarting());
             known.addAll(restart.completed());
             known.addAll(restart.pending());
             if (!known.containsAll(all)) {
-                throw new AssertionError(sequence + ": lost one");
+                throw new AssertionError(sequence + ": an instance was lost");
             }
         }
     }
 
     @Test
-    void aReloadIsSplitIntoWhatComesGoesChangesAndStays() {
+    void aReloadPlanListsAddedRemovedChangedAndUnchangedInstances() {
         ReloadPlan plan = ReloadPlan.between(Map.of("a", 1, "b", 2, "c", 3), Map.of("b", 2, "c", 4, "d", 5));
         assertThat(plan.added()).containsExactly("d");
         assertThat(plan.removed()).containsExactly("a");
--- a/core/src/test/java/dapplequay/lifecycle/ServiceLifecycleTest.java
+++ b/core/src/test/java/dapplequay/lifecycle/ServiceLifecycleTest.java
@@ -13,20 +13,20 @@
 
     private static ServiceLifecycle serving() {
         ServiceLifecycle lifecycle = new ServiceLifecycle(DRAIN_GRACE);
-        assertThat(lifecycle.acceptsClients()).as("before it listens").isFalse();
+        assertThat(lifecycle.acceptsClients()).as("before the listener is open").isFalse();
         lifecycle.listenerOpened(0);
         assertThat(lifecycle.acceptsClients()).isTrue();
         return lifecycle;
     }
 
     @Test
-    void aDrainSaysNoAtOnceEmptiesAfterItsGraceAndCanBeTakenBack() {
+    void aDrainRefusesClientsAtOnceClosesConnectionsAfterItsGraceAndCanBeUndone() {
         ServiceLifecycle lifecycle = serving();
         lifecycle.drain(100);
         assertThat(lifecycle.acceptsClients()).isFalse();
         assertThat(lifecycle.closesConnections(129)).isFalse();
         lifecycle.drain(120);
-        assertThat(lifecycle.closesConnections(130)).as("a second order does not put it off").isTrue();
+        assertThat(lifecycle.closesConnections(130)).as("a second order does not extend the grace").isTrue();
         lifecycle.updateConnectionCount(0, 130);
         assertThat(lifecycle.phase()).isEqualTo(Phase.DRAINED);
         lifecycle.updateConnectionCount(1, 131);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aDrainBeforeItListensHoldsAfter() {
+    void aDrainOrderedBeforeTheListenerOpensBeginsThen() {
         ServiceLifecycle lifecycle = new ServiceLifecycle(DRAIN_GRACE);
         lifecycle.drain(5);
         assertThat(lifecycle.phase()).isEqualTo(Phase.STARTING);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void anEndingWithinADrainGoesOnWhereThatStands() {
+    void aShutdownDuringADrainKeepsTheGraceOfTheDrain() {
         ServiceLifecycle lifecycle = serving();
         lifecycle.drain(100);
         lifecycle.beginShutdown(110, END_GRACE);
@@ -58,16 +58,16 @@
     }
 
     @Test
-    void graceOutOfRangeIsRefused() {
+    void rejectsANegativeGracePeriod() {
         assertThatThrownBy(() -> new ServiceLifecycle(-1)).isInstanceOf(IllegalArgumentException.class);
     }
 
     private static final int DEPTH = 6;
     private static final List<String> EVENTS = List.of("listening", "drain", "resume", "end", "none", "one", "later");
 
-    /** All sequences: it wants clients only while it empties nothing, and an ending is for good. */
+    /** Tries all sequences of events: clients are accepted only while none are closed, and a shutdown is final. */
     @Test
-    void whateverHappensItNeverWantsClientsAndSendsThemAway() {
+    void neverAcceptsClientsWhileClosingConnections() {
         explore(new int[DEPTH], 0);
     }
 
@@ -112,16 +112,17 @@
             }
             String sequence = java.util.Arrays.stream(events).mapToObj(EVENTS::get).toList() + " " + lifecycle.phase();
             if (lifecycle.acceptsClients() != (isListening && !isDrained && !isEnding)) {
-                throw new AssertionError("wants clients, or not, against its orders: " + sequence);
+                throw new AssertionError("readiness contradicts the orders: " + sequence);
             }
             if (lifecycle.acceptsClients() && lifecycle.closesConnections(now + 1_000)) {
-                throw new AssertionError("sends away whom it wants: " + sequence);
+                throw new AssertionError("closes connections of clients that it accepts: " + sequence);
             }
-            if (isEnding != (lifecycle.phase() == Phase.ENDING) || isEnding && !lifecycle.closesConnections(now + END_GRACE)) {
-                throw new AssertionError("an ending is for good: " + sequence);
+            if (isEnding != (lifecycle.phase() == Phase.ENDING)
+                    || isEnding && !lifecycle.closesConnections(now + END_GRACE)) {
+                throw new AssertionError("a shutdown must be final: " + sequence);
             }
             if (isListening && isDrained && !isEnding && !lifecycle.closesConnections(now + DRAIN_GRACE)) {
-                throw new AssertionError("a drain does not come about: " + sequence);
+                throw new AssertionError("a drain does not close connections after its grace: " + sequence);
             }
         }
     }
--- a/core/src/test/java/dapplequay/lifecycle/ShutdownScheduleTest.java
+++ b/core/src/test/java/dapplequay/lifecycle/ShutdownScheduleTest.java
@@ -6,11 +6,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ShutdownScheduleTest {
-    /** Shortest aim and longest deadline, ms; the platform ends it by force after the deadline, 3 s at most, and 0.7 s. */
+    /** The platform kills the process after the longest deadline, counted as at most 3 s, plus 0.7 s. */
     @ParameterizedTest
     @CsvSource({"600, 2000, 2150, 2450", "330, 1100, 1385, 1550", "250, 4000, 3325, 3450", "200, 300, 650, 750",
         "600, 600, 750, 1050"})
-    void whoHasAConnectionIsServedAsLongAsItsAnswerFits(long aimMs, long deadlineMs, long keepAliveUntilMs, long answerUntilMs) {
+    void keepsConnectionsAliveWhileAnAnswerStillFits(long aimMs, long deadlineMs, long keepAliveUntilMs,
+            long answerUntilMs) {
         ShutdownSchedule schedule = ShutdownSchedule.of(aimMs * 1_000, deadlineMs * 1_000);
         assertThat(schedule.keepAliveUntilUs()).isEqualTo(keepAliveUntilMs * 1_000);
         assertThat(schedule.answerUntilUs()).isEqualTo(answerUntilMs * 1_000);
--- a/core/src/test/java/dapplequay/settings/MissingKeysTest.java
+++ b/core/src/test/java/dapplequay/settings/MissingKeysTest.java
@@ -14,7 +14,7 @@
         return Json.parse(text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Each case leaves something out, or puts another thing in its place. */
+    /** Each case replaces a part of the configuration: the part, its replacement, and the path that is then missing. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '~', value = {
         "'a':1,|'z':1,|a", "'c':2,||b.c", "'b':{'c':2,'n':null}|'b':3|b", "'l':[1,2]|'l':7|l", "'a':1,|'a':null,|a",
@@ -23,7 +23,7 @@
         "'l':[1,2]|'l':[]|", ",{'name':'y','semantics':'r','d':1}||", "'name':'y'|'name':'new'|",
         "'semantics':'q','d':1,'e':2|'semantics':'r','d':9|", "'a':1,|'a':1,|",
     })
-    void whatWasThereIsWanted(String find, String replace, String missingPath) throws Exception {
+    void findsTheFirstKeyThatIsMissing(String find, String replace, String missingPath) throws Exception {
         assertThat(BEFORE).contains(find);
         String now = BEFORE.replace(find, replace == null ? "" : replace);
         assertThat(MissingKeys.firstMissing(tree(BEFORE), tree(now))).isEqualTo(missingPath);
--- a/core/src/test/java/dapplequay/state/SnapshotTest.java
+++ b/core/src/test/java/dapplequay/state/SnapshotTest.java
@@ -13,14 +13,14 @@
             new Snapshot(1_700_000_000_000_000L, "{\"rev\":4}".getBytes(StandardCharsets.UTF_8));
 
     @Test
-    void whatIsKeptIsReadAgain() {
+    void decodesWhatItEncoded() {
         assertThat(Snapshot.decode(SNAPSHOT.encode())).isEqualTo(new Snapshot.DecodeResult(SNAPSHOT, null));
         Snapshot empty = new Snapshot(0, new byte[0]);
         assertThat(Snapshot.decode(empty.encode()).snapshot()).isEqualTo(empty);
     }
 
     @Test
-    void atWhateverByteItIsTornItIsKnownAsTorn() {
+    void detectsTruncationAtEveryByte() {
         byte[] whole = SNAPSHOT.encode();
         for (int length = 0; length < whole.length; length++) {
             Snapshot.DecodeResult result = Snapshot.decode(Arrays.copyOf(whole, length));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void noSingleBitCanTurn() {
+    void detectsEverySingleBitFlip() {
         byte[] whole = SNAPSHOT.encode();
         for (int bit = 0; bit < whole.length * 8; bit++) {
             byte[] flipped = whole.clone();
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void foreignVersionsAndSizesAreNamed() {
+    void namesTheFaultOfForeignVersionsAndSizes() {
         byte[] foreign = SNAPSHOT.encode();
         foreign[7] = 9;
         assertThat(Snapshot.decode(foreign).fault()).isEqualTo("foreign version 9, this program knows 1");
@@ -54,11 +54,11 @@
     }
 
     @Test
-    void writesKeepTheirPaceAndTheLatestIsWrittenInTheEnd() {
+    void keepsTheWriteIntervalAndWritesTheLatestListInTheEnd() {
         WriteScheduler scheduler = new WriteScheduler(1_000_000, 5_000_000);
         assertThat(scheduler.nextWriteUs()).isEqualTo(Long.MAX_VALUE);
         scheduler.listChanged();
-        assertThat(scheduler.nextWriteUs()).as("the first at once").isLessThanOrEqualTo(0);
+        assertThat(scheduler.nextWriteUs()).as("the first write is due at once").isLessThanOrEqualTo(0);
         scheduler.writeStarted(0);
         assertThat(scheduler.nextWriteUs()).isEqualTo(Long.MAX_VALUE);
         scheduler.listChanged();
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aFailureIsTriedAgainAndToldOnceAMinute() {
+    void retriesAFailedWriteAndLogsOnceAMinute() {
         WriteScheduler scheduler = new WriteScheduler(1_000_000, 5_000_000);
         scheduler.listChanged();
         scheduler.writeStarted(0);
