--- a/core/src/main/java/dapplequay/discovery/ServerRegistry.java
+++ b/core/src/main/java/dapplequay/discovery/ServerRegistry.java
@@ -21,8 +21,9 @@
  * <p>A drain or a deletion takes effect at once, whichever version, address or request it comes from. A server that a
  * full list omits becomes {@link ServerStatus#REMOVED} at once if the list is trusted. Otherwise it becomes
  * {@link ServerStatus#UNCONFIRMED} with a deadline within the drain grace. No other event moves that deadline; only a
- * trusted list that contains the server clears it. A list is trusted if its version continues the known sequence of
- * versions and it does not lose more than half of the servers at once, as happens when discovery has lost its state.
+ * trusted response to a current request that lists the server as serving clears it. A list is trusted if its version
+ * continues the known sequence of versions and it does not lose more than half of the servers at once, as happens when
+ * discovery has lost its state.
  *
  * <p>Does no I/O and reads no clock; times are microseconds of one monotonic clock. Not thread-safe.
  */
--- a/core/src/main/java/dapplequay/lifecycle/ShutdownSchedule.java
+++ b/core/src/main/java/dapplequay/lifecycle/ShutdownSchedule.java
@@ -19,8 +19,8 @@
     // plus KILL_MARGIN_US after the order.
     private static final long MAX_COUNTED_DEADLINE_US = 3_000_000;
     private static final long KILL_MARGIN_US = 700_000;
-    // Three steps follow the last answers: error answers reach their clients, the process cleans up however long a
-    // cleanup step hangs, and it exits.
+    // Three steps follow the last answers: error answers reach their clients, the process cleans up (cut short if a
+    // step hangs), and it exits.
     private static final long FAILURE_DELIVERY_US = 100_000;
     private static final long CLEANUP_US = 50_000;
     private static final long EXIT_US = 100_000;
--- a/core/src/test/java/dapplequay/discovery/ServerRegistryTest.java
+++ b/core/src/test/java/dapplequay/discovery/ServerRegistryTest.java
@@ -212,7 +212,8 @@
         private void respond(Request request, long listRevision, Kind kind, List<ServerEntry> entries) {
             for (int server = 0; server < SERVERS; server++) {
                 String uid = "s" + server;
-                ServerEntry entry = entries.stream().filter(listed -> listed.uid().equals(uid)).findFirst().orElse(null);
+                ServerEntry entry = entries.stream().filter(listed -> listed.uid().equals(uid)).findFirst()
+                        .orElse(null);
                 boolean isRemoved = entry == null ? kind == Kind.FULL : entry.state() != State.SERVING;
                 boolean isListed = entry != null && entry.state() == State.SERVING;
                 latestSendUs[server] = isListed ? Long.MAX_VALUE : !isRemoved ? latestSendUs[server]
@@ -240,7 +241,8 @@
                 case LOWER_VERSION_DRAIN -> respond(request, ++lowerRevision, changes, drain);
                 case EMPTY_LOWER_DELTA -> {
                     respond(request, lowerRevision, Kind.DELTA, List.of());
-                    assertThat(request.after() <= lowerRevision && !asksForFullList || registry.needsFullList()).isTrue();
+                    assertThat(request.after() <= lowerRevision && !asksForFullList || registry.needsFullList())
+                            .isTrue();
                 }
                 case SUPERSEDED_DRAIN -> respond(superseded, revision, Kind.DELTA, List.of(entry(0, State.DRAINING)));
                 case SUPERSEDED_LIST_WITHOUT_MOST -> respond(superseded, revision, Kind.FULL, serving(3));
