--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -279,7 +279,7 @@
 
     /** An answer that came late of where discovery still is: nothing was missed. */
     private void endOfSuperseded(Call call) {
-        if (call.id().generation() == table.nextCall(0).generation()) {
+        if (call.id().addressGeneration() == table.nextCall(0).addressGeneration()) {
             heard();
             supersededAnswers++;
             facade.requestListNow();
