--- a/core/src/main/java/dapplequay/discovery/ServerRegistry.java
+++ b/core/src/main/java/dapplequay/discovery/ServerRegistry.java
@@ -1,9 +1,9 @@
 package dapplequay.discovery;
 
 import dapplequay.discovery.Transition.Cause;
-import dapplequay.facade.ListNews;
-import dapplequay.facade.ListNews.Line;
-import dapplequay.facade.ListNews.State;
+import dapplequay.facade.ListUpdate;
+import dapplequay.facade.ListUpdate.ServerEntry;
+import dapplequay.facade.ListUpdate.State;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -14,443 +14,470 @@
 import java.util.Set;
 
 /**
- * Whether new work may be sent to each server, until when at the latest, and why. All that discovery says goes through
- * here, so that no two rules can put off a drain between them: <b>what takes a server out never waits longer than its
- * deadline, what brings one in may wait</b>.
+ * Decides from the lists of discovery whether new requests may be sent to each server, and until when. Every response
+ * of discovery is applied here, so that no two rules together can delay a drain: <b>removing a server never takes
+ * longer than its deadline, while adding one may be delayed</b>.
  *
- * <p>A drain or a deletion counts at once, whichever version, address or call it comes from. A server that a whole list
- * leaves out is {@link ServerStatus#REMOVED} at once where the list is trusted, and else
- * {@link ServerStatus#UNCONFIRMED} with a deadline that lies inside the drain's grace; once set, no other event moves
- * it: only a trusted list that was asked for and names the server ends it. A list is trusted where it belongs to the
- * count of versions that is followed, and does not lose more than half of the servers at once, as a discovery does that
- * has lost its state.
+ * <p>A drain or a deletion takes effect at once, whichever version, address or request it comes from. A server that a
+ * full list omits becomes {@link ServerStatus#REMOVED} at once if the list is trusted. Otherwise it becomes
+ * {@link ServerStatus#UNCONFIRMED} with a deadline within the drain grace. No other event moves that deadline; only a
+ * trusted response to a current request that lists the server as serving clears it. A list is trusted if its version
+ * continues the known sequence of versions and it does not lose more than half of the servers at once, as happens when
+ * discovery has lost its state.
  *
- * <p>Pure; times are microseconds of one monotonic clock. Not thread-safe.
+ * <p>Does no I/O and reads no clock; times are microseconds of one monotonic clock. Not thread-safe.
  */
 public final class ServerRegistry {
-    /** A process may be held up this long, us, between looking at a deadline and writing. */
-    public static final long HOLD_UP_US = 150_000;
-    /** For so long, us, what lists of a lower version bring in is taken for a mistake. */
-    public static final long REGRESSION_US = 30_000_000;
-    /** A server that was taken out is remembered for so long, us, against answers to calls made before. */
-    private static final long REMEMBERED_US = 30_000_000;
-    private static final int MOST_REMEMBERED = 4_096;
-    /** Losing a larger share of the servers than this at once is asked about again. */
-    private static final double MOST_LOST_SHARE = 0.5;
-    /** Of fewer servers than this, any share may go at once. */
-    private static final int FEWEST_FOR_DOUBT = 3;
-    /** Of the time until the next deadline: the pause before a doubtful list is asked about again. */
-    private static final double PAUSE_SHARE = 0.25;
+    /** How long the process may be stalled between the check of a deadline and the write that follows. */
+    public static final long SEND_DELAY_MARGIN_US = 150_000;
+    /** How long lists of a lower version are taken for a mistake, so that they add no servers. */
+    public static final long REGRESSION_TIMEOUT_US = 30_000_000;
+    /** How long a removal is remembered, so that a response to an earlier request does not undo it. */
+    private static final long REMOVAL_MEMORY_US = 30_000_000;
+    private static final int MAX_REMEMBERED_REMOVALS = 4_096;
+    /** If a list loses a larger share of the servers than this, it is requested again before it counts. */
+    private static final double MAX_LOSS_SHARE = 0.5;
+    /** With fewer usable servers than this, a list may remove any share of them. */
+    private static final int MIN_SERVERS_FOR_LOSS_CHECK = 3;
+    /** The delay before a doubtful list is requested again, as a share of the time until the next deadline. */
+    private static final double REFETCH_DELAY_SHARE = 0.25;
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** A listed server. {@code statusUs}: since when; {@code lastSendUs}: its last send while unconfirmed, or 0. */
-    private static final class Entry {
-        private Line line;
+    /** A listed server. */
+    private static final class TrackedServer {
+        private ServerEntry entry;
         private ServerStatus status;
-        private long statusUs;
+        private long statusSinceUs;
         private long deadlineUs = NEVER;
+        /** When a request was last sent to the server while it was unconfirmed; 0 if none was. */
         private long lastSendUs;
     }
 
-    /** A server that is gone, and the start of the process that it was. */
-    private record Gone(long sinceUs, long bootMs) { }
+    /** When a server was removed, and when its process had started (Unix time in milliseconds). */
+    private record RemovedServer(long removedUs, long bootMs) { }
 
-    private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Gone> gone = new LinkedHashMap<>();      // the first to have gone first
-    private int generation;
+    private final Map<String, TrackedServer> trackedByUid = new LinkedHashMap<>();
+    /** By uid, the oldest removal first. */
+    private final Map<String, RemovedServer> recentlyRemoved = new LinkedHashMap<>();
+    private int addressGeneration;
     private long revision;
-    /** The version of the last list that was taken over with nothing left unconfirmed. */
+    /** The version of the last list after which no server was unconfirmed. */
     private long confirmedRevision;
-    private boolean anyRevision;
-    private long newestCallUs = Long.MIN_VALUE;     // of the answers that were taken over in full
-    private boolean wholeListWanted;
-    private boolean isRegressed;                    // lists of a lower version come
-    private long regressedSinceUs;
-    private int regressedLists;
+    /** True while a list of any version is trusted, as after a change of discovery's address. */
+    private boolean acceptsAnyRevision;
+    /** When the newest request was made of which a response was trusted. */
+    private long newestAppliedRequestUs = Long.MIN_VALUE;
+    private boolean fullListNeeded;
+    /** True while discovery sends lists of a lower version than {@link #revision}. */
+    private boolean isRegressed;
+    private long regressionStartUs;
+    private int regressedFullLists;
     private long regressedRevision;
     private long nextDeadlineUs = NEVER;
     private Changes changes = new Changes();
 
-    /** What one event has changed. */
+    /** The changes made by one event. */
     private static final class Changes {
         private final List<Transition> transitions = new ArrayList<>();
-        private final List<Line> lines = new ArrayList<>();
-        private final List<SendAfterNews> takenOut = new ArrayList<>();
+        private final List<ServerEntry> entries = new ArrayList<>();
+        private final List<RotationExit> rotationExits = new ArrayList<>();
     }
 
-    /** For a server that was taken out: how long after the news the last work was sent to it, microseconds. */
-    public record SendAfterNews(String uid, long lastSendUs) { }
+    /**
+     * A server that gets no new requests any more.
+     *
+     * @param lastSendAfterNewsUs how long after the list that first omitted it a request was last sent to it,
+     *                            microseconds; 0 if none was
+     */
+    public record RotationExit(String uid, long lastSendAfterNewsUs) { }
 
     /**
-     * What came of an event.
+     * The result of an event.
      *
-     * @param news        for the decision module; no lines where it has nothing to learn
-     * @param transitions of servers' statuses
-     * @param takenOut    the servers that get no new work from now on
+     * @param update        the update for the decision module; without entries if nothing changed for it
+     * @param transitions   the changes of servers' status
+     * @param rotationExits the servers that get no new requests from now on
      */
-    public record Outcome(ListNews news, List<Transition> transitions, List<SendAfterNews> takenOut) {
-        /** How many servers came to have that status for that cause. */
+    public record Result(ListUpdate update, List<Transition> transitions, List<RotationExit> rotationExits) {
+        /** Returns how many servers changed to the status for the given cause. */
         public long count(Cause cause, ServerStatus status) {
-            return transitions.stream().filter(t -> t.cause() == cause && t.to() == status).count();
+            return transitions.stream()
+                    .filter(transition -> transition.cause() == cause && transition.to() == status).count();
         }
     }
 
-    /** {@code anyRevision}: the list that it begins with binds nobody, as the count of its versions may be another. */
-    public ServerRegistry(boolean anyRevision) {
-        this.anyRevision = anyRevision;
+    /**
+     * Creates an empty registry.
+     *
+     * @param acceptsAnyRevision true if the first list is trusted whatever its version, as the versions of the list
+     *                           that the registry starts with may belong to another sequence
+     */
+    public ServerRegistry(boolean acceptsAnyRevision) {
+        this.acceptsAnyRevision = acceptsAnyRevision;
     }
 
-    /** The list to begin with: taken over as it is. */
-    public void restore(long itsRevision, Collection<Line> lines) {
+    /** Replaces the content with a stored list, without any check. */
+    public void restore(long listRevision, Collection<ServerEntry> entries) {
         changes = new Changes();
-        entries.clear();
-        lines.forEach(line -> put(line, 0));
-        revision = itsRevision;
-        confirmedRevision = itsRevision;
+        trackedByUid.clear();
+        entries.forEach(entry -> add(entry, 0));
+        revision = listRevision;
+        confirmedRevision = listRevision;
     }
 
-    /** Discovery is at another address from now on; deadlines that run stay. */
-    public void moved() {
-        generation++;
-        anyRevision = true;
-        wholeListWanted = true;
+    /** Records that discovery has another address from now on; running deadlines stay. */
+    public void discoveryMoved() {
+        addressGeneration++;
+        acceptsAnyRevision = true;
+        fullListNeeded = true;
         isRegressed = false;
     }
 
-    /** The call to make next, at that time. */
-    public ListAnswer.Call nextCall(long nowUs) {
-        long after = wholeListWanted ? ListAnswer.WHOLE_LIST : isRegressed ? regressedRevision : revision;
-        return new ListAnswer.Call(generation, after, nowUs);
+    /** Returns the request to make now. */
+    public ListResponse.Request nextRequest(long nowUs) {
+        long after = fullListNeeded ? ListResponse.FULL_LIST : isRegressed ? regressedRevision : revision;
+        return new ListResponse.Request(addressGeneration, after, nowUs);
     }
 
     /**
-     * How long to wait after an answer before all is asked for again, microseconds: a discovery that has lost its state
-     * may find it again, and its second answer has to come before the first deadline.
+     * Returns how long to wait before the full list is requested again, microseconds. This gives a discovery service
+     * that has lost its state time to recover, and still brings the second response before the first deadline.
      */
-    public long pauseBeforeAskingAgainUs(long nowUs) {
-        return nextDeadlineUs == NEVER ? 0 : (long) (Math.max(0, nextDeadlineUs - nowUs) * PAUSE_SHARE);
+    public long refetchDelayUs(long nowUs) {
+        return nextDeadlineUs == NEVER ? 0 : (long) (Math.max(0, nextDeadlineUs - nowUs) * REFETCH_DELAY_SHARE);
     }
 
-    /** Whether the next call has to ask for the whole list. */
-    public boolean wantsWholeList() {
-        return wholeListWanted;
+    /** Returns whether the next request has to ask for the full list. */
+    public boolean needsFullList() {
+        return fullListNeeded;
     }
 
-    /** The last list could not be used by others: all of it is asked for again. */
-    public void wantWholeList() {
-        wholeListWanted = true;
+    /** Makes the next request ask for the full list, as the last update could not be applied elsewhere. */
+    public void requestFullList() {
+        fullListNeeded = true;
     }
 
-    /** Whether lists of a lower version than the one known are coming. */
+    /** Returns whether discovery sends lists of a lower version than the known one. */
     public boolean isRegressed() {
         return isRegressed;
     }
 
-    /** Takes in an answer; {@code graceLeftUs}: what is left of the drain's grace for what it brings, 0 or more. */
-    public Outcome answered(ListAnswer answer, long graceLeftUs) {
-        forgetOld(answer.receivedUs());
+    /** Applies a response; {@code graceLeftUs} is what is left of the drain grace for its content, 0 or more. */
+    public Result applyResponse(ListResponse response, long graceLeftUs) {
+        forgetOldRemovals(response.receivedUs());
         changes = new Changes();
-        boolean isCurrent = answer.call().generation() == generation;
-        if (isCurrent && answer.isWhole() && answer.call().begunUs() >= newestCallUs) {
-            wholeListWanted = false;
+        boolean isCurrent = response.request().addressGeneration() == addressGeneration;
+        if (isCurrent && response.isFull() && response.request().startedUs() >= newestAppliedRequestUs) {
+            fullListNeeded = false;
         }
-        long deadlineUs = answer.receivedUs() + Math.max(0, graceLeftUs - HOLD_UP_US);
-        if (!isCurrent || answer.call().begunUs() < newestCallUs) {
-            takeOut(answer, deadlineUs);
-            wholeListWanted |= !changes.transitions.isEmpty();      // the newer word is asked for again
-            return outcome(ListNews.Kind.CHANGES, changes.lines);
+        long deadlineUs = response.receivedUs() + Math.max(0, graceLeftUs - SEND_DELAY_MARGIN_US);
+        if (!isCurrent || response.request().startedUs() < newestAppliedRequestUs) {
+            applyRemovalsOnly(response, deadlineUs);
+            fullListNeeded |= !changes.transitions.isEmpty();      // the current state is requested again
+            return result(ListUpdate.Kind.DELTA, changes.entries);
         }
-        if (belongsToNoList(answer) || !anyRevision && answer.revision() < revision) {
-            return regressed(answer, deadlineUs);
+        if (isDeltaOfUnknownList(response) || !acceptsAnyRevision && response.revision() < revision) {
+            return applyRegressed(response, deadlineUs);
         }
-        return takeOver(answer, deadlineUs);
+        return applyTrusted(response, deadlineUs);
     }
 
-    /** Changes to a list that is not known: of a lower version than the one asked after, or, asked for all, of any. */
-    private boolean belongsToNoList(ListAnswer answer) {
-        long after = answer.call().after();
-        boolean isUnknown = after == ListAnswer.WHOLE_LIST ? anyRevision : answer.revision() < after;
-        return !answer.isWhole() && isUnknown;
+    /**
+     * Returns whether the response is a delta to a list that is not known: one of a lower version than the request
+     * names, or, while any version is accepted, one in place of a full list.
+     */
+    private boolean isDeltaOfUnknownList(ListResponse response) {
+        long after = response.request().after();
+        boolean isUnknown = after == ListResponse.FULL_LIST ? acceptsAnyRevision : response.revision() < after;
+        return !response.isFull() && isUnknown;
     }
 
-    /** An answer of a lower version: it takes out, and what it brings in waits. */
-    private Outcome regressed(ListAnswer answer, long deadlineUs) {
+    /** Applies a response of a lower version: removals at once, additions only after a time-out. */
+    private Result applyRegressed(ListResponse response, long deadlineUs) {
         if (!isRegressed) {
             isRegressed = true;
-            regressedSinceUs = answer.receivedUs();
-            regressedLists = 0;
-            regressedRevision = ListAnswer.WHOLE_LIST;
+            regressionStartUs = response.receivedUs();
+            regressedFullLists = 0;
+            regressedRevision = ListResponse.FULL_LIST;
         }
-        boolean isOver = answer.receivedUs() - regressedSinceUs >= REGRESSION_US;
-        if (isOver && answer.isWhole()) {
-            return takeOver(answer, deadlineUs);
+        boolean isTimedOut = response.receivedUs() - regressionStartUs >= REGRESSION_TIMEOUT_US;
+        if (isTimedOut && response.isFull()) {
+            return applyTrusted(response, deadlineUs);
         }
-        takeOut(answer, deadlineUs);
-        boolean follows;
-        if (answer.isWhole()) {
-            regressedLists++;
-            regressedRevision = answer.revision();
-            follows = regressedLists > 1;       // the first may be a mistake that the next one shows
+        applyRemovalsOnly(response, deadlineUs);
+        boolean isFollowed;
+        if (response.isFull()) {
+            regressedFullLists++;
+            regressedRevision = response.revision();
+            isFollowed = regressedFullLists > 1;       // the first may be a mistake that the second one corrects
         } else {
-            follows = !isOver && regressedLists > 0 && answer.call().after() == regressedRevision
-                    && answer.revision() >= regressedRevision;
-            regressedRevision = follows ? answer.revision() : regressedRevision;
+            isFollowed = !isTimedOut && regressedFullLists > 0 && response.request().after() == regressedRevision
+                    && response.revision() >= regressedRevision;
+            regressedRevision = isFollowed ? response.revision() : regressedRevision;
         }
-        wholeListWanted = !follows;
-        return outcome(ListNews.Kind.CHANGES, changes.lines);
+        fullListNeeded = !isFollowed;
+        return result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
-    /** Of an answer that is not trusted, what it takes out. */
-    private void takeOut(ListAnswer answer, long deadlineUs) {
-        Set<String> named = new HashSet<>();
-        for (Line line : answer.content().lines()) {
-            named.add(line.uid());
-            Entry entry = entries.get(line.uid());
-            if (entry == null) {
+    /** Applies only the removals of a response that is not trusted. */
+    private void applyRemovalsOnly(ListResponse response, long deadlineUs) {
+        Set<String> namedUids = new HashSet<>();
+        for (ServerEntry entry : response.update().entries()) {
+            namedUids.add(entry.uid());
+            TrackedServer tracked = trackedByUid.get(entry.uid());
+            if (tracked == null) {
                 continue;
             }
-            // A drain before a later start of the server is over.
-            if (line.state() == State.DRAINING && line.bootMs() >= entry.line.bootMs() && isUsable(entry)) {
-                drain(entry, entry.line, answer.receivedUs());
-            } else if (line.state() == State.DELETED) {
-                remove(entry, Cause.NAMED_DELETED, answer.receivedUs());
+            // A drain of an earlier process of the server does not concern the current one.
+            if (entry.state() == State.DRAINING && entry.bootMs() >= tracked.entry.bootMs() && isUsable(tracked)) {
+                drain(tracked, tracked.entry, response.receivedUs());
+            } else if (entry.state() == State.DELETED) {
+                remove(tracked, Cause.NAMED_DELETED, response.receivedUs());
             }
         }
-        if (answer.isWhole()) {
-            for (Entry entry : List.copyOf(entries.values())) {
-                if (!named.contains(entry.line.uid()) && isUsable(entry)) {
-                    leftOut(entry, answer.receivedUs(), deadlineUs);
+        if (response.isFull()) {
+            for (TrackedServer tracked : List.copyOf(trackedByUid.values())) {
+                if (!namedUids.contains(tracked.entry.uid()) && isUsable(tracked)) {
+                    markLeftOut(tracked, response.receivedUs(), deadlineUs);
                 }
             }
         }
     }
 
-    private static boolean isUsable(Entry entry) {
-        return entry.status == ServerStatus.SERVING || entry.status == ServerStatus.UNCONFIRMED;
+    private static boolean isUsable(TrackedServer tracked) {
+        return tracked.status == ServerStatus.SERVING || tracked.status == ServerStatus.UNCONFIRMED;
     }
 
-    /** A list that may be wrong leaves it out: the first time the deadline is set, the second time it is gone. */
-    private void leftOut(Entry entry, long nowUs, long deadlineUs) {
-        if (entry.status == ServerStatus.UNCONFIRMED || deadlineUs <= nowUs) {
-            remove(entry, entry.status == ServerStatus.UNCONFIRMED ? Cause.LEFT_OUT_AGAIN : Cause.LEFT_OUT, nowUs);
+    /** Handles a server that a doubtful list omits: sets a deadline the first time, removes it the second time. */
+    private void markLeftOut(TrackedServer tracked, long nowUs, long deadlineUs) {
+        if (tracked.status == ServerStatus.UNCONFIRMED || deadlineUs <= nowUs) {
+            remove(tracked, tracked.status == ServerStatus.UNCONFIRMED ? Cause.LEFT_OUT_AGAIN : Cause.LEFT_OUT, nowUs);
             return;
         }
-        change(entry, ServerStatus.UNCONFIRMED, Cause.LEFT_OUT, nowUs);
-        entry.deadlineUs = deadlineUs;
-        entry.lastSendUs = 0;
+        changeStatus(tracked, ServerStatus.UNCONFIRMED, Cause.LEFT_OUT, nowUs);
+        tracked.deadlineUs = deadlineUs;
+        tracked.lastSendUs = 0;
         nextDeadlineUs = Math.min(nextDeadlineUs, deadlineUs);
     }
 
-    private void findNextDeadline() {
-        nextDeadlineUs = entries.values().stream().mapToLong(entry -> entry.deadlineUs).min().orElse(NEVER);
+    private void updateNextDeadline() {
+        nextDeadlineUs = trackedByUid.values().stream().mapToLong(tracked -> tracked.deadlineUs).min().orElse(NEVER);
     }
 
-    /** All of an answer counts, but for servers that it seems to have lost. */
-    private Outcome takeOver(ListAnswer answer, long deadlineUs) {
+    /** Applies a trusted response completely, except for servers that it seems to have lost. */
+    private Result applyTrusted(ListResponse response, long deadlineUs) {
         boolean wasRegressed = isRegressed;
         isRegressed = false;
-        anyRevision = false;
-        newestCallUs = answer.call().begunUs();
-        if (answer.isWhole()) {
-            takeOutLeftOut(answer, deadlineUs);
+        acceptsAnyRevision = false;
+        newestAppliedRequestUs = response.request().startedUs();
+        if (response.isFull()) {
+            removeLeftOut(response, deadlineUs);
         }
         boolean isPartial = false;
-        for (Line line : answer.content().lines()) {
-            isPartial |= !takeOver(line, answer);
+        for (ServerEntry entry : response.update().entries()) {
+            isPartial |= !applyEntry(entry, response);
         }
-        revision = answer.revision();
-        findNextDeadline();
+        revision = response.revision();
+        updateNextDeadline();
         boolean isConfirmed = nextDeadlineUs == NEVER;
         confirmedRevision = isConfirmed ? revision : confirmedRevision;
-        // Changes to a list of which, while versions were lower, not all was taken over.
-        wholeListWanted |= !isConfirmed || isPartial || wasRegressed && !answer.isWhole();
-        boolean isAll = answer.isWhole() && isConfirmed && !isPartial;
-        return isAll ? outcome(ListNews.Kind.WHOLE, answer.content().lines())
-                : outcome(ListNews.Kind.CHANGES, changes.lines);
-    }
-
-    /** False where the line would bring back what was taken out after the call was made. */
-    private boolean takeOver(Line line, ListAnswer answer) {
-        Entry entry = entries.get(line.uid());
-        if (line.state() == State.DELETED) {
-            if (entry != null) {
-                remove(entry, Cause.NAMED_DELETED, answer.receivedUs());
+        // While versions were lower, lists were applied only in part, so a delta does not complete them.
+        fullListNeeded |= !isConfirmed || isPartial || wasRegressed && !response.isFull();
+        boolean isAll = response.isFull() && isConfirmed && !isPartial;
+        return isAll ? result(ListUpdate.Kind.FULL, response.update().entries())
+                : result(ListUpdate.Kind.DELTA, changes.entries);
+    }
+
+    /** Applies one entry; returns false if it would add a server that was removed after the request was made. */
+    private boolean applyEntry(ServerEntry entry, ListResponse response) {
+        TrackedServer tracked = trackedByUid.get(entry.uid());
+        if (entry.state() == State.DELETED) {
+            if (tracked != null) {
+                remove(tracked, Cause.NAMED_DELETED, response.receivedUs());
             }
             return true;
         }
-        if (line.state() == State.DRAINING) {
-            if (entry == null) {
-                put(line, answer.receivedUs());
+        if (entry.state() == State.DRAINING) {
+            if (tracked == null) {
+                add(entry, response.receivedUs());
             } else {
-                drain(entry, line, answer.receivedUs());
+                drain(tracked, entry, response.receivedUs());
             }
             return true;
         }
-        if (isOlderWord(line, entry, answer.call().begunUs())) {
+        if (isStale(entry, tracked, response.request().startedUs())) {
             return false;
         }
-        if (entry == null) {
-            put(line, answer.receivedUs());
+        if (tracked == null) {
+            add(entry, response.receivedUs());
             return true;
         }
-        entry.line = line;
-        entry.deadlineUs = NEVER;
-        if (entry.status != ServerStatus.SERVING) {
-            change(entry, ServerStatus.SERVING, Cause.NAMED_SERVING, answer.receivedUs());
+        tracked.entry = entry;
+        tracked.deadlineUs = NEVER;
+        if (tracked.status != ServerStatus.SERVING) {
+            changeStatus(tracked, ServerStatus.SERVING, Cause.NAMED_SERVING, response.receivedUs());
         }
-        changes.lines.add(line);
+        changes.entries.add(entry);
         return true;
     }
 
-    /** Whether the server, being the same process, was taken or left out after the call was made. */
-    private boolean isOlderWord(Line line, Entry entry, long begunUs) {
-        if (entry != null) {
-            return entry.status != ServerStatus.SERVING && entry.statusUs > begunUs
-                    && line.bootMs() <= entry.line.bootMs();
+    /** Returns whether the same process of the server was drained, omitted or removed after the request was made. */
+    private boolean isStale(ServerEntry entry, TrackedServer tracked, long startedUs) {
+        if (tracked != null) {
+            return tracked.status != ServerStatus.SERVING && tracked.statusSinceUs > startedUs
+                    && entry.bootMs() <= tracked.entry.bootMs();
         }
-        Gone left = gone.get(line.uid());
-        return left != null && left.sinceUs > begunUs && line.bootMs() <= left.bootMs;
-    }
-
-    /** The servers that a trusted list leaves out are gone; where they are most of all, they are unconfirmed first. */
-    private void takeOutLeftOut(ListAnswer answer, long deadlineUs) {
-        Set<String> named = new HashSet<>();
-        answer.content().lines().forEach(line -> named.add(line.uid()));
-        List<Entry> missing = entries.values().stream().filter(e -> !named.contains(e.line.uid())).toList();
-        long usable = entries.values().stream().filter(ServerRegistry::isUsable).count();
-        long lost = missing.stream().filter(ServerRegistry::isUsable).count();
-        boolean isDoubtful = usable >= FEWEST_FOR_DOUBT && lost > usable * MOST_LOST_SHARE;
-        for (Entry entry : missing) {
-            if (isDoubtful && isUsable(entry)) {
-                leftOut(entry, answer.receivedUs(), deadlineUs);
+        RemovedServer removed = recentlyRemoved.get(entry.uid());
+        return removed != null && removed.removedUs > startedUs && entry.bootMs() <= removed.bootMs;
+    }
+
+    /** Removes the servers that a trusted list omits; if it omits most of them, they become unconfirmed first. */
+    private void removeLeftOut(ListResponse response, long deadlineUs) {
+        Set<String> namedUids = new HashSet<>();
+        response.update().entries().forEach(entry -> namedUids.add(entry.uid()));
+        List<TrackedServer> missing = trackedByUid.values().stream()
+                .filter(tracked -> !namedUids.contains(tracked.entry.uid())).toList();
+        long usableCount = trackedByUid.values().stream().filter(ServerRegistry::isUsable).count();
+        long lostCount = missing.stream().filter(ServerRegistry::isUsable).count();
+        boolean isLossSuspicious = usableCount >= MIN_SERVERS_FOR_LOSS_CHECK
+                && lostCount > usableCount * MAX_LOSS_SHARE;
+        for (TrackedServer tracked : missing) {
+            if (isLossSuspicious && isUsable(tracked)) {
+                markLeftOut(tracked, response.receivedUs(), deadlineUs);
             } else {
-                remove(entry, Cause.LEFT_OUT, answer.receivedUs());
+                remove(tracked, Cause.LEFT_OUT, response.receivedUs());
             }
         }
     }
 
-    private void put(Line line, long nowUs) {
-        Entry entry = new Entry();
-        entry.line = line;
-        entry.status = line.state() == State.SERVING ? ServerStatus.SERVING : ServerStatus.DRAINING;
-        entry.statusUs = nowUs;
-        entries.put(line.uid(), entry);
-        gone.remove(line.uid());
-        changes.lines.add(line);
-        boolean serves = entry.status == ServerStatus.SERVING;
-        changes.transitions.add(new Transition(line.uid(), ServerStatus.REMOVED, entry.status,
-                serves ? Cause.NAMED_SERVING : Cause.NAMED_DRAINING, 0));
-    }
-
-    private void drain(Entry entry, Line line, long nowUs) {
-        entry.line = in(State.DRAINING, line);
-        if (entry.status != ServerStatus.DRAINING) {
-            noteTakenOut(entry);
-            change(entry, ServerStatus.DRAINING, Cause.NAMED_DRAINING, nowUs);
+    private void add(ServerEntry entry, long nowUs) {
+        TrackedServer tracked = new TrackedServer();
+        tracked.entry = entry;
+        tracked.status = entry.state() == State.SERVING ? ServerStatus.SERVING : ServerStatus.DRAINING;
+        tracked.statusSinceUs = nowUs;
+        trackedByUid.put(entry.uid(), tracked);
+        recentlyRemoved.remove(entry.uid());
+        changes.entries.add(entry);
+        boolean isServing = tracked.status == ServerStatus.SERVING;
+        changes.transitions.add(new Transition(entry.uid(), ServerStatus.REMOVED, tracked.status,
+                isServing ? Cause.NAMED_SERVING : Cause.NAMED_DRAINING, 0));
+    }
+
+    private void drain(TrackedServer tracked, ServerEntry entry, long nowUs) {
+        tracked.entry = withState(State.DRAINING, entry);
+        if (tracked.status != ServerStatus.DRAINING) {
+            recordRotationExit(tracked);
+            changeStatus(tracked, ServerStatus.DRAINING, Cause.NAMED_DRAINING, nowUs);
         }
-        entry.deadlineUs = NEVER;
-        changes.lines.add(entry.line);
+        tracked.deadlineUs = NEVER;
+        changes.entries.add(tracked.entry);
     }
 
-    private void remove(Entry entry, Cause cause, long nowUs) {
-        if (isUsable(entry)) {
-            noteTakenOut(entry);
+    private void remove(TrackedServer tracked, Cause cause, long nowUs) {
+        if (isUsable(tracked)) {
+            recordRotationExit(tracked);
         }
-        entries.remove(entry.line.uid());
-        gone.remove(entry.line.uid());
-        gone.put(entry.line.uid(), new Gone(nowUs, entry.line.bootMs()));
-        changes.lines.add(in(State.DELETED, entry.line));
-        change(entry, ServerStatus.REMOVED, cause, nowUs);
+        trackedByUid.remove(tracked.entry.uid());
+        recentlyRemoved.remove(tracked.entry.uid());
+        recentlyRemoved.put(tracked.entry.uid(), new RemovedServer(nowUs, tracked.entry.bootMs()));
+        changes.entries.add(withState(State.DELETED, tracked.entry));
+        changeStatus(tracked, ServerStatus.REMOVED, cause, nowUs);
     }
 
-    private void noteTakenOut(Entry entry) {
-        boolean wasSentTo = entry.status == ServerStatus.UNCONFIRMED && entry.lastSendUs > 0;
-        changes.takenOut.add(new SendAfterNews(entry.line.uid(), wasSentTo ? entry.lastSendUs - entry.statusUs : 0));
+    private void recordRotationExit(TrackedServer tracked) {
+        boolean receivedWork = tracked.status == ServerStatus.UNCONFIRMED && tracked.lastSendUs > 0;
+        changes.rotationExits.add(new RotationExit(tracked.entry.uid(),
+                receivedWork ? tracked.lastSendUs - tracked.statusSinceUs : 0));
     }
 
-    private void change(Entry entry, ServerStatus to, Cause cause, long nowUs) {
-        changes.transitions.add(new Transition(entry.line.uid(), entry.status, to, cause, nowUs - entry.statusUs));
-        entry.status = to;
-        entry.statusUs = nowUs;
+    private void changeStatus(TrackedServer tracked, ServerStatus to, Cause cause, long nowUs) {
+        changes.transitions.add(
+                new Transition(tracked.entry.uid(), tracked.status, to, cause, nowUs - tracked.statusSinceUs));
+        tracked.status = to;
+        tracked.statusSinceUs = nowUs;
     }
 
-    private static Line in(State state, Line line) {
-        return new Line(line.uid(), line.zone(), line.cell(), state, line.weight(), line.bootMs());
+    private static ServerEntry withState(State state, ServerEntry entry) {
+        return new ServerEntry(entry.uid(), entry.zone(), entry.cell(), state, entry.weight(), entry.bootMs());
     }
 
-    private Outcome outcome(ListNews.Kind kind, List<Line> lines) {
-        return new Outcome(new ListNews(kind, lines), List.copyOf(changes.transitions), List.copyOf(changes.takenOut));
+    private Result result(ListUpdate.Kind kind, List<ServerEntry> entries) {
+        return new Result(new ListUpdate(kind, entries), List.copyOf(changes.transitions),
+                List.copyOf(changes.rotationExits));
     }
 
-    private void forgetOld(long nowUs) {
-        Iterator<Gone> oldest = gone.values().iterator();
+    private void forgetOldRemovals(long nowUs) {
+        Iterator<RemovedServer> oldest = recentlyRemoved.values().iterator();
         while (oldest.hasNext()) {
-            boolean isOld = nowUs - oldest.next().sinceUs > REMEMBERED_US;
-            if (!isOld && gone.size() <= MOST_REMEMBERED) {
+            boolean isExpired = nowUs - oldest.next().removedUs > REMOVAL_MEMORY_US;
+            if (!isExpired && recentlyRemoved.size() <= MAX_REMEMBERED_REMOVALS) {
                 return;
             }
             oldest.remove();
         }
     }
 
-    /** When {@link #expire} has something to do next; {@link Long#MAX_VALUE} where no deadline runs. */
+    /** Returns when {@link #expire} has to be called next; {@link Long#MAX_VALUE} if no deadline runs. */
     public long nextDeadlineUs() {
         return nextDeadlineUs;
     }
 
-    /** Takes out the servers whose deadline has come. */
-    public Outcome expire(long nowUs) {
+    /** Removes the servers whose deadline has passed. */
+    public Result expire(long nowUs) {
         changes = new Changes();
         if (nowUs >= nextDeadlineUs) {
-            for (Entry entry : List.copyOf(entries.values())) {
-                if (nowUs >= entry.deadlineUs) {
-                    remove(entry, Cause.DEADLINE, nowUs);
+            for (TrackedServer tracked : List.copyOf(trackedByUid.values())) {
+                if (nowUs >= tracked.deadlineUs) {
+                    remove(tracked, Cause.DEADLINE, nowUs);
                 }
             }
-            findNextDeadline();
+            updateNextDeadline();
             confirmedRevision = nextDeadlineUs == NEVER ? revision : confirmedRevision;
         }
-        return outcome(ListNews.Kind.CHANGES, changes.lines);
+        return result(ListUpdate.Kind.DELTA, changes.entries);
     }
 
-    /** Whether new work may go to the server now: asked right before its first byte. */
+    /** Returns whether a request may be sent to the server now; to be checked right before its first byte. */
     public boolean maySend(String uid, long nowUs) {
-        Entry entry = entries.get(uid);
-        return entry != null && isUsable(entry) && nowUs < entry.deadlineUs;
+        TrackedServer tracked = trackedByUid.get(uid);
+        return tracked != null && isUsable(tracked) && nowUs < tracked.deadlineUs;
     }
 
-    /** Work went out to it. */
-    public void sent(String uid, long nowUs) {
-        Entry entry = entries.get(uid);
-        if (entry != null && entry.status == ServerStatus.UNCONFIRMED) {
-            entry.lastSendUs = nowUs;
+    /** Records that a request is sent to the server. */
+    public void recordSend(String uid, long nowUs) {
+        TrackedServer tracked = trackedByUid.get(uid);
+        if (tracked != null && tracked.status == ServerStatus.UNCONFIRMED) {
+            tracked.lastSendUs = nowUs;
         }
     }
 
-    /** Its status; {@link ServerStatus#REMOVED} where it is not listed. */
+    /** Returns the status of the server; {@link ServerStatus#REMOVED} if it is not listed. */
     public ServerStatus statusOf(String uid) {
-        Entry entry = entries.get(uid);
-        return entry == null ? ServerStatus.REMOVED : entry.status;
+        TrackedServer tracked = trackedByUid.get(uid);
+        return tracked == null ? ServerStatus.REMOVED : tracked.status;
     }
 
-    /** The listed servers' lines, as last heard; of an unconfirmed one, as if it drained. */
-    public List<Line> lines() {
-        return entries.values().stream().map(entry -> isUsable(entry) && entry.status != ServerStatus.SERVING
-                ? in(State.DRAINING, entry.line) : entry.line).toList();
+    /** Returns the last known entries of the listed servers; an unconfirmed one is returned as draining. */
+    public List<ServerEntry> listedEntries() {
+        return trackedByUid.values().stream().map(tracked -> isUsable(tracked) && tracked.status != ServerStatus.SERVING
+                ? withState(State.DRAINING, tracked.entry) : tracked.entry).toList();
     }
 
-    /** The version known. */
+    /** Returns the version of the last list that was trusted or restored. */
     public long revision() {
         return revision;
     }
 
-    /** The version with which a later life may begin: changes after it tell of those that are unconfirmed now. */
+    /**
+     * Returns the version that a later process may start from: the changes after it include the servers that are
+     * unconfirmed now.
+     */
     public long confirmedRevision() {
         return confirmedRevision;
     }
 
-    /** How many servers are listed, those that drain included. */
+    /** Returns how many servers are listed, including those that drain. */
     public int size() {
-        return entries.size();
+        return trackedByUid.size();
     }
 }
--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -22,21 +22,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * The decision module in blocking style: each call takes the one lock, tells the module, and returns what is
- * to be done. No call waits for anything but the lock, save {@link #awaitWatch}. It knows no protocol. What the module
- * throws ends here: it is counted and told with its trace, the request in hand fails, and the next is decided as ever.
+ * A synchronous, thread-safe front of the decision module: each method takes the one lock, passes an event to the
+ * module and returns the decision that follows. No method but {@link #awaitListWanted} blocks on anything but the lock.
+ * The class knows no protocol. It catches what the module throws, counts it, logs it with its stack trace and fails the
+ * current request; later requests are not affected.
  */
 public final class Facade {
-    /** A timer whose event the module could not take comes again after this, us: what repeats must not stop. */
-    private static final long TIMER_AGAIN_US = 1_000_000;
-    /** At least this long between two faults that are told with their traces, us; all are counted. */
-    private static final long FAULT_GAP_US = 1_000_000;
-    /** Between two looks, ms, of who waits for the module to want the list: it is woken anyhow. */
-    private static final long LONGEST_WAIT_MS = 60_000;
-    /** At least this long between two lines of the module's, us. */
-    private static final long LINE_GAP_US = 1_000_000;
-    /** How a line begins that tells of a fault. */
-    public static final String FAULT = "the decision module threw: ";
+    /** Delay until a timer at which the module threw is delivered again, so that periodic work does not stop. */
+    private static final long TIMER_RETRY_US = 1_000_000;
+    /** Minimum interval between two logged stack traces; every fault is counted. */
+    private static final long FAULT_LOG_INTERVAL_US = 1_000_000;
+    /** Longest single wait of {@link #awaitListWanted}, which is also notified. */
+    private static final long MAX_WAIT_MS = 60_000;
+    /** Minimum interval between two log lines of the module. */
+    private static final long MODULE_LOG_INTERVAL_US = 1_000_000;
+    /** The prefix of log lines about exceptions of the decision module. */
+    public static final String FAULT_PREFIX = "the decision module threw: ";
 
     private Setup setup;
     private final LongSupplier clock;
@@ -44,275 +45,291 @@
     private final BalancerApi module;
     private final Asking asking;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final List<Cut> cuts = new ArrayList<>();
-    private final Queue<String> lines = new ConcurrentLinkedQueue<>();
-    private long timersSet;
-    private long lastId;
-    private long inHand;
-    private int sends;
-    private Decision decided;
-    private boolean watchWanted;
+    private final List<AttemptCancellation> cancellations = new ArrayList<>();
+    private final Queue<String> logLines = new ConcurrentLinkedQueue<>();
+    private long timersCreated;
+    private long lastRequestId;
+    private long currentRequestId;
+    private int nextAttempt;
+    private Decision currentDecision;
+    private boolean listWanted;
     private long faults;
-    private long nextFaultAt = Long.MIN_VALUE;
-    private long nextLineAt = Long.MIN_VALUE;
+    private long nextFaultLogUs = Long.MIN_VALUE;
+    private long nextModuleLogUs = Long.MIN_VALUE;
 
-    /** An attempt that is not to be waited for any longer; its end is reported like any other. */
-    public record Cut(long id, int attempt) { }
+    /** An attempt to abandon. Its end is reported with {@link #reportAttempt} like any other. */
+    public record AttemptCancellation(long id, int attempt) { }
 
-    private record Timer(long atUs, long number, long token) implements Comparable<Timer> {
+    private record Timer(long atUs, long sequence, long token) implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
             int byTime = Long.compare(atUs, other.atUs);
-            return byTime != 0 ? byTime : Long.compare(number, other.number);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** {@code clock}: Unix time in microseconds; {@code log}: takes the module's lines, outside the lock. */
+    /**
+     * Creates a facade of a new {@link Balance}.
+     *
+     * @param clock returns Unix time in microseconds
+     * @param log   takes the module's log lines; called without the lock held
+     */
     public Facade(Setup setup, long seed, LongSupplier clock, Consumer<String> log) {
         this(setup, seed, clock, log, actions -> new Balance(setup.settings(), seed, actions));
     }
 
-    /** With another module, as tests have it. */
+    /** Creates a facade of another module, for tests. */
     Facade(Setup setup, long seed, LongSupplier clock, Consumer<String> log,
             Function<BalancerApi.Actions, BalancerApi> module) {
         this.setup = setup;
         this.clock = clock;
         this.log = log;
-        Taken actions = new Taken();
+        ModuleActions actions = new ModuleActions();
         this.module = module.apply(actions);
         asking = new Asking(setup.settings(), seed, actions);
-        watchWanted = isPushed(setup);
+        listWanted = isPushed(setup);
     }
 
-    // In the simulator's words a pushed list comes by itself, and the module asks for none. Here an agent holds it for
-    // whoever asks, and what it holds counts as told: asked from the first moment on, not from the first news on.
+    // In the simulator a pushed list arrives by itself, and the module requests none. Here a local agent holds the list
+    // until it is asked, and its content counts as announced: so the list is requested from the start.
     private static boolean isPushed(Setup setup) {
         return !setup.settings().discovery().onRequest();
     }
 
     /**
-     * A number for a new request: the module's ids stay below 2^52, while those that clients give use all 64
-     * bits and could meet.
+     * Returns an id for a new request. Client ids are not used: the module's ids stay below 2^52, while client ids use
+     * all 64 bits and could collide.
      */
-    public synchronized long nextId() {
-        return ++lastId;
+    public synchronized long nextRequestId() {
+        return ++lastRequestId;
     }
 
     /**
-     * Other settings from now on. What has been learnt stays, and requests under way keep their class and attempts.
-     * IllegalArgumentException, and no change, where they make no sense, or would change the zones.
+     * Replaces the settings. Learned state is kept, and requests in progress keep their class and attempts.
+     *
+     * @throws IllegalArgumentException if the settings are invalid or change the zones; nothing is changed then
      */
-    public synchronized void retune(Setup next) {
+    public synchronized void updateSettings(Setup next) {
         next.settings().check(setup.settings());
-        begin(0, 0);
-        // Classes and tenants go by their places in the settings: both sides go over, or each call would meet another.
+        beginCall(0, 0);
+        // The module knows classes and tenants by index, so both sides have to switch together.
         setup = next;
-        guarded(() -> module.retune(clock.getAsLong(), next.settings()));
+        runGuarded(() -> module.retune(clock.getAsLong(), next.settings()));
         asking.use(next.settings());
         if (isPushed(next)) {
-            watchAnew();
+            requestListNow();
         }
     }
 
-    /** The first decision for a new request; one whose class or tenant has just vanished is refused. */
-    public synchronized Decision pick(long id, Call call) {
-        Integer serviceClass = setup.classes().get(call.serviceClass());
-        Integer tenant = call.tenant() == null || setup.tenants().isEmpty() ? Integer.valueOf(-1)
-                : setup.tenants().get(call.tenant());
+    /** Returns the first decision for a new request; refuses one whose class or tenant was just removed. */
+    public synchronized Decision pick(long id, RequestInfo request) {
+        Integer serviceClass = setup.classes().get(request.serviceClass());
+        Integer tenant = request.tenant() == null || setup.tenants().isEmpty() ? Integer.valueOf(-1)
+                : setup.tenants().get(request.tenant());
         if (serviceClass == null || tenant == null) {
             return new Decision.Refuse(0);
         }
-        begin(id, 0);
+        beginCall(id, 0);
         long now = clock.getAsLong();
-        boolean sound = guarded(() -> {
-            module.request(now, new Request(id, serviceClass, tenant, call.key(), call.leftUs(), call.costHintUs(),
-                    call.clientRetry()));
-            if (call.upload() && decided instanceof Decision.Send) {
+        boolean succeeded = runGuarded(() -> {
+            module.request(now, new Request(id, serviceClass, tenant, request.key(), request.remainingUs(),
+                    request.costHintUs(), request.clientRetry()));
+            if (request.streamsBody() && currentDecision instanceof Decision.Send) {
                 module.body(now, id, BodyStage.COMING);
             }
         });
-        return sound ? decided : givenUp(now, id, false);
+        return succeeded ? currentDecision : abandon(now, id, false);
     }
 
-    /** What the module owes an answer for and can't decide: nothing more of it goes out. */
-    private Decision givenUp(long now, long id, boolean over) {
-        begin(0, 0);
-        guarded(() -> module.gone(now, id));
-        return over ? new Decision.Rest() : new Decision.Fail();
+    /** Ends a request that the module failed to decide: no further attempt is sent. */
+    private Decision abandon(long now, long id, boolean clientDone) {
+        beginCall(0, 0);
+        runGuarded(() -> module.gone(now, id));
+        return clientDone ? new Decision.NoAction() : new Decision.Fail();
     }
 
-    /** One call of the module's; false where it threw. */
-    private boolean guarded(Runnable call) {
+    /** Calls the module; returns false if it threw. */
+    private boolean runGuarded(Runnable action) {
         try {
-            call.run();
+            action.run();
             return true;
         } catch (RuntimeException e) {
             faults++;
             long now = clock.getAsLong();
-            if (now >= nextFaultAt) {
-                nextFaultAt = now + FAULT_GAP_US;
+            if (now >= nextFaultLogUs) {
+                nextFaultLogUs = now + FAULT_LOG_INTERVAL_US;
                 StringWriter trace = new StringWriter();
                 e.printStackTrace(new PrintWriter(trace, true));
-                lines.add(FAULT + trace.toString().strip());
+                logLines.add(FAULT_PREFIX + trace.toString().strip());
             }
             return false;
         }
     }
 
-    /** How often the module has thrown since the start. */
-    public synchronized long faults() {
+    /** Returns the number of exceptions that the module threw since the start. */
+    public synchronized long moduleFaults() {
         return faults;
     }
 
-    /** The request's attempt is held back no longer: what it waits for from now on is its upstream's doing. */
+    /** Records that an attempt is no longer queued in the sidecar: from now on it waits for its upstream. */
     public synchronized void attemptStarted(long id) {
-        begin(0, 0);
-        guarded(() -> module.attemptStarted(clock.getAsLong(), id));
+        beginCall(0, 0);
+        runGuarded(() -> module.attemptStarted(clock.getAsLong(), id));
     }
 
-    /** The last byte of a long request was written to its attempt: its time begins now. */
-    public synchronized void uploaded(long id) {
-        begin(0, 0);
-        guarded(() -> module.body(clock.getAsLong(), id, BodyStage.WHOLE));
+    /** Records that the last byte of a streamed request was sent; its processing time starts now. */
+    public synchronized void requestBodySent(long id) {
+        beginCall(0, 0);
+        runGuarded(() -> module.body(clock.getAsLong(), id, BodyStage.WHOLE));
     }
 
     /**
-     * How an attempt ended, and what is to be done now. {@code over}: the client has its answer, or has left.
-     * {@code load} may be null. Where some of the request was passed on that is not held, no other attempt follows.
+     * Records how an attempt ended and returns what to do next. If the body can't be replayed, no other attempt
+     * follows.
+     *
+     * @param tookUs     how long the attempt took, microseconds
+     * @param clientDone true if the client has its answer or has disconnected
+     * @param load       the load that the host reported, or null
      */
-    public synchronized Decision report(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean over,
-                                        HostLoad load, Upload body) {
-        begin(id, attempt + 1);
+    public synchronized Decision reportAttempt(long id, int attempt, String host, AttemptEnd end, long tookUs,
+                                               boolean clientDone, HostLoad load, RequestBodyState bodyState) {
+        beginCall(id, attempt + 1);
         long now = clock.getAsLong();
-        boolean answered = over || end == AttemptEnd.SERVED;
-        boolean sound = guarded(() -> {
-            if (body == Upload.PASSED_ON) {
+        boolean answered = clientDone || end == AttemptEnd.SERVED;
+        boolean succeeded = runGuarded(() -> {
+            if (bodyState == RequestBodyState.STREAMING_UNREPLAYABLE) {
                 module.body(now, id, BodyStage.PASSED_ON);
             }
             module.outcome(now, id, attempt, host, end.outcome, tookUs, answered,
                     load == null ? null : new LoadReport(load.queue(), load.inFlight()));
-            if (body == Upload.COMING && decided instanceof Decision.Send) {
+            if (bodyState == RequestBodyState.STREAMING_REPLAYABLE && currentDecision instanceof Decision.Send) {
                 module.body(now, id, BodyStage.COMING);
             }
         });
-        return sound ? decided : givenUp(now, id, answered);
+        return succeeded ? currentDecision : abandon(now, id, answered);
     }
 
-    /** The same for a request that was held whole. */
-    public Decision report(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean over,
-                           HostLoad load) {
-        return report(id, attempt, host, end, tookUs, over, load, Upload.NONE);
+    /** Does the same for a request whose body is completely buffered. */
+    public Decision reportAttempt(long id, int attempt, String host, AttemptEnd end, long tookUs, boolean clientDone,
+                                  HostLoad load) {
+        return reportAttempt(id, attempt, host, end, tookUs, clientDone, load, RequestBodyState.BUFFERED);
     }
 
-    /** The client has left; an attempt that is still out is reported when it has ended. */
+    /** Records that the client disconnected; a pending attempt is still reported when it ends. */
     public synchronized void clientGone(long id) {
-        begin(0, 0);
-        guarded(() -> module.gone(clock.getAsLong(), id));
+        beginCall(0, 0);
+        runGuarded(() -> module.gone(clock.getAsLong(), id));
     }
 
-    /** How many listed hosts get no ordinary traffic at present; 0 where the module can't say. */
-    public synchronized int passedOver() {
+    /** Returns how many listed hosts get no regular traffic now; 0 if the module throws. */
+    public synchronized int hostsOutOfRotation() {
         int[] count = new int[1];
-        guarded(() -> count[0] = module.passedOver());
+        runGuarded(() -> count[0] = module.passedOver());
         return count[0];
     }
 
-    /** IllegalArgumentException, and no change, where a line names a zone that the settings do not. */
-    public synchronized void news(ListNews news) {
-        List<FleetEntry> entries = new ArrayList<>(news.lines().size());
-        for (ListNews.Line line : news.lines()) {
-            HostState state = switch (line.state()) {
+    /**
+     * Passes an update of the server list to the module.
+     *
+     * @throws IllegalArgumentException if an entry has an unknown zone; nothing is changed then
+     * @throws IllegalStateException if the module threw
+     */
+    public synchronized void applyListUpdate(ListUpdate update) {
+        List<FleetEntry> fleetEntries = new ArrayList<>(update.entries().size());
+        for (ListUpdate.ServerEntry entry : update.entries()) {
+            HostState state = switch (entry.state()) {
                 case SERVING -> HostState.READY;
                 case DRAINING -> HostState.DRAINING;
                 case DELETED -> HostState.REMOVED;
             };
-            int zone = setup.settings().zones().indexOf(line.zone());
+            int zone = setup.settings().zones().indexOf(entry.zone());
             if (zone < 0 && state != HostState.REMOVED) {
-                throw new IllegalArgumentException("unknown zone " + line.zone());
+                throw new IllegalArgumentException("unknown zone " + entry.zone());
             }
-            entries.add(new FleetEntry(line.uid(), zone, line.cell(), state, line.weight(),
-                    line.bootMs() * 1000));
+            fleetEntries.add(new FleetEntry(entry.uid(), zone, entry.cell(), state, entry.weight(),
+                    entry.bootMs() * 1000));
         }
-        ListKind kind = switch (news.kind()) {
-            case CHANGES -> ListKind.DELTA;
-            case WHOLE -> ListKind.FULL;
+        ListKind kind = switch (update.kind()) {
+            case DELTA -> ListKind.DELTA;
+            case FULL -> ListKind.FULL;
             case RESTORED -> ListKind.RESTORED;
             case FAILED -> ListKind.FAILED;
         };
         if (kind == ListKind.FAILED) {
-            watchWanted = false;
+            listWanted = false;
         }
-        begin(0, 0);
-        if (kind != ListKind.FAILED && !guarded(() -> module.fleet(clock.getAsLong(), kind, entries))) {
+        beginCall(0, 0);
+        if (kind != ListKind.FAILED && !runGuarded(() -> module.fleet(clock.getAsLong(), kind, fleetEntries))) {
             throw new IllegalStateException("the list could not be taken over");
         }
         asking.heard(kind);
     }
 
-    /** Gives the module its timers that are due; returns the attempts that are to be cut now. */
-    public List<Cut> tick() {
-        List<Cut> now = new ArrayList<>();
-        tick(now);
-        // Outside the lock: where the log's reader is stuck, the decisions must not wait for it.
-        for (String line = lines.poll(); line != null; line = lines.poll()) {
+    /** Delivers the timers that are due and writes pending log lines; returns the attempts to abandon now. */
+    public List<AttemptCancellation> tick() {
+        List<AttemptCancellation> cancelNow = new ArrayList<>();
+        tick(cancelNow);
+        // Without the lock, so that a blocked log reader does not block decisions.
+        for (String line = logLines.poll(); line != null; line = logLines.poll()) {
             log.accept(line);
         }
-        return now;
+        return cancelNow;
     }
 
-    private synchronized void tick(List<Cut> cutNow) {
+    private synchronized void tick(List<AttemptCancellation> cancelNow) {
         long now = clock.getAsLong();
         while (!timers.isEmpty() && timers.peek().atUs() <= now) {
-            begin(0, 0);
+            beginCall(0, 0);
             long token = timers.poll().token();
-            if (!asking.timer(token) && !guarded(() -> module.timer(now, token))) {
-                timers.add(new Timer(now + TIMER_AGAIN_US, timersSet++, token));
+            if (!asking.timer(token) && !runGuarded(() -> module.timer(now, token))) {
+                timers.add(new Timer(now + TIMER_RETRY_US, timersCreated++, token));
             }
         }
-        cutNow.addAll(cuts);
-        cuts.clear();
+        cancelNow.addAll(cancellations);
+        cancellations.clear();
     }
 
     /**
-     * Waits until the module wants the list watched, but no longer than {@code atMostUs}; then it is taken to want
-     * it. It goes on wanting that until a watch has failed.
+     * Waits until the module wants the server list, but no longer than {@code atMostUs}. From then on the list counts
+     * as wanted until a call to discovery has failed.
      */
-    public synchronized void awaitWatch(long atMostUs) throws InterruptedException {
+    public synchronized void awaitListWanted(long atMostUs) throws InterruptedException {
         long begunUs = clock.getAsLong();
-        while (!watchWanted) {
+        while (!listWanted) {
             long leftUs = atMostUs - (clock.getAsLong() - begunUs);
             if (leftUs <= 0) {
-                watchWanted = true;     // the call that now follows may bring a list, and no timer would say so then
+                listWanted = true;     // the next call may succeed, and then no timer sets this
                 return;
             }
-            wait(Math.max(1, Math.min(leftUs / 1_000, LONGEST_WAIT_MS)));
+            wait(Math.max(1, Math.min(leftUs / 1_000, MAX_WAIT_MS)));
         }
     }
 
-    /** The list is to be had elsewhere from now on: asked there at once, whatever pause was under way. */
-    public synchronized void watchAnew() {
-        watchWanted = true;
+    /** Ends the wait in {@link #awaitListWanted}: discovery has another address, which has to be asked at once. */
+    public synchronized void requestListNow() {
+        listWanted = true;
         notifyAll();
     }
 
-    private void begin(long id, int attempts) {
-        inHand = id;
-        sends = attempts;
-        decided = new Decision.Rest();
+    private void beginCall(long id, int attempt) {
+        currentRequestId = id;
+        nextAttempt = attempt;
+        currentDecision = new Decision.NoAction();
     }
 
-    /** The module's actions, kept until the call in hand returns them. */
-    private final class Taken implements BalancerApi.Actions {
+    /** Takes the actions of the module and keeps the decision for the current call. */
+    private final class ModuleActions implements BalancerApi.Actions {
         private void decide(long id, Decision decision) {
-            if (id != inHand || !(decided instanceof Decision.Rest)) {
-                throw new IllegalStateException("the module decided out of turn: " + decision);
+            if (id != currentRequestId || !(currentDecision instanceof Decision.NoAction)) {
+                throw new IllegalStateException(
+                        "the module decided twice, or for a request that is not the current one: " + decision);
             }
-            decided = decision;
+            currentDecision = decision;
         }
 
         @Override
         public void send(long id, String host, long timeoutUs, long beginBy) {
-            decide(id, new Decision.Send(sends, host, timeoutUs, beginBy));
+            decide(id, new Decision.Send(nextAttempt, host, timeoutUs, beginBy));
         }
 
         @Override
@@ -327,30 +344,30 @@
 
         @Override
         public void timer(long afterUs, long token) {
-            timers.add(new Timer(clock.getAsLong() + afterUs, timersSet++, token));
+            timers.add(new Timer(clock.getAsLong() + afterUs, timersCreated++, token));
         }
 
         @Override
         public void watchFleet(boolean on) {
-            watchWanted = on;
+            listWanted = on;
             Facade.this.notifyAll();
         }
 
         @Override
         public void log(String line) {
             long now = clock.getAsLong();
-            if (now >= nextLineAt) {
-                nextLineAt = now + LINE_GAP_US;
-                lines.add(line);
+            if (now >= nextModuleLogUs) {
+                nextModuleLogUs = now + MODULE_LOG_INTERVAL_US;
+                logLines.add(line);
             }
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            cuts.add(new Cut(id, attempt));
+            cancellations.add(new AttemptCancellation(id, attempt));
         }
 
-        // The module asks for none of these. Should it begin to, the network has to learn them first.
+        // The module never requests these. The network code has to implement them first.
 
         @Override
         public void fetchFleet() {
--- a/sidecar/src/main/java/dapplequay/cli/Config.java
+++ b/sidecar/src/main/java/dapplequay/cli/Config.java
@@ -1,11 +1,11 @@
 package dapplequay.cli;
 
 import dapplequay.net.Sidecar;
-import dapplequay.settings.Completeness;
 import dapplequay.settings.Json;
-import dapplequay.settings.Ranges;
+import dapplequay.settings.MissingKeys;
 import dapplequay.settings.SettingsException;
 import dapplequay.settings.SettingsReader;
+import dapplequay.settings.SettingsValidator;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -38,7 +38,7 @@
     static Sidecar.Plan reread(String source, Map<?, ?> fields, Map<?, ?> previous, Map<String, String> environment) {
         Map<Object, Object> required = new LinkedHashMap<>(previous);
         required.remove("known");
-        String missing = Completeness.missing(required, fields);
+        String missing = MissingKeys.firstMissing(required, fields);
         if (missing != null) {
             throw new SettingsException(source + ": " + missing + " is missing");
         }
@@ -55,7 +55,7 @@
                 limit(source, fields, "sockets", DEFAULT_SOCKETS),
                 limit(source, fields, "memory_mb", DEFAULT_MEMORY_MB),
                 fields.get("known"),
-                Ranges.checked(SettingsReader.of(fields.get("settings"), source), source),
+                SettingsValidator.validated(SettingsReader.of(fields.get("settings"), source), source),
                 inheritsListener(environment.get("EDGE_SOCKET_FD")));
     }
 
--- a/sidecar/src/main/java/dapplequay/cli/PersistedState.java
+++ b/sidecar/src/main/java/dapplequay/cli/PersistedState.java
@@ -2,7 +2,7 @@
 
 import dapplequay.http.Sockets;
 import dapplequay.net.Sidecar;
-import dapplequay.recovery.Beginning;
+import dapplequay.recovery.InitialList;
 import dapplequay.settings.Json;
 import dapplequay.snapshot.StateFolder;
 import dapplequay.state.Snapshot;
@@ -40,15 +40,16 @@
         Snapshot snapshot = folder.read();
         Object list = snapshot == null ? null : parseList(snapshot);
         long now = clock.getAsLong();
-        Beginning.Known keptList = list == null ? null : new Beginning.Known(revision(list), snapshot.takenUs());
-        Beginning beginning = Beginning.choose(revision(plan.known()), keptList, now, Sidecar.versionCountsUs());
-        Sidecar.Memory memory = new Sidecar.Memory(beginning.binds(), folder::scheduleWrite);
-        if (beginning.from() != Beginning.From.KEPT) {
+        InitialList.KeptList keptList = list == null ? null
+                : new InitialList.KeptList(revision(list), snapshot.takenUs());
+        InitialList beginning = InitialList.choose(revision(plan.known()), keptList, now, Sidecar.versionCountsUs());
+        Sidecar.Memory memory = new Sidecar.Memory(beginning.enforcesVersion(), folder::scheduleWrite);
+        if (beginning.source() != InitialList.Source.KEPT) {
             return new Sidecar(plan, memory);
         }
         LOG.log(Level.INFO, "begins with the list kept {0} s ago, version {1}{2}", new Object[] {
             (now - snapshot.takenUs()) / 1_000_000, revision(list).toString(),
-            beginning.binds() ? "" : "; discovery may be older"});
+            beginning.enforcesVersion() ? "" : "; discovery may be older"});
         try {
             return new Sidecar(plan.beginningWith(list), memory);
         } catch (IOException | RuntimeException e) {
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -1,12 +1,12 @@
 package dapplequay.net;
 
-import dapplequay.facade.Call;
+import dapplequay.facade.RequestInfo;
 import dapplequay.http.BadMessageException;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
-import dapplequay.time.DeadlineQueue;
 import dapplequay.management.RequestCounts.End;
+import dapplequay.time.DeadlineQueue;
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InterruptedIOException;
@@ -326,7 +326,7 @@
             answer(Answers.refusal(0));
             return;
         }
-        Call call = request.call(request.budgetUs() - (side.deadlines().now() - receivedUs));
+        RequestInfo call = request.call(request.budgetUs() - (side.deadlines().now() - receivedUs));
         presence.away(exchange, rest == null, () -> side.conductor().begin(exchange, call));
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Conductor.java
+++ b/sidecar/src/main/java/dapplequay/net/Conductor.java
@@ -1,11 +1,11 @@
 package dapplequay.net;
 
-import dapplequay.facade.Call;
+import dapplequay.facade.AttemptEnd;
 import dapplequay.facade.Decision;
 import dapplequay.facade.Facade;
 import dapplequay.facade.HostLoad;
-import dapplequay.facade.AttemptEnd;
-import dapplequay.facade.Upload;
+import dapplequay.facade.RequestBodyState;
+import dapplequay.facade.RequestInfo;
 import dapplequay.http.Body;
 import dapplequay.http.Head;
 import dapplequay.management.RequestCounts.End;
@@ -29,7 +29,7 @@
         this.upstreams = upstreams;
     }
 
-    void begin(Exchange exchange, Call call) {
+    void begin(Exchange exchange, RequestInfo call) {
         guarded(exchange, () -> carryOut(exchange, facade.pick(exchange.id, call)));
     }
 
@@ -40,7 +40,7 @@
             upstreams.send(attempt);
         } else if (decision instanceof Decision.Refuse refuse && exchange.claim()) {
             LOG.fine(() -> "refused " + exchange.id);
-            finish(exchange, End.THROTTLED, Answers.refusal(refuse.pauseUs()));
+            finish(exchange, End.THROTTLED, Answers.refusal(refuse.retryAfterUs()));
         } else if (decision instanceof Decision.Fail && exchange.claim()) {
             LOG.fine(() -> "failed " + exchange.id);
             finish(exchange, End.FAULTED, Answers.failure(exchange.failureStatus()));
@@ -62,7 +62,7 @@
     void attemptEnded(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
         Exchange exchange = attempt.exchange;
         out.remove(exchange.id, attempt);
-        Upload upload = exchange.attemptOver(attempt);
+        RequestBodyState upload = exchange.attemptOver(attempt);
         if (LOG.isLoggable(Level.FINE)) {       // once an attempt: nothing is put together for nobody
             LOG.fine("attempt " + attempt.order.host() + ' ' + end + ' ' + (upstreams.now() - attempt.startUs()) + ' '
                     + attempt.idleUs() + ' ' + exchange.id);
@@ -71,7 +71,7 @@
             // What the request itself is at fault for, another host would find too.
             boolean serves = (end == AttemptEnd.SERVED || end == AttemptEnd.NOT_ACCEPTED) && exchange.claim();
             exchange.lastAttemptTimedOut(end == AttemptEnd.TIMED_OUT);
-            Decision next = facade.report(exchange.id, attempt.order.attempt(), attempt.order.host(), end,
+            Decision next = facade.reportAttempt(exchange.id, attempt.order.attempt(), attempt.order.host(), end,
                     attempt.tookUs(end, upstreams.now()), exchange.isOver(), load, upload);
             if (serves) {
                 if (end == AttemptEnd.SERVED) {
@@ -92,9 +92,9 @@
     boolean relay(Attempt attempt, HostLoad load, Head head, Body body, byte[] start) {
         Exchange exchange = attempt.exchange;
         out.remove(exchange.id, attempt);
-        Upload upload = exchange.attemptOver(attempt);
+        RequestBodyState upload = exchange.attemptOver(attempt);
         boolean goesOn = exchange.claim();
-        facade.report(exchange.id, attempt.order.attempt(), attempt.order.host(), AttemptEnd.SERVED,
+        facade.reportAttempt(exchange.id, attempt.order.attempt(), attempt.order.host(), AttemptEnd.SERVED,
                 attempt.tookUs(AttemptEnd.SERVED, upstreams.now()), true, load, upload);
         if (!goesOn) {
             return false;
@@ -117,7 +117,7 @@
         }
         attempt.exchange.taken();
         attempt.exchange.dueBy(attempt.untilUs());
-        facade.uploaded(attempt.exchange.id);
+        facade.requestBodySent(attempt.exchange.id);
         return true;
     }
 
@@ -135,8 +135,8 @@
     }
 
     /** Ends the wait for these attempts; each is reported by its connection's own thread. */
-    void cut(List<Facade.Cut> cuts) {
-        for (Facade.Cut cut : cuts) {
+    void cut(List<Facade.AttemptCancellation> cuts) {
+        for (Facade.AttemptCancellation cut : cuts) {
             Attempt attempt = out.get(cut.id());
             if (attempt != null && attempt.order.attempt() == cut.attempt()) {
                 attempt.cut(AttemptEnd.SILENT);
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -1,12 +1,12 @@
 package dapplequay.net;
 
-import dapplequay.discovery.ListAnswer;
+import dapplequay.discovery.ListResponse;
 import dapplequay.discovery.ServerRegistry;
-import dapplequay.discovery.ServerRegistry.Outcome;
+import dapplequay.discovery.ServerRegistry.Result;
 import dapplequay.discovery.ServerStatus;
 import dapplequay.discovery.Transition;
 import dapplequay.facade.Facade;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.http.Sockets;
 import dapplequay.management.DiscoveryMetrics;
 import dapplequay.membership.ListClock;
@@ -45,11 +45,11 @@
     static final long WHOLE_LISTS_APART_US = 1_000_000;
     /** For so long, us, after it was heard a version counts: a quiet watch, and as long as an older one is refused. */
     static final long VERSION_COUNTS_US = ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US
-            + ServerRegistry.REGRESSION_US;
+            + ServerRegistry.REGRESSION_TIMEOUT_US;
     private static final long NEVER = Long.MIN_VALUE;
 
     /** A call under way; {@code closeAtUs}: when it is not read any longer, once it is superseded. */
-    private record Call(ListAnswer.Call id, DiscoveryConnection connection, long closeAtUs) {
+    private record Call(ListResponse.Request id, DiscoveryConnection connection, long closeAtUs) {
         Call superseded(long nowUs) {
             return new Call(id, connection, nowUs + SUPERSEDED_US);
         }
@@ -116,7 +116,7 @@
             pauseUs = clock.longestPauseUs(begunUs);
             answers = supersededAnswers;
         }
-        facade.awaitWatch(pauseUs);
+        facade.awaitListWanted(pauseUs);
         if (pauseUs != Long.MAX_VALUE) {
             rest(begunUs + pauseUs, () -> clock.keepsPause() && supersededAnswers == answers);
         }
@@ -171,7 +171,7 @@
             table.moved();
             clock.moved();
         }
-        facade.watchAnew();
+        facade.requestListNow();
     }
 
     /** The call under way is not waited for any longer, and still read. */
@@ -203,8 +203,8 @@
         }
         hasMoved = false;
         long nowUs = now.getAsLong();
-        ListAnswer.Call id = table.nextCall(nowUs);
-        boolean asksForAll = id.after() == ListAnswer.WHOLE_LIST;
+        ListResponse.Request id = table.nextCall(nowUs);
+        boolean asksForAll = id.after() == ListResponse.FULL_LIST;
         long waitUs = clock.begin(nowUs, asksForAll);
         if (connection == null) {
             connection = new DiscoveryConnection(discovery, this, now);
@@ -279,10 +279,10 @@
 
     /** An answer that came late of where discovery still is: nothing was missed. */
     private void endOfSuperseded(Call call) {
-        if (call.id().generation() == table.nextCall(0).generation()) {
+        if (call.id().addressGeneration() == table.nextCall(0).addressGeneration()) {
             heard();
             supersededAnswers++;
-            facade.watchAnew();
+            facade.requestListNow();
         }
     }
 
@@ -329,9 +329,9 @@
         } else if (clock.silent()) {
             return;             // what it may have missed counts soon: the next one is not put off
         }
-        facade.news(ListNews.failed());
+        facade.applyListUpdate(ListUpdate.failed());
         if (hasMoved) {
-            facade.watchAnew();         // the address came just before the module was told of the old one's failure
+            facade.requestListNow();    // the address came just before the module was told of the old one's failure
         }
     }
 
@@ -345,15 +345,15 @@
                     new Object[] {Long.toString(update.revision()), Long.toString(known)});
         }
         tellOfDoubt(applied.outcome());
-        boolean isNews = isCurrent || !applied.outcome().news().lines().isEmpty();
+        boolean isNews = isCurrent || !applied.outcome().update().entries().isEmpty();
         take(applied, isNews);
         String source = "version " + update.revision() + " of " + Sockets.hostAndPort(call.connection().address())
                 + (isCurrent ? "" : ", on a superseded call") + ", asked for "
-                + (receivedUs - call.id().begunUs()) / 1_000 + " ms before";
+                + (receivedUs - call.id().startedUs()) / 1_000 + " ms before";
         tell(applied.outcome(), source);
     }
 
-    private static void tellOfDoubt(Outcome outcome) {
+    private static void tellOfDoubt(Result outcome) {
         long unconfirmed = outcome.count(Transition.Cause.LEFT_OUT, ServerStatus.UNCONFIRMED);
         if (unconfirmed > 0) {
             LOG.log(Level.WARNING, "a list without {0} servers that served is asked for again before it counts",
@@ -368,7 +368,7 @@
     private void take(Endpoints.Applied applied, boolean isNews) {
         try {
             if (isNews) {
-                facade.news(applied.outcome().news());
+                facade.applyListUpdate(applied.outcome().update());
             }
         } catch (RuntimeException e) {
             table.wantWholeList();
@@ -376,10 +376,10 @@
         } finally {
             upstreams.closeIdle(applied.closed());
         }
-        memory.keep().accept(() -> Json.text(table.tree()));
+        memory.keep().accept(() -> Json.serialize(table.tree()));
     }
 
-    private void tell(Outcome outcome, String source) {
+    private void tell(Result outcome, String source) {
         TransitionLog.count(outcome, figures);
         if (!outcome.transitions().isEmpty()) {
             LOG.info(() -> TransitionLog.text(outcome, source));
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -1,11 +1,11 @@
 package dapplequay.net;
 
-import dapplequay.discovery.ListAnswer;
+import dapplequay.discovery.ListResponse;
 import dapplequay.discovery.ServerRegistry;
 import dapplequay.discovery.ServerStatus;
-import dapplequay.facade.ListNews;
-import dapplequay.facade.ListNews.Line;
-import dapplequay.facade.ListNews.State;
+import dapplequay.facade.ListUpdate;
+import dapplequay.facade.ListUpdate.ServerEntry;
+import dapplequay.facade.ListUpdate.State;
 import dapplequay.http.Sockets;
 import dapplequay.settings.Json;
 import java.io.IOException;
@@ -34,10 +34,10 @@
     record Endpoint(String uid, InetSocketAddress address, long bootMs) { }
 
     /** One text of discovery's, read and checked as a whole before any of it counts. */
-    record Update(long revision, ListNews news, Map<String, InetSocketAddress> addresses) { }
+    record Update(long revision, ListUpdate news, Map<String, InetSocketAddress> addresses) { }
 
     /** What came of an answer, and the endpoints that take no new work any more. */
-    record Applied(ServerRegistry.Outcome outcome, Set<Endpoint> closed) { }
+    record Applied(ServerRegistry.Result outcome, Set<Endpoint> closed) { }
 
     /** One that begins with no list; the first that comes is trusted whatever its version. */
     Endpoints() {
@@ -58,7 +58,7 @@
         try {
             Map<?, ?> map = (Map<?, ?>) tree;
             boolean whole = (Boolean) map.get("all");
-            List<Line> lines = new ArrayList<>();
+            List<ServerEntry> lines = new ArrayList<>();
             Map<String, InetSocketAddress> addresses = new HashMap<>();
             Set<String> uids = new HashSet<>();
             for (Object target : (List<?>) map.get("targets")) {
@@ -74,11 +74,11 @@
                 if (state != State.DELETED) {
                     addresses.put(uid, address((String) entry.get("endpoint")));
                 }
-                lines.add(new Line(uid, (String) entry.get("az"), (int) number(entry, "pod_group", 0),
+                lines.add(new ServerEntry(uid, (String) entry.get("az"), (int) number(entry, "pod_group", 0),
                         state, number(entry, "capacity_hint", 1), (long) number(entry, "boot_ms", 0)));
             }
-            ListNews.Kind kind = whole ? ListNews.Kind.WHOLE : ListNews.Kind.CHANGES;
-            return new Update(revision(map.get("rev")), new ListNews(kind, lines), addresses);
+            ListUpdate.Kind kind = whole ? ListUpdate.Kind.FULL : ListUpdate.Kind.DELTA;
+            return new Update(revision(map.get("rev")), new ListUpdate(kind, lines), addresses);
         } catch (ClassCastException | NullPointerException | IllegalArgumentException e) {
             throw new IOException("not a list of servers: " + e.getMessage(), e);
         }
@@ -118,21 +118,21 @@
         Set<Endpoint> before = serving();
         endpoints.clear();
         learn(update);
-        registry.restore(update.revision(), update.news().lines());
+        registry.restore(update.revision(), update.news().entries());
         before.removeAll(serving());
         return before;
     }
 
     /** Takes in an answer to that call; {@code graceLeftUs}: of the drain's grace for what it brings. */
-    synchronized Applied apply(Update update, ListAnswer.Call call, long receivedUs, long graceLeftUs) {
+    synchronized Applied apply(Update update, ListResponse.Request call, long receivedUs, long graceLeftUs) {
         Set<Endpoint> before = serving();
-        ListAnswer answer = new ListAnswer(update.revision(), update.news(), call, receivedUs);
-        ServerRegistry.Outcome outcome = registry.answered(answer, graceLeftUs);
+        ListResponse answer = new ListResponse(update.revision(), update.news(), call, receivedUs);
+        ServerRegistry.Result outcome = registry.applyResponse(answer, graceLeftUs);
         Set<String> takenOver = new HashSet<>();
-        outcome.news().lines().forEach(line -> takenOver.add(line.uid()));
+        outcome.update().entries().forEach(line -> takenOver.add(line.uid()));
         Map<String, InetSocketAddress> addresses = new HashMap<>(update.addresses());
         addresses.keySet().retainAll(takenOver);
-        learn(new Update(update.revision(), outcome.news(), addresses));
+        learn(new Update(update.revision(), outcome.update(), addresses));
         return applied(outcome, before);
     }
 
@@ -145,7 +145,7 @@
         return applied(registry.expire(nowUs), before);
     }
 
-    private Applied applied(ServerRegistry.Outcome outcome, Set<Endpoint> before) {
+    private Applied applied(ServerRegistry.Result outcome, Set<Endpoint> before) {
         endpoints.keySet().removeIf(uid -> registry.statusOf(uid) == ServerStatus.REMOVED);
         before.removeAll(serving());
         return new Applied(outcome, before);
@@ -153,7 +153,7 @@
 
     /** Of lines that were taken over, the addresses; where a line names none, or drains, the one known stays. */
     private void learn(Update update) {
-        for (Line line : update.news().lines()) {
+        for (ServerEntry line : update.news().entries()) {
             Endpoint known = endpoints.get(line.uid());
             InetSocketAddress address = update.addresses().getOrDefault(line.uid(),
                     known == null ? null : known.address());
@@ -176,26 +176,26 @@
 
     /** Discovery is at another address from now on. */
     synchronized void moved() {
-        registry.moved();
+        registry.discoveryMoved();
     }
 
     /** The call to make next. */
-    synchronized ListAnswer.Call nextCall(long nowUs) {
-        return registry.nextCall(nowUs);
+    synchronized ListResponse.Request nextCall(long nowUs) {
+        return registry.nextRequest(nowUs);
     }
 
     synchronized boolean wantsWholeList() {
-        return registry.wantsWholeList();
+        return registry.needsFullList();
     }
 
-    /** See {@link ServerRegistry#pauseBeforeAskingAgainUs}. */
+    /** See {@link ServerRegistry#refetchDelayUs}. */
     synchronized long pauseBeforeAskingAgainUs(long nowUs) {
-        return registry.pauseBeforeAskingAgainUs(nowUs);
+        return registry.refetchDelayUs(nowUs);
     }
 
     /** The decision module could not take over what this table has: both need all of it. */
     synchronized void wantWholeList() {
-        registry.wantWholeList();
+        registry.requestFullList();
     }
 
     synchronized boolean isRegressed() {
@@ -205,7 +205,7 @@
     /** The list in discovery's form, so that a later life can begin with it. */
     synchronized Map<String, Object> tree() {
         List<Object> targets = new ArrayList<>();
-        for (Line line : registry.lines()) {
+        for (ServerEntry line : registry.listedEntries()) {
             Map<String, Object> target = new LinkedHashMap<>();
             target.put("uid", line.uid());
             target.put("endpoint", Sockets.hostAndPort(endpoints.get(line.uid()).address()));
@@ -239,7 +239,7 @@
         if (!registry.maySend(uid, nowUs)) {
             return null;
         }
-        registry.sent(uid, nowUs);
+        registry.recordSend(uid, nowUs);
         return endpoints.get(uid);
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -1,9 +1,9 @@
 package dapplequay.net;
 
 import dapplequay.facade.Facade;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.http.Sockets;
-import dapplequay.lifecycle.Ending;
+import dapplequay.lifecycle.ShutdownSchedule;
 import dapplequay.management.DiscoveryMetrics;
 import dapplequay.management.ManagementServer;
 import dapplequay.management.MetricsText;
@@ -166,18 +166,18 @@
     }
 
     private static void tell(String line) {
-        LOG.log(line.startsWith(Facade.FAULT) ? Level.SEVERE : Level.INFO, "{0}", line);
+        LOG.log(line.startsWith(Facade.FAULT_PREFIX) ? Level.SEVERE : Level.INFO, "{0}", line);
     }
 
     private static Endpoints restored(Plan plan, Facade facade, boolean binds) throws IOException {
         Endpoints table = new Endpoints(!binds);
-        List<ListNews.Line> lines = List.of();
+        List<ListUpdate.ServerEntry> lines = List.of();
         if (plan.known() != null) {
             Endpoints.Update known = Endpoints.read(plan.known());
             table.restore(known);
-            lines = known.news().lines();
+            lines = known.news().entries();
         }
-        facade.news(new ListNews(ListNews.Kind.RESTORED, lines));
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, lines));
         return table;
     }
 
@@ -232,7 +232,7 @@
         public String metrics() {
             return MetricsText.render(counts.read(),
                     new MetricsText.ProcessValues(table.size(), passedOver, cfgAccepted.get(), cfgInvalid.get(),
-                            facade.faults())) + figures.text();
+                            facade.moduleFaults())) + figures.text();
         }
 
         @Override
@@ -265,7 +265,7 @@
      * and takes a restart.
      */
     public List<String> retune(Plan next) {
-        facade.retune(next.setup());            // before the clients' side: no class is let in that is not known
+        facade.updateSettings(next.setup());    // before the clients' side: no class is let in that is not known
         counts.addClasses(next.setup().classes().keySet());
         setup = next.setup();
         discovery.moveTo(next.discovery());
@@ -297,7 +297,7 @@
                 discovery.turn(deadlines.now());
                 threads.turn();
                 if (management != null && turn % PASSED_OVER_TURNS == 0) {
-                    passedOver = facade.passedOver();
+                    passedOver = facade.hostsOutOfRotation();
                 }
                 ClientSide side = clients;
                 if (side != null) {
@@ -339,11 +339,11 @@
 
     /** By then, us after the order, an ending has to be over whatever stands still. */
     public long endsWithinUs() {
-        return ending().latestUs();
+        return ending().exitByUs();
     }
 
-    private Ending ending() {
-        return Ending.of(setup.shortestAimUs(), setup.longestDeadlineUs());
+    private ShutdownSchedule ending() {
+        return ShutdownSchedule.of(setup.shortestAimUs(), setup.longestDeadlineUs());
     }
 
     /** Ends in order, and returns when nothing is held any more. Called again, it goes on by the first call's times. */
@@ -351,7 +351,7 @@
         end(ending());
     }
 
-    void end(Ending ordered) throws InterruptedException {
+    void end(ShutdownSchedule ordered) throws InterruptedException {
         long now = deadlines.now();
         ClientSide side;
         synchronized (opening) {
@@ -361,11 +361,12 @@
         }
         if (side != null) {
             boolean handsOver = side.handsOver();
-            Ending ending = handsOver ? ordered.handingOver() : ordered;
+            ShutdownSchedule ending = handsOver ? ordered.forHandover() : ordered;
             LOG.info(handsOver ? "ending: a successor takes the clients"
                     : "ending: who has a connection is still served");
-            lifetime.end(ending.serveUs());
-            side.awaitEmpty(now + ending.lateUs(), now + ending.heldUs(), now + ending.closedUs());
+            lifetime.end(ending.keepAliveUntilUs());
+            side.awaitEmpty(now + ending.acceptUntilUs(), now + ending.answerUntilUs(),
+                    now + ending.closeConnectionsAtUs());
         }
         // A process whose threads stay in their reads is gone only a third of a second later.
         discovery.end();
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -1,10 +1,10 @@
 package dapplequay.net;
 
 import dapplequay.BalancerApi.Semantics;
+import dapplequay.facade.AttemptEnd;
 import dapplequay.facade.Decision;
 import dapplequay.facade.Facade;
-import dapplequay.facade.AttemptEnd;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.http.Head;
 import dapplequay.http.MessageReader;
 import dapplequay.settings.SettingsReader.Setup;
@@ -50,12 +50,12 @@
         int rounds = 0;
         long until = deadlines.now() + LONGEST_US;
         try {
-            List<ListNews.Line> lines = new ArrayList<>();
+            List<ListUpdate.ServerEntry> lines = new ArrayList<>();
             for (int i = 0; i < HOSTS; i++) {
                 String zone = setup.settings().zones().get(i % setup.settings().zones().size());
-                lines.add(new ListNews.Line("w" + i, zone, i % 2, ListNews.State.SERVING, 1, 0));
+                lines.add(new ListUpdate.ServerEntry("w" + i, zone, i % 2, ListUpdate.State.SERVING, 1, 0));
             }
-            facade.news(new ListNews(ListNews.Kind.RESTORED, lines));
+            facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, lines));
             while (rounds < ROUNDS && deadlines.now() < until) {
                 round(rounds++);
             }
@@ -70,7 +70,7 @@
         in.awaitData();
         Head head = in.readRequestHead();
         ClientRequest request = ClientRequest.check(head, in.readRequestBody(head), null, setup);
-        long id = facade.nextId();
+        long id = facade.nextRequestId();
         Decision decision = facade.pick(id, request.call(request.budgetUs()));
         if (decision instanceof Decision.Send send) {
             DeadlineQueue.Deadline deadline = deadlines.schedule(send.timeoutUs(), () -> { });
@@ -78,7 +78,7 @@
             MessageReader back = reader(ANSWER);
             Head answer = back.readResponseHead();
             byte[] body = back.readResponseBody(answer);
-            facade.report(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
+            facade.reportAttempt(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
                     LoadText.read(answer));
             Answers.served(answer, body).bytes("");
             deadlines.cancel(deadline);
--- a/sidecar/src/main/java/dapplequay/snapshot/SnapshotFile.java
+++ b/sidecar/src/main/java/dapplequay/snapshot/SnapshotFile.java
@@ -40,11 +40,11 @@
     /** Returns the last snapshot written, or null if there is none that can be used. */
     public Snapshot read() {
         try {
-            byte[] bytes = files.read(file, Snapshot.MOST_BYTES + MAX_HEADER_BYTES);
+            byte[] bytes = files.read(file, Snapshot.MAX_LIST_BYTES + MAX_HEADER_BYTES);
             if (bytes == null) {
                 return null;
             }
-            Snapshot.Read read = Snapshot.decode(bytes);
+            Snapshot.DecodeResult read = Snapshot.decode(bytes);
             if (read.snapshot() != null) {
                 return read.snapshot();
             }
--- a/sidecar/src/main/java/dapplequay/snapshot/StateFolder.java
+++ b/sidecar/src/main/java/dapplequay/snapshot/StateFolder.java
@@ -1,7 +1,7 @@
 package dapplequay.snapshot;
 
 import dapplequay.state.Snapshot;
-import dapplequay.state.WritePace;
+import dapplequay.state.WriteScheduler;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -26,7 +26,7 @@
     private final SnapshotFile file;
     private final Path lockFile;
     private final LongSupplier clock;
-    private final WritePace pace = new WritePace(MIN_WRITE_INTERVAL_US, RETRY_DELAY_US);
+    private final WriteScheduler pace = new WriteScheduler(MIN_WRITE_INTERVAL_US, RETRY_DELAY_US);
     private Supplier<byte[]> latestList;
     private boolean isClosed;
     private FileLock lock;
@@ -47,7 +47,7 @@
     /** Schedules a write of the list; {@code list} is called at the time of the write and returns discovery's form. */
     public synchronized void scheduleWrite(Supplier<byte[]> list) {
         latestList = list;
-        pace.changed();
+        pace.listChanged();
         if (writer == null && !isClosed) {
             writer = new Thread(this::writeWhenDue, "state");
             writer.setDaemon(true);
@@ -70,10 +70,10 @@
     private synchronized boolean awaitNextWrite() throws InterruptedException {
         while (!isClosed) {
             long now = clock.getAsLong();
-            if (pace.dueUs() <= now) {
+            if (pace.nextWriteUs() <= now) {
                 return true;
             }
-            wait(pace.dueUs() == Long.MAX_VALUE ? 0 : (pace.dueUs() - now) / 1_000 + 1);
+            wait(pace.nextWriteUs() == Long.MAX_VALUE ? 0 : (pace.nextWriteUs() - now) / 1_000 + 1);
         }
         return false;
     }
@@ -81,7 +81,7 @@
     private void write() {
         Supplier<byte[]> list;
         synchronized (this) {
-            pace.begun(clock.getAsLong());
+            pace.writeStarted(clock.getAsLong());
             list = latestList;
         }
         try {
@@ -91,7 +91,7 @@
             file.write(new Snapshot(clock.getAsLong(), list.get()));
         } catch (IOException | RuntimeException e) {
             synchronized (this) {
-                if (pace.failed(clock.getAsLong())) {
+                if (pace.writeFailed(clock.getAsLong())) {
                     LOG.log(Level.SEVERE, "the list is not kept: {0}", e.toString());
                 }
             }
@@ -128,7 +128,7 @@
             lastWriter.join();
         }
         synchronized (this) {
-            isWritePending = pace.dueUs() != Long.MAX_VALUE;
+            isWritePending = pace.nextWriteUs() != Long.MAX_VALUE;
         }
         if (isWritePending) {
             write();
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dapplequay.facade.Facade;
-import dapplequay.facade.ListNews;
+import dapplequay.facade.ListUpdate;
 import dapplequay.management.DiscoveryMetrics;
 import dapplequay.management.RequestCounts;
 import dapplequay.membership.ListClock;
@@ -128,8 +128,8 @@
         Facade facade = new Facade(setup, 7, clock::get, line -> { });
         Endpoints.Update known = Endpoints.read(known().getBytes());
         table.restore(known);
-        facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
-        facade.watchAnew();
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
+        facade.requestListNow();
         UpstreamSide upstreams = new UpstreamSide(table, new DeadlineQueue(clock::get), () -> setup, 4,
                 new RequestCounts(), new DiscoveryMetrics());
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(7));
