--- a/core/src/main/java/dapplequay/Balance.java
+++ b/core/src/main/java/dapplequay/Balance.java
@@ -29,9 +29,9 @@
 
     private final Actions actions;
     final BuddySet set;
-    private final Admission admission;
-    private final Suspects suspects;
-    private final Map<Long, Held> held = new LinkedHashMap<>();
+    private final ServerSelector selector;
+    private final FailureDetector failureDetector;
+    private final Map<Long, PendingRequest> held = new LinkedHashMap<>();
     private final Map<String, Long> longestLeft = new HashMap<>();  // per class: the try that clients grant
     private final AnswerTimes answerTimes = new AnswerTimes();
     private Settings settings;
@@ -42,8 +42,8 @@
     public Balance(Settings settings, long seed, Actions actions) {
         this.actions = actions;
         set = new BuddySet(settings, new SplittableRandom(seed));
-        suspects = new Suspects(set, actions);
-        admission = new Admission(set);
+        failureDetector = new FailureDetector(set, actions);
+        selector = new ServerSelector(set);
         use(settings);
     }
 
@@ -51,7 +51,7 @@
         next.check(settings);
         settings = next;
         set.use(next);
-        admission.use(next);
+        selector.use(next);
         answerTimes.use(next.classes());
         tenants = new TenantMix(next.tenants(), next.overShareWorth());
     }
@@ -76,14 +76,14 @@
         long useful = type.lateWorth() > 0 ? r.leftUs()
                 : Math.min(r.leftUs(), type.aimUs() + (long) (type.aimStretch() * r.costHintUs()) - elapsed);
         double worth = (elapsed >= type.aimUs() ? type.lateWorth() : 1) * tenants.worth(r.tenant());
-        Held h = new Held(r, type, worth, now + useful, settings.limits().sendCap());
+        PendingRequest h = new PendingRequest(r, type, worth, now + useful, settings.limits().sendCap());
         held.put(r.id(), h);
         proceed(now, h);
     }
 
     /** Sends the request on if anything may take it, and answers it otherwise. */
-    private void proceed(long now, Held h) {
-        Server s = h.usefulUntil - now < MIN_ATTEMPT_US ? null : admission.pick(now, h, held.size());
+    private void proceed(long now, PendingRequest h) {
+        Server s = h.usefulUntil - now < MIN_ATTEMPT_US ? null : selector.select(now, h, held.size());
         if (s != null && h.mayGo(now, s, settings.limits())) {
             send(now, h, s);
         } else {
@@ -91,7 +91,7 @@
         }
     }
 
-    private void send(long now, Held h, Server s) {
+    private void send(long now, PendingRequest h, Server s) {
         actions.send(h.request.id(), s.host, Math.max(MIN_ATTEMPT_US, h.usefulUntil - now), h.beginBy());
         h.sent(now, s);
         s.sent(now);
@@ -104,7 +104,7 @@
     }
 
     /** The one final answer. Refused where the client may safely try again, failed otherwise. */
-    private void answer(long now, Held h) {
+    private void answer(long now, PendingRequest h) {
         held.remove(h.request.id());
         if (h.isRefusable()) {
             // Short of the aim: a client that came back after its deadline would not be served at all.
@@ -116,7 +116,7 @@
 
     @Override
     public void attemptStarted(long now, long id) {
-        Held h = held.get(id);
+        PendingRequest h = held.get(id);
         if (h != null && h.out > 0) {
             h.started(now);
             h.last().started(now);
@@ -132,7 +132,7 @@
     public void outcome(long now, long id, int attempt, String host, Outcome outcome, long tookUs,
                         boolean closed, LoadReport report) {
         Server s = set.servers.get(host);
-        Held h = closed ? held.remove(id) : held.get(id);
+        PendingRequest h = closed ? held.remove(id) : held.get(id);
         if (s != null) {
             s.own = Math.max(0, s.own - (h != null && h.uploading ? 0 : 1));
             learn(now, s, outcome, tookUs, report);
@@ -166,7 +166,7 @@
             actions.log((met ? "zone back: " : set.zoneLoss.isLost(s.zone) ? "zone lost: " : "no zone answers: ")
                     + settings.zones().get(s.zone));
         }
-        suspects.judge(now, s, outcome, silent);
+        failureDetector.judge(now, s, outcome, silent);
         s.heard(now, report);
         if (outcome == Outcome.OK && report != null && s.reportAt == now) {
             s.answered(tookUs);
@@ -178,7 +178,7 @@
     public void timer(long now, long token) {
         countWaits(now);
         set.servers.values().stream().filter(s -> isSilent(now, s)).forEach(s -> {
-            suspects.silent(now, s);
+            failureDetector.silent(now, s);
             held.values().stream().filter(h -> waitsFor(s, h) && mayGoElsewhere(now, h)).forEach(this::giveUp);
         });
         set.shrink(now);
@@ -192,15 +192,15 @@
                 h.last().awaited += Math.max(0, h.awaitedUs(now)) / answerTimes.usualWaitUs(h.type.name()));
     }
 
-    private static boolean waitsFor(Server s, Held h) {
+    private static boolean waitsFor(Server s, PendingRequest h) {
         return h.out == 1 && !h.uploading && h.last() == s && h.cut < h.attempts.size();
     }
 
-    private boolean mayGoElsewhere(long now, Held h) {
-        return set.buddies.stream().anyMatch(o -> !o.trial && admission.usable(now, h, o));
+    private boolean mayGoElsewhere(long now, PendingRequest h) {
+        return set.buddies.stream().anyMatch(o -> !o.trial && selector.usable(now, h, o));
     }
 
-    private void giveUp(Held h) {
+    private void giveUp(PendingRequest h) {
         h.cut = h.attempts.size();
         actions.cancel(h.request.id(), h.cut - 1);
     }
@@ -225,7 +225,7 @@
 
     @Override
     public void body(long now, long id, BodyStage stage) {
-        Held h = held.get(id);
+        PendingRequest h = held.get(id);
         if (h == null || h.attempts.isEmpty()) {
             return;
         }
--- a/core/src/main/java/dapplequay/BuddySet.java
+++ b/core/src/main/java/dapplequay/BuddySet.java
@@ -41,7 +41,7 @@
 
     BuddySet(Settings settings, SplittableRandom random) {
         this.random = random;
-        zoneLoss = new ZoneLoss(settings.zones().size(), 3 * Suspects.SHUN_US);
+        zoneLoss = new ZoneLoss(settings.zones().size(), 3 * FailureDetector.SHUN_US);
     }
 
     /**
@@ -103,7 +103,7 @@
     void form(long now) {
         List<Server> ready = servers.values().stream().filter(s -> s.ready).toList();
         if (ready.stream().allMatch(s -> zoneLoss.isLost(s.zone))) {
-            zoneLoss = new ZoneLoss(settings.zones().size(), 3 * Suspects.SHUN_US);  // there is no other to turn to
+            zoneLoss = new ZoneLoss(settings.zones().size(), 3 * FailureDetector.SHUN_US);  // there is no other to turn to
         }
         Comparator<Server> permuted = Comparator.comparingDouble((Server s) -> s.orderKey / s.size)
                 .thenComparing(s -> s.host);
--- a/core/src/main/java/dapplequay/Suspects.java
+++ b/core/src/main/java/dapplequay/FailureDetector.java
@@ -4,7 +4,7 @@
 import dapplequay.BalancerApi.Outcome;
 
 /** Failure diversion: which servers are passed over, and when one is tried again. */
-record Suspects(BuddySet set, Actions actions) {
+record FailureDetector(BuddySet set, Actions actions) {
     /** Who fails or has fallen silent is passed over for so long, us; a lost zone for three times as long. */
     static final long SHUN_US = 300_000;
     /** One that has failed at once when it was tried again. */
--- a/core/src/main/java/dapplequay/Held.java
+++ b/core/src/main/java/dapplequay/PendingRequest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** A request taken and not yet answered, and the rules on where it may go. */
-final class Held {
+final class PendingRequest {
     /** What a repeat's first byte may take to its server, and a thread to write it, us. */
     private static final long WAY_US = 20_000;
     /** So long an attempt may be held back here: for a used connection to rest, and for a thread to write it, us. */
@@ -29,7 +29,7 @@
     private long sentAt;
     private long startedAt;       // of its last attempt; NOT_YET: it may be held back on this side
 
-    Held(Request request, ServiceClass type, double worthShare, long usefulUntil, int sendCap) {
+    PendingRequest(Request request, ServiceClass type, double worthShare, long usefulUntil, int sendCap) {
         this.request = request;
         this.type = type;
         this.worthShare = worthShare;
--- a/core/src/main/java/dapplequay/Server.java
+++ b/core/src/main/java/dapplequay/Server.java
@@ -91,7 +91,7 @@
 
     /** An own attempt was sent to it, which may still be held back on this side. */
     void sent(long now) {
-        awaitedFrom = own++ == 0 ? now + Held.HELD_BACK_US : awaitedFrom;
+        awaitedFrom = own++ == 0 ? now + PendingRequest.HELD_BACK_US : awaitedFrom;
     }
 
     /** An own attempt is held back no longer. */
--- a/core/src/main/java/dapplequay/Admission.java
+++ b/core/src/main/java/dapplequay/ServerSelector.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Which server takes a request, or that none does: the mechanism's rule, and what departs from it. */
-final class Admission {
+final class ServerSelector {
     /** With keys that servers remember, one whose figure is so many times the set's mean at most has room. */
     private static final double ROOM = 1.1;
     /** A request of a greater share of its worth may ask a server anew that nothing would be sent to. */
@@ -14,7 +14,7 @@
     private final BuddySet set;
     private boolean someRepeatable;
 
-    Admission(BuddySet set) {
+    ServerSelector(BuddySet set) {
         this.set = set;
     }
 
@@ -23,7 +23,7 @@
     }
 
     /** Where the request goes now, one of so many held; null: it has to be answered. */
-    Server pick(long now, Held h, int requestsHeld) {
+    Server select(long now, PendingRequest h, int requestsHeld) {
         for (Server s : set.buddies) {
             if (set.zoneLoss.isLost(s.zone) && usable(now, h, s)) {
                 return s;             // now and then, else nobody would learn that its zone is back
@@ -67,14 +67,14 @@
     }
 
     /** Crossing zones has a price: a diversion crosses only if it saves that share of the aim. */
-    private boolean worthDiverting(long now, Held h, Server s, Server head) {
+    private boolean worthDiverting(long now, PendingRequest h, Server s, Server head) {
         return s.zone == head.zone || s.zone == set.settings.zone()
                 || Math.min(1, head.figure(now) / h.type.aimUs()) - s.figure(now) / h.type.aimUs()
                 > set.settings.prices().crossZone();
     }
 
     /** By the rules and for all that is known of it; a suspect is tried by what can be repeated, one at a time. */
-    boolean usable(long now, Held h, Server s) {
+    boolean usable(long now, PendingRequest h, Server s) {
         return h.mayGo(now, s, set.settings.limits()) && !h.attempts.contains(s) && now >= s.shunUntil
                 && (!set.zoneLoss.isLost(s.zone) || set.zoneLoss.mayTry(now, s.zone) && h.attempts.isEmpty())
                 && !(s.trial && (s.own > 0 || someRepeatable && h.type.semantics() == Semantics.FRAGILE))
--- a/core/src/test/java/dapplequay/SuspectsTest.java
+++ b/core/src/test/java/dapplequay/FailureDetectorTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who is passed over for failures, and for how long. */
-class SuspectsTest {
+class FailureDetectorTest {
     /** On a network that resets one attempt in fourteen wherever it goes, two in a short while say little of a host. */
     @Test
     void whatFailsEverywhereIsHeldAgainstNoHost() {
