--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -8,7 +8,7 @@
 import dapplequay.BalancerApi.ListKind;
 import dapplequay.BalancerApi.LoadReport;
 import dapplequay.BalancerApi.Request;
-import dapplequay.membership.Asking;
+import dapplequay.membership.ListSubscription;
 import dapplequay.settings.SettingsReader.Setup;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -42,7 +42,7 @@
     private final LongSupplier clock;
     private final Consumer<String> log;
     private final BalancerApi module;
-    private final Asking asking;
+    private final ListSubscription asking;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final List<Cut> cuts = new ArrayList<>();
     private final Queue<String> lines = new ConcurrentLinkedQueue<>();
@@ -80,7 +80,7 @@
         this.log = log;
         Taken actions = new Taken();
         this.module = module.apply(actions);
-        asking = new Asking(setup.settings(), seed, actions);
+        asking = new ListSubscription(setup.settings(), seed, actions);
         watchWanted = isPushed(setup);
     }
 
@@ -108,7 +108,7 @@
         // Classes and tenants go by their places in the settings: both sides go over, or each call would meet another.
         setup = next;
         guarded(() -> module.retune(clock.getAsLong(), next.settings()));
-        asking.use(next.settings());
+        asking.configure(next.settings());
         if (isPushed(next)) {
             watchAnew();
         }
@@ -246,7 +246,7 @@
         if (kind != ListKind.FAILED && !guarded(() -> module.fleet(clock.getAsLong(), kind, entries))) {
             throw new IllegalStateException("the list could not be taken over");
         }
-        asking.heard(kind);
+        asking.listReceived(kind);
     }
 
     /** Gives the module its timers that are due; returns the attempts that are to be cut now. */
@@ -265,7 +265,7 @@
         while (!timers.isEmpty() && timers.peek().atUs() <= now) {
             begin(0, 0);
             long token = timers.poll().token();
-            if (!asking.timer(token) && !guarded(() -> module.timer(now, token))) {
+            if (!asking.timerFired(token) && !guarded(() -> module.timer(now, token))) {
                 timers.add(new Timer(now + TIMER_AGAIN_US, timersSet++, token));
             }
         }
--- a/core/src/main/java/dapplequay/membership/AskPace.java
+++ b/core/src/main/java/dapplequay/membership/ListCallBackoff.java
@@ -7,11 +7,11 @@
  * When an instance asks for the list. Pure: no clock; pauses are in microseconds. One of many asks a discovery service
  * that does not grow with them. Their first questions are spread over half of the time within which each has to ask, by
  * the instance's number; after a failure an instance backs off, doubling, with jitter over half of the pause. (On
- * sockets {@link ListClock} goes before that: what discovery has counts as told soon after it is back.) An agent of its
+ * sockets {@link ListCallTiming} goes before that: what discovery has counts as told soon after it is back.) An agent of its
  * own, to which lists are pushed, it asks at once: what the agent has counts as told, so that a pause after a
  * failed call takes from the drain's grace.
  */
-public final class AskPace {
+public final class ListCallBackoff {
     /** Share of ask_within over which the first questions are spread: the rest is room for failures. */
     private static final double SPREAD = 0.5;
     /** First pause after a failed question, us; doubles up to the spread. */
@@ -29,7 +29,7 @@
     private int failures;
 
     /** {@code turn}: from 0 up to 1, evenly spread over the instances. */
-    public AskPace(Discovery discovery, double turn, SplittableRandom random) {
+    public ListCallBackoff(Discovery discovery, double turn, SplittableRandom random) {
         asksService = discovery.onRequest();
         spreadUs = (long) (asksService ? discovery.askWithinUs() * SPREAD : discovery.drainGraceUs() * AGENT_SHARE);
         this.turn = turn;
--- a/core/src/main/java/dapplequay/membership/ListClock.java
+++ b/core/src/main/java/dapplequay/membership/ListCallTiming.java
@@ -45,7 +45,7 @@
  * after half of what is left until the missed counts; the next ones have their full time. Where discovery stays silent
  * there is nothing to know: the list stays as it is, and calls go on within the bound.
  */
-public final class ListClock {
+public final class ListCallTiming {
     /** What a call that has fallen silent missed counts as told so much later. */
     public static final long MISSED_US = 6_000_000;
     /** The same after the wait of one that may wait is over, if that is later. */
@@ -100,7 +100,7 @@
     /**
      * {@code settings}: of the moment, as they may change; {@code random}: spreads this one's calls among the others'.
      */
-    public ListClock(Supplier<Discovery> settings, SplittableRandom random) {
+    public ListCallTiming(Supplier<Discovery> settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
     }
--- a/core/src/main/java/dapplequay/membership/Asking.java
+++ b/core/src/main/java/dapplequay/membership/ListSubscription.java
@@ -9,29 +9,29 @@
  * Whether an instance follows the server list, and when it asks for it; beside the decision module, which takes the
  * list as it comes. Pure: it asks and sets timers through the module's actions. Not thread-safe.
  */
-public final class Asking {
+public final class ListSubscription {
     /** Of its timer; the module's tokens are above 0. */
     private static final long TOKEN = 0;
 
     private final Actions actions;
     private final SplittableRandom random;
     private boolean onRequest;
-    private AskPace pace;
+    private ListCallBackoff pace;
     private boolean following;
 
-    public Asking(Settings settings, long seed, Actions actions) {
+    public ListSubscription(Settings settings, long seed, Actions actions) {
         this.actions = actions;
         random = new SplittableRandom(seed);
-        use(settings);
+        configure(settings);
     }
 
-    public void use(Settings settings) {
+    public void configure(Settings settings) {
         onRequest = settings.discovery().onRequest();
-        pace = new AskPace(settings.discovery(), Scatter.fraction(settings.position()), random);
+        pace = new ListCallBackoff(settings.discovery(), Scatter.fraction(settings.position()), random);
     }
 
     /** A list came and was taken over, or failed to come. */
-    public void heard(ListKind kind) {
+    public void listReceived(ListKind kind) {
         if (kind == ListKind.FAILED) {
             following = false;
             actions.timer(pace.failedUs(), TOKEN);
@@ -45,7 +45,7 @@
     }
 
     /** A timer ran off: whether it was one of these. */
-    public boolean timer(long token) {
+    public boolean timerFired(long token) {
         if (token == TOKEN && !following) {
             actions.watchFleet(true);
         }
--- a/core/src/test/java/dapplequay/membership/ListClockReturnTest.java
+++ b/core/src/test/java/dapplequay/membership/ListCallTimingReturnTest.java
@@ -18,7 +18,7 @@
  * The clock of the list against the operators' word on calls that failed: a change counts 6 s after discovery had it
  * and could be reached. Over all short runs of failures, and for a fleet that one discovery has to serve.
  */
-class ListClockReturnTest {
+class ListCallTimingReturnTest {
     private static final long S = 1_000_000;
     private static final long COUNTS_US = 6 * S;
     /** Kept free for taking it over. */
@@ -46,8 +46,8 @@
     /** The calls of one instance, with one fate after the other and then silence; {@code moved}: at a new address. */
     private static List<Call> play(Discovery discovery, List<Fate> fates, boolean moved) {
         SplittableRandom random = new SplittableRandom(fates.hashCode());
-        ListClock clock = new ListClock(() -> discovery, random);
-        AskPace pace = new AskPace(discovery, 0, random);
+        ListCallTiming clock = new ListCallTiming(() -> discovery, random);
+        ListCallBackoff pace = new ListCallBackoff(discovery, 0, random);
         if (moved) {
             clock.moved();
         }
@@ -118,7 +118,7 @@
     @ValueSource(longs = {0, 3 * S, 10 * S, 60 * S})
     void fromAnyMomentOnACallIsWholeWithinTheBound(long askWithinUs) {
         Discovery discovery = discovery(askWithinUs);
-        long callUs = discovery.onRequest() ? ListClock.CALL_US : ListClock.MISSED_US / 6;
+        long callUs = discovery.onRequest() ? ListCallTiming.CALL_US : ListCallTiming.MISSED_US / 6;
         long worst = 0;
         for (List<Fate> fates : allOrders()) {
             worst = Math.max(worst, worstUs(play(discovery, fates, false), callUs, 0, DEPTH));
@@ -132,9 +132,9 @@
     void aNewAddressIsAskedTwiceBeforeWhatItHasCounts(long askWithinUs) {
         Discovery discovery = discovery(askWithinUs);
         for (List<Fate> fates : allOrders()) {
-            long callUs = discovery.onRequest() ? ListClock.MOVED_CALL_US : ListClock.MISSED_US / 6;
+            long callUs = discovery.onRequest() ? ListCallTiming.MOVED_CALL_US : ListCallTiming.MISSED_US / 6;
             assertThat(worstUs(play(discovery, fates, true), callUs, 0, 1)).as("%s", fates)
-                    .isLessThan(ListClock.MOVED_US - S / 10);
+                    .isLessThan(ListCallTiming.MOVED_US - S / 10);
         }
     }
 
@@ -152,7 +152,7 @@
 
     @Test
     void doubtHasWhatFailuresLeaveOfTheGrace() {
-        ListClock clock = new ListClock(() -> discovery(10 * S), new SplittableRandom(1));
+        ListCallTiming clock = new ListCallTiming(() -> discovery(10 * S), new SplittableRandom(1));
         clock.begin(0, false);
         clock.failed(S, false);
         clock.begin(2 * S, false);
@@ -180,7 +180,7 @@
         private long heardUs;
 
         private static final class Sidecar {
-            private ListClock clock;
+            private ListCallTiming clock;
             private long nextUs;
             private boolean calls;
             private boolean heard;
@@ -198,7 +198,7 @@
             workUs = (long) (S / callsPerS);
             for (int i = 0; i < fleet; i++) {
                 Sidecar one = new Sidecar();
-                one.clock = new ListClock(() -> FLEET, new SplittableRandom(i));
+                one.clock = new ListCallTiming(() -> FLEET, new SplittableRandom(i));
                 one.clock.begin(0, false);
                 one.clock.failed(1, false);
                 one.nextUs = 1 + one.clock.longestPauseUs(1);
@@ -279,20 +279,20 @@
 
     @Test
     void theWatchAfterAFailureWaitsOnlyWhereOthersQueue() {
-        ListClock clock = new ListClock(() -> FLEET, new SplittableRandom(1));
+        ListCallTiming clock = new ListCallTiming(() -> FLEET, new SplittableRandom(1));
         clock.begin(0, false);
         assertThat(clock.watchFromUs(5 * S)).as("no failure came before").isEqualTo(5 * S);
         clock.failed(5 * S, false);
         clock.begin(6 * S, false);
         assertThat(clock.watchFromUs(6 * S + S / 4)).isEqualTo(6 * S + S / 4);
-        assertThat(clock.watchFromUs(8 * S)).isEqualTo(6 * S + ListClock.AGAIN_US);
+        assertThat(clock.watchFromUs(8 * S)).isEqualTo(6 * S + ListCallTiming.AGAIN_US);
     }
 
     /** A drain that discovery had just after the answer was met 2.7 s later, at a grace of 2.5 s. */
     @ParameterizedTest
     @CsvSource({"510, 2500", "550, 2500", "750, 2500", "1000, 2500", "2350, 2500", "550, 700", "2000, 250"})
     void theWatchAfterAFailureLeavesTheGraceItsCall(long answeredMs, long graceMs) {
-        ListClock clock = new ListClock(() -> new Discovery(true, 10 * S, graceMs * 1_000), new SplittableRandom(1));
+        ListCallTiming clock = new ListCallTiming(() -> new Discovery(true, 10 * S, graceMs * 1_000), new SplittableRandom(1));
         clock.begin(0, false);
         clock.failed(5 * S, false);
         clock.begin(6 * S, false);
@@ -306,13 +306,13 @@
     void watchesThatWereResetTogetherDoNotComeBackTogether() {
         List<Long> pauses = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            ListClock clock = new ListClock(() -> discovery(10 * S), new SplittableRandom(i));
+            ListCallTiming clock = new ListCallTiming(() -> discovery(10 * S), new SplittableRandom(i));
             clock.begin(0, false);
             clock.failed(S, false);
             pauses.add(clock.longestPauseUs(S));
         }
         Collections.sort(pauses);
-        assertThat(pauses.get(99)).isLessThanOrEqualTo(ListClock.AGAIN_US);
+        assertThat(pauses.get(99)).isLessThanOrEqualTo(ListCallTiming.AGAIN_US);
         for (int i = 0; i + 20 < 100; i++) {
             assertThat(pauses.get(i + 20) - pauses.get(i)).as("twenty of a hundred").isGreaterThan(S / 4);
         }
--- a/core/src/test/java/dapplequay/membership/ListClockTest.java
+++ b/core/src/test/java/dapplequay/membership/ListCallTimingTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The clock of the list against the operators' page, over all short runs of what can become of a call. */
-class ListClockTest {
+class ListCallTimingTest {
     private static final long S = 1_000_000;
     private static final int DEPTH = 5;
 
@@ -28,8 +28,8 @@
     /** Plays the fates one after the other; an answer takes 0.3 s, and what follows the last is all answered. */
     private static List<Call> play(Discovery discovery, List<Fate> fates) {
         SplittableRandom random = new SplittableRandom(fates.hashCode());
-        ListClock clock = new ListClock(() -> discovery, random);
-        AskPace pace = new AskPace(discovery, 0, random);
+        ListCallTiming clock = new ListCallTiming(() -> discovery, random);
+        ListCallBackoff pace = new ListCallBackoff(discovery, 0, random);
         List<Call> calls = new ArrayList<>();
         long now = 100 * S;
         boolean all = false;
@@ -38,7 +38,7 @@
             long beganUs = now;
             long waitUs = clock.begin(now, all);
             long limitUs = clock.limitUs();
-            long toldUs = beganUs + Math.max(ListClock.MISSED_US, waitUs > 1 ? waitUs + ListClock.AFTER_WAIT_US : 0);
+            long toldUs = beganUs + Math.max(ListCallTiming.MISSED_US, waitUs > 1 ? waitUs + ListCallTiming.AFTER_WAIT_US : 0);
             calls.add(new Call(beganUs, toldUs, fate));
             assertThat(limitUs).as("a call has time, and ends before what it may miss counts").isGreaterThan(now)
                     .isLessThan(toldUs);
@@ -109,7 +109,7 @@
     @Test
     void watchesThatEndTogetherDoNotEndTogetherAgain() {
         Discovery asked = discovery(true, 10 * S);
-        long[] waits = new SplittableRandom(1).ints(100).mapToLong(seed -> new ListClock(() -> asked,
+        long[] waits = new SplittableRandom(1).ints(100).mapToLong(seed -> new ListCallTiming(() -> asked,
                 new SplittableRandom(seed)).begin(0, false)).sorted().toArray();
         assertThat(waits[0]).isGreaterThan(5 * S);
         assertThat(waits[99]).isLessThanOrEqualTo(10 * S);
@@ -118,10 +118,10 @@
 
     @Test
     void afterASilenceNothingIsWaitedForAndDoubtHasWhatIsLeftOfTheGrace() {
-        ListClock clock = new ListClock(() -> discovery(true, 10 * S), new SplittableRandom(1));
+        ListCallTiming clock = new ListCallTiming(() -> discovery(true, 10 * S), new SplittableRandom(1));
         long wait = clock.begin(0, false);
         assertThat(clock.silent()).isTrue();
-        long told = wait + ListClock.AFTER_WAIT_US;
+        long told = wait + ListCallTiming.AFTER_WAIT_US;
         assertThat(clock.begin(clock.limitUs(), false)).isEqualTo(1);
         assertThat(clock.silent()).as("a second one keeps the pace").isFalse();
         assertThat(clock.graceLeftUs(told - 1)).isEqualTo(250_000);
--- a/sidecar/src/main/java/dapplequay/benchlink/Instances.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/Instances.java
@@ -14,7 +14,7 @@
 import dapplequay.BalancerApi.Outcome;
 import dapplequay.BalancerApi.Request;
 import dapplequay.BalancerApi;
-import dapplequay.membership.Asking;
+import dapplequay.membership.ListSubscription;
 import dapplequay.settings.SettingsReader;
 
 /** The table of instances: hands each event to its module and writes down what the module does. */
@@ -28,7 +28,7 @@
     private final Sheet[] sheets = new Sheet[SHEETS];
     private long turn;
 
-    private record Instance(BalancerApi module, Asking asking, SettingsReader.Setup setup, WireActions actions) { }
+    private record Instance(BalancerApi module, ListSubscription asking, SettingsReader.Setup setup, WireActions actions) { }
 
     /** A sheet as read, and as translated for the zones of the instances that used it last. */
     private static final class Sheet {
@@ -123,7 +123,7 @@
         long seed = need(e.seed, "seed", e);
         WireActions actions = new WireActions(out, name);
         guarded(name, () -> instances.put(name, new Instance(new Balance(setup.settings(), seed, actions),
-                new Asking(setup.settings(), seed, actions), setup, actions)));
+                new ListSubscription(setup.settings(), seed, actions), setup, actions)));
     }
 
     private void sync(long now, Event e) {
@@ -153,7 +153,7 @@
             if (kind != ListKind.FAILED) {
                 instance.module().fleet(now, kind, lines);
             }
-            instance.asking().heard(kind);
+            instance.asking().listReceived(kind);
         });
     }
 
@@ -218,7 +218,7 @@
             case "TIMEOUT_FIRED" -> {
                 long token = need(e.token, "cookie", e);
                 return () -> {
-                    if (!instance.asking().timer(token)) {
+                    if (!instance.asking().timerFired(token)) {
                         module.timer(now, token);
                     }
                 };
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -9,7 +9,7 @@
 import dapplequay.facade.ListNews;
 import dapplequay.http.Sockets;
 import dapplequay.management.DiscoveryFigures;
-import dapplequay.membership.ListClock;
+import dapplequay.membership.ListCallTiming;
 import dapplequay.settings.Json;
 import java.net.InetSocketAddress;
 import java.net.SocketTimeoutException;
@@ -23,7 +23,7 @@
 
 /**
  * The discovery client: watches for changes as long as the module wants that, one call after the other. How long a
- * call is waited for, and how soon the next one follows after a failure, {@link ListClock} says; what an answer
+ * call is waited for, and how soon the next one follows after a failure, {@link ListCallTiming} says; what an answer
  * changes, the {@link ServerRegistry}.
  *
  * <p>A call that is not waited for any longer, as discovery has moved or its time is over, is <em>superseded</em>: its
@@ -38,13 +38,13 @@
      */
     private static final long CONNECT_US = 1_000_000;
     /** A superseded call is read for so long, us: by then what it could bring is known in other ways. */
-    static final long SUPERSEDED_US = ListClock.MISSED_US + ListClock.AFTER_WAIT_US;
+    static final long SUPERSEDED_US = ListCallTiming.MISSED_US + ListCallTiming.AFTER_WAIT_US;
     /** More than so many superseded calls are not kept: each holds a descriptor. */
     static final int MOST_SUPERSEDED = 6;
     /** Calls for a whole list that an answer has made necessary begin at least so long apart, us. */
     static final long WHOLE_LISTS_APART_US = 1_000_000;
     /** For so long, us, after it was heard a version counts: a quiet watch, and as long as an older one is refused. */
-    static final long VERSION_COUNTS_US = ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US
+    static final long VERSION_COUNTS_US = ListCallTiming.LONGEST_WAIT_US + ListCallTiming.AFTER_WAIT_US
             + ServerRegistry.REGRESSION_US;
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -59,7 +59,7 @@
     private final Facade facade;
     private final UpstreamSide upstreams;
     private final Sidecar.Memory memory;
-    private final ListClock clock;
+    private final ListCallTiming clock;
     private final LongSupplier now;
     private final DiscoveryFigures figures;
 
@@ -78,7 +78,7 @@
 
     /** {@code now}: microseconds, never backwards. */
     DiscoveryClient(InetSocketAddress discovery, Endpoints table, Facade facade, UpstreamSide upstreams,
-            Sidecar.Memory memory, ListClock clock, LongSupplier now, DiscoveryFigures figures) {
+            Sidecar.Memory memory, ListCallTiming clock, LongSupplier now, DiscoveryFigures figures) {
         this.discovery = discovery;
         this.memory = memory;
         this.clock = clock;
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -8,7 +8,7 @@
 import dapplequay.management.DiscoveryFigures;
 import dapplequay.management.Exposition;
 import dapplequay.management.ManagementSide;
-import dapplequay.membership.ListClock;
+import dapplequay.membership.ListCallTiming;
 import dapplequay.settings.SettingsReader.Setup;
 import dapplequay.time.Deadlines;
 import dapplequay.time.ProcessorTime;
@@ -161,7 +161,7 @@
         conductor = new Conductor(facade, upstreams);
         upstreams.conductor(conductor);
         upstreams.onThreadShortage(threads::shortage);
-        ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(plan.seed()));
+        ListCallTiming listClock = new ListCallTiming(() -> setup.settings().discovery(), new SplittableRandom(plan.seed()));
         discovery = new DiscoveryClient(plan.discovery(), table, facade, upstreams, memory, listClock, clock, figures);
     }
 
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -6,7 +6,7 @@
 import dapplequay.facade.ListNews;
 import dapplequay.management.Counts;
 import dapplequay.management.DiscoveryFigures;
-import dapplequay.membership.ListClock;
+import dapplequay.membership.ListCallTiming;
 import dapplequay.settings.Json;
 import dapplequay.settings.SettingsReader;
 import dapplequay.settings.SettingsReader.Setup;
@@ -132,7 +132,7 @@
         facade.watchAnew();
         UpstreamSide upstreams = new UpstreamSide(table, new Deadlines(clock::get), () -> setup, 4, new Counts(),
                 new DiscoveryFigures());
-        ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(7));
+        ListCallTiming listClock = new ListCallTiming(() -> setup.settings().discovery(), new SplittableRandom(7));
         Sidecar.Memory memory = new Sidecar.Memory(true, list -> { });
         discoveryClient = new DiscoveryClient(at(first), table, facade, upstreams, memory, listClock,
                 () -> {
@@ -265,7 +265,7 @@
             discoveryClient.moveTo(at(next));
             next.next();
         } else {
-            clock.addAndGet(ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US);
+            clock.addAndGet(ListCallTiming.LONGEST_WAIT_US + ListCallTiming.AFTER_WAIT_US);
             atClock = () -> clock.addAndGet(1_000);
             discoveryClient.moveTo(at(old));          // no move: it looks at its clock
             assertThat(query(old.next())).contains("after=6&");
@@ -289,7 +289,7 @@
         start(hosts.get(0), 250_000);
         hosts.get(0).next();
         for (Host host : hosts.subList(1, hosts.size())) {
-            clock.addAndGet(ListClock.MOVED_US);
+            clock.addAndGet(ListCallTiming.MOVED_US);
             discoveryClient.moveTo(at(host));
             host.next();
         }
