--- a/core/src/main/java/dapplequay/Balance.java
+++ b/core/src/main/java/dapplequay/Balance.java
@@ -1,7 +1,7 @@
 // Interface: BalancerApi.java (the events that come in, the actions that go out, the values of both).
 package dapplequay;
 
-import dapplequay.worth.TenantMix;
+import dapplequay.fairness.TenantWorth;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -35,7 +35,7 @@
     private final Map<String, Long> longestLeft = new HashMap<>();  // per class: the try that clients grant
     private final AnswerTimes answerTimes = new AnswerTimes();
     private Settings settings;
-    private TenantMix tenants;
+    private TenantWorth tenants;
     private boolean watching;
 
     /** IllegalArgumentException, naming the setting, where one makes no sense. */
@@ -53,7 +53,7 @@
         set.use(next);
         selector.use(next);
         answerTimes.use(next.classes());
-        tenants = new TenantMix(next.tenants(), next.overShareWorth());
+        tenants = new TenantWorth(next.tenants(), next.overShareWorth());
     }
 
     @Override
--- a/core/src/main/java/dapplequay/BuddySet.java
+++ b/core/src/main/java/dapplequay/BuddySet.java
@@ -2,7 +2,7 @@
 
 import dapplequay.BalancerApi.*;
 import dapplequay.limits.ColdBudget;
-import dapplequay.membership.Scatter;
+import dapplequay.membership.PseudoRandom;
 import dapplequay.membership.ZoneLoss;
 import java.util.*;
 import java.util.stream.IntStream;
@@ -135,7 +135,7 @@
     private Server headOf(List<Server> ring) {
         List<Server> order = new ArrayList<>(ring);
         order.sort(Comparator.comparingLong((Server s) -> s.hash).thenComparing(s -> s.host));
-        double point = Scatter.fraction(settings.position()) * order.stream().mapToDouble(s -> s.size).sum();
+        double point = PseudoRandom.evenlySpread(settings.position()) * order.stream().mapToDouble(s -> s.size).sum();
         Server at = null;
         for (int i = 0; i < order.size() && point >= 0; i++) {
             at = order.get(i);
@@ -175,10 +175,10 @@
         if (!settings.warmKeys() || text == null) {
             return buddies;
         }
-        long key = Scatter.mix(text.hashCode());
+        long key = PseudoRandom.mixBits(text.hashCode());
         double busy = Math.max(LEAST_BUSY, buddies.stream().mapToDouble(s -> s.held(now)).sum()
                 / buddies.stream().mapToDouble(s -> s.size).sum());
-        buddies.forEach(s -> s.keyPlace = Scatter.draw(key ^ s.hash) / s.size
+        buddies.forEach(s -> s.keyPlace = PseudoRandom.exponential(key ^ s.hash) / s.size
                 * (s.zone == settings.zone() ? 1 : 1 + FOREIGN_LEAN / (busy * busy)));
         return buddies.stream().sorted(Comparator.comparingDouble((Server s) -> s.keyPlace)
                 .thenComparing(s -> s.host)).toList();
--- a/core/src/main/java/dapplequay/Server.java
+++ b/core/src/main/java/dapplequay/Server.java
@@ -1,7 +1,7 @@
 package dapplequay;
 
 import dapplequay.BalancerApi.LoadReport;
-import dapplequay.membership.Scatter;
+import dapplequay.membership.PseudoRandom;
 
 /**
  * What is known of one server. Its load figure is the paper's cumulative execution time: the time, us, that a request
@@ -68,8 +68,8 @@
     Server(String host, int position, BuddySet set) {
         this.host = host;
         this.set = set;
-        hash = Scatter.mix(host.hashCode());
-        orderKey = Scatter.draw(host.hashCode() * 31L + position * 0x9E3779B97F4AL);
+        hash = PseudoRandom.mixBits(host.hashCode());
+        orderKey = PseudoRandom.exponential(host.hashCode() * 31L + position * 0x9E3779B97F4AL);
     }
 
     /** A new process: what was known is of one that is gone. */
--- a/core/src/main/java/dapplequay/worth/TenantMix.java
+++ b/core/src/main/java/dapplequay/fairness/TenantWorth.java
@@ -1,4 +1,4 @@
-package dapplequay.worth;
+package dapplequay.fairness;
 
 import dapplequay.BalancerApi.Tenant;
 import java.util.List;
@@ -7,7 +7,7 @@
  * What a request of a tenant is worth, as part of its class's worth. Usage across all instances is unknown, but a burst
  * shows in the mix at each: the tenant is deeper into its share than the others are. Pure, without time.
  */
-public final class TenantMix {
+public final class TenantWorth {
     /** Weight of the newest request: the mix is of about the last sixteen. */
     private static final double GAIN = 0.06;
     /** A tenant so many times further into its share than the rest sends beyond it: theirs is rarely full. */
@@ -18,7 +18,7 @@
     private final double[] mix;
     private final double overShareWorth;
 
-    public TenantMix(List<Tenant> tenants, double overShareWorth) {
+    public TenantWorth(List<Tenant> tenants, double overShareWorth) {
         shares = tenants.stream().mapToDouble(t -> Math.max(LEAST, Math.min(1 - LEAST, t.share()))).toArray();
         mix = shares.clone();
         this.overShareWorth = overShareWorth;
--- a/core/src/main/java/dapplequay/membership/ListSubscription.java
+++ b/core/src/main/java/dapplequay/membership/ListSubscription.java
@@ -27,7 +27,7 @@
 
     public void configure(Settings settings) {
         onRequest = settings.discovery().onRequest();
-        pace = new ListCallBackoff(settings.discovery(), Scatter.fraction(settings.position()), random);
+        pace = new ListCallBackoff(settings.discovery(), PseudoRandom.evenlySpread(settings.position()), random);
     }
 
     /** A list came and was taken over, or failed to come. */
--- a/core/src/test/java/dapplequay/LargerFleetTest.java
+++ b/core/src/test/java/dapplequay/LargerFleetTest.java
@@ -12,7 +12,7 @@
 import dapplequay.Bench.Done;
 import dapplequay.limits.ColdBudget;
 import dapplequay.membership.ListCallBackoff;
-import dapplequay.membership.Scatter;
+import dapplequay.membership.PseudoRandom;
 import dapplequay.membership.ZoneLoss;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -124,7 +124,7 @@
         int[] first = new int[51];
         int[] second = new int[80];
         for (int i = 0; i < instances; i++) {
-            ListCallBackoff pace = new ListCallBackoff(new Discovery(true, 10_000_000, 2_500_000), Scatter.fraction(i), new SplittableRandom(i));
+            ListCallBackoff pace = new ListCallBackoff(new Discovery(true, 10_000_000, 2_500_000), PseudoRandom.evenlySpread(i), new SplittableRandom(i));
             long asked = pace.firstUs();
             first[(int) (asked / 100_000)]++;
             second[(int) ((asked + pace.failedUs()) / 100_000)]++;
--- a/lab/src/test/java/dapplequay/lab/ArchitectureTest.java
+++ b/lab/src/test/java/dapplequay/lab/ArchitectureTest.java
@@ -14,7 +14,7 @@
 class ArchitectureTest {
     private static final String[] CORE = {"dapplequay", "dapplequay.settings", "dapplequay.facade",
         "dapplequay.lifecycle", "dapplequay.state", "dapplequay.recovery", "dapplequay.membership", "dapplequay.limits",
-        "dapplequay.worth", "dapplequay.discovery"};
+        "dapplequay.fairness", "dapplequay.discovery"};
     private static JavaClasses all;
 
     @BeforeAll
