--- a/core/src/main/java/dapplequay/Balance.java
+++ b/core/src/main/java/dapplequay/Balance.java
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void retune(long now, Settings next) {
+    public void reconfigure(long now, Settings next) {
         use(next);
         set.form(now);
     }
@@ -175,7 +175,7 @@
 
     /** Gives up the attempts at servers that have fallen silent, where others may still serve the requests. */
     @Override
-    public void timer(long now, long token) {
+    public void timerFired(long now, long token) {
         countWaits(now);
         set.servers.values().stream().filter(s -> isSilent(now, s)).forEach(s -> {
             failureDetector.silent(now, s);
@@ -213,26 +213,26 @@
     private void watch(boolean wanted) {
         watching = wanted;
         if (wanted) {
-            actions.timer(Math.max(1, (long) (WATCH_SHARE * set.leastAim)), WATCH_TOKEN);
+            actions.setTimer(Math.max(1, (long) (WATCH_SHARE * set.leastAim)), WATCH_TOKEN);
         }
     }
 
     @Override
-    public int passedOver() {
+    public int outOfRotationCount() {
         return (int) set.servers.values().stream().filter(s -> s.draining
                 || s.ready && (s.trial || set.zoneLoss.isLost(s.zone))).count();
     }
 
     @Override
-    public void body(long now, long id, BodyStage stage) {
+    public void bodyProgress(long now, long id, BodyStage stage) {
         PendingRequest h = held.get(id);
         if (h == null || h.attempts.isEmpty()) {
             return;
         }
         Server s = h.last();
-        if (stage == BodyStage.PASSED_ON) {
+        if (stage == BodyStage.BUFFER_EXCEEDED) {
             h.sendCap = h.attempts.size();
-        } else if (stage == BodyStage.COMING) {
+        } else if (stage == BodyStage.ARRIVING) {
             h.uploading = true;
             s.own--;
         } else if (h.uploading) {
@@ -245,13 +245,13 @@
     }
 
     @Override
-    public void gone(long now, long id) {
-        body(now, id, BodyStage.WHOLE);      // the end of its attempt, still to come, counts as any other
+    public void clientLeft(long now, long id) {
+        bodyProgress(now, id, BodyStage.COMPLETE);      // the end of its attempt, still to come, counts as any other
         held.remove(id);
     }
 
     @Override
-    public void probed(long now, String host, Outcome outcome, long tookUs, LoadReport report) {
+    public void probeCompleted(long now, String host, Outcome outcome, long tookUs, LoadReport report) {
         set.servers.values().stream().filter(s -> s.host.equals(host)).forEach(s -> s.heard(now, report));
     }
 }
--- a/core/src/main/java/dapplequay/BalancerApi.java
+++ b/core/src/main/java/dapplequay/BalancerApi.java
@@ -100,11 +100,11 @@
     /** How far the body of a request has come that is passed on while it comes, after its first part was held. */
     enum BodyStage {
         /** An attempt has been sent; it can't run before the body is whole. */
-        COMING,
+        ARRIVING,
         /** More has been passed on than is held: there can be no further attempt. */
-        PASSED_ON,
+        BUFFER_EXCEEDED,
         /** The last byte was written; the request's time, and the attempt's, begin now. */
-        WHOLE
+        COMPLETE
     }
 
     /** One line of the server list; {@code startedUs} 0: long ago. */
@@ -120,7 +120,7 @@
     // ---- events in ----
 
     /** Other settings from now on; IllegalArgumentException, and no change, where one makes no sense. */
-    void retune(long now, Settings next);
+    void reconfigure(long now, Settings next);
 
     void fleet(long now, ListKind kind, List<FleetEntry> entries);
 
@@ -140,17 +140,17 @@
                  LoadReport report);
 
     /** A long request's body: how far it has come. Never told of requests that were held whole when they came. */
-    void body(long now, long id, BodyStage stage);
+    void bodyProgress(long now, long id, BodyStage stage);
 
     /** The client has left; nothing more is owed. */
-    void gone(long now, long id);
+    void clientLeft(long now, long id);
 
-    void timer(long now, long token);
+    void timerFired(long now, long token);
 
     /** How many listed servers get no ordinary traffic at present: they drain, failed, or their zone is lost. */
-    int passedOver();
+    int outOfRotationCount();
 
-    void probed(long now, String host, Outcome outcome, long tookUs, LoadReport report);
+    void probeCompleted(long now, String host, Outcome outcome, long tookUs, LoadReport report);
 
     // ---- actions out ----
 
@@ -171,7 +171,7 @@
         /** Final answer: no promise about effects. */
         void fail(long id);
 
-        void timer(long afterUs, long token);
+        void setTimer(long afterUs, long token);
 
         /** Subscribe to the list's changes, or end that; FAILED or a change answers. */
         void watchFleet(boolean on);
@@ -185,7 +185,7 @@
         void closeIdle(String host);
 
         /** Bytes to one balancer by position, or to all with -1. Not used: balancers share nothing. */
-        void tell(int position, byte[] note);
+        void sendToPeer(int position, byte[] note);
 
         void log(String line);
     }
--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -107,7 +107,7 @@
         begin(0, 0);
         // Classes and tenants go by their places in the settings: both sides go over, or each call would meet another.
         setup = next;
-        guarded(() -> module.retune(clock.getAsLong(), next.settings()));
+        guarded(() -> module.reconfigure(clock.getAsLong(), next.settings()));
         asking.configure(next.settings());
         if (isPushed(next)) {
             watchAnew();
@@ -128,7 +128,7 @@
             module.request(now, new Request(id, serviceClass, tenant, call.key(), call.leftUs(), call.costHintUs(),
                     call.clientRetry()));
             if (call.upload() && decided instanceof Decision.Send) {
-                module.body(now, id, BodyStage.COMING);
+                module.bodyProgress(now, id, BodyStage.ARRIVING);
             }
         });
         return sound ? decided : givenUp(now, id, false);
@@ -137,7 +137,7 @@
     /** What the module owes an answer for and can't decide: nothing more of it goes out. */
     private Decision givenUp(long now, long id, boolean over) {
         begin(0, 0);
-        guarded(() -> module.gone(now, id));
+        guarded(() -> module.clientLeft(now, id));
         return over ? new Decision.Rest() : new Decision.Fail();
     }
 
@@ -173,7 +173,7 @@
     /** The last byte of a long request was written to its attempt: its time begins now. */
     public synchronized void uploaded(long id) {
         begin(0, 0);
-        guarded(() -> module.body(clock.getAsLong(), id, BodyStage.WHOLE));
+        guarded(() -> module.bodyProgress(clock.getAsLong(), id, BodyStage.COMPLETE));
     }
 
     /**
@@ -187,12 +187,12 @@
         boolean answered = over || end == AttemptEnd.SERVED;
         boolean sound = guarded(() -> {
             if (body == Upload.PASSED_ON) {
-                module.body(now, id, BodyStage.PASSED_ON);
+                module.bodyProgress(now, id, BodyStage.BUFFER_EXCEEDED);
             }
             module.outcome(now, id, attempt, host, end.outcome, tookUs, answered,
                     load == null ? null : new LoadReport(load.queue(), load.inFlight()));
             if (body == Upload.COMING && decided instanceof Decision.Send) {
-                module.body(now, id, BodyStage.COMING);
+                module.bodyProgress(now, id, BodyStage.ARRIVING);
             }
         });
         return sound ? decided : givenUp(now, id, answered);
@@ -207,13 +207,13 @@
     /** The client has left; an attempt that is still out is reported when it has ended. */
     public synchronized void clientGone(long id) {
         begin(0, 0);
-        guarded(() -> module.gone(clock.getAsLong(), id));
+        guarded(() -> module.clientLeft(clock.getAsLong(), id));
     }
 
     /** How many listed hosts get no ordinary traffic at present; 0 where the module can't say. */
     public synchronized int passedOver() {
         int[] count = new int[1];
-        guarded(() -> count[0] = module.passedOver());
+        guarded(() -> count[0] = module.outOfRotationCount());
         return count[0];
     }
 
@@ -265,7 +265,7 @@
         while (!timers.isEmpty() && timers.peek().atUs() <= now) {
             begin(0, 0);
             long token = timers.poll().token();
-            if (!asking.timerFired(token) && !guarded(() -> module.timer(now, token))) {
+            if (!asking.timerFired(token) && !guarded(() -> module.timerFired(now, token))) {
                 timers.add(new Timer(now + TIMER_AGAIN_US, timersSet++, token));
             }
         }
@@ -326,7 +326,7 @@
         }
 
         @Override
-        public void timer(long afterUs, long token) {
+        public void setTimer(long afterUs, long token) {
             timers.add(new Timer(clock.getAsLong() + afterUs, timersSet++, token));
         }
 
@@ -368,8 +368,8 @@
         }
 
         @Override
-        public void tell(int position, byte[] note) {
-            throw new UnsupportedOperationException("tell");
+        public void sendToPeer(int position, byte[] note) {
+            throw new UnsupportedOperationException("sendToPeer");
         }
     }
 }
--- a/core/src/main/java/dapplequay/membership/ListSubscription.java
+++ b/core/src/main/java/dapplequay/membership/ListSubscription.java
@@ -34,13 +34,13 @@
     public void listReceived(ListKind kind) {
         if (kind == ListKind.FAILED) {
             following = false;
-            actions.timer(pace.failedUs(), TOKEN);
+            actions.setTimer(pace.failedUs(), TOKEN);
         } else if (kind != ListKind.RESTORED) {
             following = true;
             pace.answered();
         } else if (onRequest) {
             // All instances start together and discovery does not grow with them: ask one after another.
-            actions.timer(pace.firstUs(), TOKEN);
+            actions.setTimer(pace.firstUs(), TOKEN);
         }
     }
 
--- a/core/src/test/java/dapplequay/Bench.java
+++ b/core/src/test/java/dapplequay/Bench.java
@@ -185,7 +185,7 @@
     }
 
     @Override
-    public void timer(long afterUs, long token) {
+    public void setTimer(long afterUs, long token) {
         log.add(new Done("timer", token, null, afterUs));
     }
 
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public void tell(int position, byte[] note) {
+    public void sendToPeer(int position, byte[] note) {
         log.add(new Done("tell", position, null, 0));
     }
 
--- a/core/src/test/java/dapplequay/ColdFleet.java
+++ b/core/src/test/java/dapplequay/ColdFleet.java
@@ -235,10 +235,10 @@
         }
 
         @Override
-        public void timer(long afterUs, long token) {
+        public void setTimer(long afterUs, long token) {
             at(now + afterUs, () -> {
                 if (!ended) {
-                    module.timer(now, token);
+                    module.timerFired(now, token);
                 }
             });
         }
@@ -258,7 +258,7 @@
         public void closeIdle(String host) { }
 
         @Override
-        public void tell(int position, byte[] note) { }
+        public void sendToPeer(int position, byte[] note) { }
 
         @Override
         public void log(String line) { }
--- a/core/src/test/java/dapplequay/FailureDetectorTest.java
+++ b/core/src/test/java/dapplequay/FailureDetectorTest.java
@@ -74,9 +74,9 @@
         }
         assertThat(sent).as("at each host").doesNotContain(0);
         assertThat(Math.max(sent[0], sent[1])).isGreaterThanOrEqualTo(8);
-        b.pass(21_000).module.timer(b.now, 1);
+        b.pass(21_000).module.timerFired(b.now, 1);
         assertThat(b.count("cancel")).isZero();
-        b.pass(100_000).module.timer(b.now, 1);
+        b.pass(100_000).module.timerFired(b.now, 1);
         assertThat(b.count("cancel")).as("nothing came for long").isPositive();
     }
 
@@ -91,9 +91,9 @@
         }
         b.pass(60_000);
         sent.forEach(send -> b.module.attemptStarted(b.now, send.id()));
-        b.pass(9_000).module.timer(b.now, 1);
+        b.pass(9_000).module.timerFired(b.now, 1);
         assertThat(b.count("cancel")).isZero();
-        b.pass(100_000).module.timer(b.now, 1);
+        b.pass(100_000).module.timerFired(b.now, 1);
         assertThat(b.count("cancel")).as("nothing came for long").isPositive();
     }
 
@@ -107,11 +107,11 @@
         Bench.Done slower = b.request(Bench.KEYED_ALL);
         Bench.Done upload = b.request(Bench.SAFE);
         assertThat(upload.host()).isEqualTo(slower.host());
-        b.module.body(b.now, upload.id(), BodyStage.COMING);
-        b.pass(300_000).module.body(b.now, upload.id(), BodyStage.WHOLE);
-        b.pass(5_000).module.timer(b.now, 1);
+        b.module.bodyProgress(b.now, upload.id(), BodyStage.ARRIVING);
+        b.pass(300_000).module.bodyProgress(b.now, upload.id(), BodyStage.COMPLETE);
+        b.pass(5_000).module.timerFired(b.now, 1);
         assertThat(b.lines).noneMatch(line -> line.startsWith("passed over"));
-        b.pass(200_000).module.timer(b.now, 1);
+        b.pass(200_000).module.timerFired(b.now, 1);
         assertThat(b.lines).as("nothing came for long").anyMatch(line -> line.startsWith("passed over for silence"));
     }
 
@@ -123,9 +123,9 @@
         for (int i = 0; i < 16; i++) {
             b.module.attemptStarted(b.now, b.request(Bench.SAFE).id());
         }
-        b.pass(30_000).module.timer(b.now, 1);
+        b.pass(30_000).module.timerFired(b.now, 1);
         assertThat(b.count("cancel")).isZero();
-        b.pass(20_000).module.timer(b.now, 1);
+        b.pass(20_000).module.timerFired(b.now, 1);
         assertThat(b.count("cancel")).as("nothing came for long").isPositive();
     }
 
@@ -142,9 +142,9 @@
             b.pass(40_000).module.outcome(b.now, send.id(), 0, send.host(), Outcome.OK, 1_000, true, new LoadReport(1, 1));
         }
         b.module.attemptStarted(b.now, b.request(Bench.SAFE).id());
-        b.pass(45_000).module.timer(b.now, 1);
+        b.pass(45_000).module.timerFired(b.now, 1);
         assertThat(b.lines).isEmpty();
-        b.pass(700_000).module.timer(b.now, 1);
+        b.pass(700_000).module.timerFired(b.now, 1);
         assertThat(b.lines).as("nothing came for long").hasSize(1).allMatch(l -> l.startsWith("passed over for silence"));
     }
 
--- a/core/src/test/java/dapplequay/MechanismTest.java
+++ b/core/src/test/java/dapplequay/MechanismTest.java
@@ -52,7 +52,7 @@
     /** Reports over such a time that the running mean of what the head holds has come up to them. */
     private static void loadHead(Bench b, String head, double held) {
         for (int i = 0; i < 6; i++) {
-            b.pass(333_000).module.probed(b.now, head, Outcome.OK, 1_000, new LoadReport(held, held));
+            b.pass(333_000).module.probeCompleted(b.now, head, Outcome.OK, 1_000, new LoadReport(held, held));
         }
     }
 
@@ -120,7 +120,7 @@
         out.forEach(send -> b.outcome(send, 0, Outcome.OK, new LoadReport(0, 0)));
         for (int i = 0; i < 40; i++) {
             Done held = b.pass(3_000_000).request(Bench.SAFE);
-            b.module.timer(b.now, 1);
+            b.module.timerFired(b.now, 1);
             b.outcome(held, 0, Outcome.OK, new LoadReport(0, 0));
         }
         for (int i = 0; i < 40; i++) {
@@ -335,7 +335,7 @@
                         slow * 200_000 + 10_000, true, new LoadReport(0, 0));
             }
             b.request(Bench.SAFE);
-            b.pass(500_000).module.timer(b.now, 1);
+            b.pass(500_000).module.timerFired(b.now, 1);
             assertEquals(1 - slow, b.count("cancel"), "usual time of " + slow);
         }
     }
@@ -417,7 +417,7 @@
             int own = 0;
             for (int key = 0; key < 300; key++) {
                 for (int i = 0; i < 8; i++) {
-                    b.module.probed(b.now, (i < 4 ? "a" : "b") + (i < 4 ? i : i - 4), Outcome.OK, 1_000,
+                    b.module.probeCompleted(b.now, (i < 4 ? "a" : "b") + (i < 4 ? i : i - 4), Outcome.OK, 1_000,
                             new LoadReport(held + 1, held + 1));
                 }
                 Done send = b.pass(100_000).request(Bench.SAFE, "key" + key);
@@ -445,7 +445,7 @@
         String second = b.request(Bench.SAFE, "k").host();
         assertNotEquals(first, second);
         for (int i = 0; i < 60; i++) {
-            b.module.probed(b.pass(50_000).now, "a" + i % 6, Outcome.OK, 1_000, new LoadReport(3, 3));
+            b.module.probeCompleted(b.pass(50_000).now, "a" + i % 6, Outcome.OK, 1_000, new LoadReport(3, 3));
         }
         Set<String> used = new TreeSet<>();
         for (int key = 0; key < 30; key++) {
@@ -464,10 +464,10 @@
             Bench b = new Bench().fleet(2, 0);
             for (int i = 0; i < 80; i++) {
                 double held = 40 + i / (slow == 1 ? 40 : 2) % 2;
-                b.module.probed(b.pass(20_000).now, "a" + i % 2, Outcome.OK, 1_000, new LoadReport(held, held));
+                b.module.probeCompleted(b.pass(20_000).now, "a" + i % 2, Outcome.OK, 1_000, new LoadReport(held, held));
             }
             while (b.request(Bench.SAFE).host() == null) {
-                b.module.probed(b.pass(20_000).now, "a" + until[slow]++ % 2, Outcome.OK, 1_000, new LoadReport(0, 0));
+                b.module.probeCompleted(b.pass(20_000).now, "a" + until[slow]++ % 2, Outcome.OK, 1_000, new LoadReport(0, 0));
             }
         }
         assertTrue(until[1] > 3 * until[0], "reports until it is believed that they are idle: " + until[0] + " "
@@ -483,9 +483,9 @@
         Done first = b.request(Bench.SAFE);
         Done second = b.request(Bench.SAFE);
         assertEquals(List.of(gone, gone), List.of(first.host(), second.host()));
-        b.pass(Bench.AIM / 4).module.timer(b.now, 1);
+        b.pass(Bench.AIM / 4).module.timerFired(b.now, 1);
         assertEquals(0, b.count("cancel"), "not yet");
-        b.pass(Bench.AIM / 2 + 20_000).module.timer(b.now, 1);
+        b.pass(Bench.AIM / 2 + 20_000).module.timerFired(b.now, 1);
         assertEquals(2, b.count("cancel"));
         Done again = b.outcome(first, Outcome.CANCELLED);
         assertNotEquals(gone, again.host());
@@ -514,7 +514,7 @@
     void refusalsEndByAskingAServerThatNothingIsHeardOf() {
         Bench b = new Bench().fleet(2, 0);
         for (int i = 0; i < 20; i++) {
-            b.module.probed(b.pass(100_000).now, "a" + i % 2, Outcome.OK, 1_000, new LoadReport(50, 50));
+            b.module.probeCompleted(b.pass(100_000).now, "a" + i % 2, Outcome.OK, 1_000, new LoadReport(50, 50));
         }
         assertEquals("refuse", b.request(Bench.SAFE).what());
         assertEquals("send", b.pass(1_400_000).request(Bench.SAFE).what());
@@ -558,7 +558,7 @@
         loadHead(b, "a0", 200);
         assertEquals("refuse", b.request(Bench.SAFE).what());
         for (int i = 0; i < 12; i++) {
-            b.module.probed(b.pass(1_000_000).now, "a0", Outcome.OK, 1_000, new LoadReport(1, 1));
+            b.module.probeCompleted(b.pass(1_000_000).now, "a0", Outcome.OK, 1_000, new LoadReport(1, 1));
         }
         assertEquals("send", b.request(Bench.SAFE).what());
     }
--- a/core/src/test/java/dapplequay/RulesTest.java
+++ b/core/src/test/java/dapplequay/RulesTest.java
@@ -73,8 +73,8 @@
     void goneClientIsOwedNothing() {
         Bench b = new Bench().fleet(3, 0);
         Done send = b.request(Bench.SAFE);
-        b.module.gone(b.now, send.id());
-        b.module.gone(b.now, send.id());
+        b.module.clientLeft(b.now, send.id());
+        b.module.clientLeft(b.now, send.id());
         assertNull(b.outcome(send, Outcome.ERROR));
     }
 
@@ -105,7 +105,7 @@
             b.pass(50_000).answered(Bench.SAFE, 1);
         }
         for (int i = 0; i < 100; i++) {
-            b.pass(100_000).module.probed(b.now, "a" + i % 2, Outcome.OK, 1_000, new LoadReport(20, 20));
+            b.pass(100_000).module.probeCompleted(b.now, "a" + i % 2, Outcome.OK, 1_000, new LoadReport(20, 20));
         }
         assertEquals("send", b.request(Bench.SAFE, Bench.LEFT).what());
         assertEquals("refuse", b.request(Bench.SAFE, 400_000).what());
@@ -193,7 +193,7 @@
             Done send = b.request(type);
             for (int i = 0; i < 6; i++) {
                 for (String host : List.of("a0", "a1")) {
-                    b.module.probed(b.pass(20_000).now, host, Outcome.OK, 1_000, new LoadReport(200, 200));
+                    b.module.probeCompleted(b.pass(20_000).now, host, Outcome.OK, 1_000, new LoadReport(200, 200));
                 }
             }
             assertEquals("refuse", b.request(type).what(), "nobody has room");
--- a/core/src/test/java/dapplequay/facade/FacadeTest.java
+++ b/core/src/test/java/dapplequay/facade/FacadeTest.java
@@ -200,7 +200,7 @@
         calls.clear();
         now.addAndGet(1_000_000);
         facade.tick();
-        assertThat(calls).as("the timer that met the fault came again").contains("timer");
+        assertThat(calls).as("the timer that met the fault came again").contains("timerFired");
         facade.awaitWatch(Long.MAX_VALUE);
     }
 
@@ -227,7 +227,7 @@
         Setup setup = changed("\"send_cap\": 3", "\"send_cap\": 3");
         facade = new Facade(setup, 7, now::get, line -> { },
                 actions -> around(new Balance(setup.settings(), 7, actions), call -> { }, call -> {
-                    if (call.equals("retune")) {
+                    if (call.equals("reconfigure")) {
                         throw new IllegalStateException("after it went over");
                     }
                 }));
--- a/sidecar/src/main/java/dapplequay/benchlink/Instances.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/Instances.java
@@ -213,13 +213,13 @@
             }
             case "VANISHED" -> {
                 long id = need(e.request, "req", e);
-                return () -> module.gone(now, id);
+                return () -> module.clientLeft(now, id);
             }
             case "TIMEOUT_FIRED" -> {
                 long token = need(e.token, "cookie", e);
                 return () -> {
                     if (!instance.asking().timerFired(token)) {
-                        module.timer(now, token);
+                        module.timerFired(now, token);
                     }
                 };
             }
@@ -228,7 +228,7 @@
                 Outcome outcome = outcome(e);
                 long took = e.took == null ? 0 : e.took;
                 LoadReport report = report(e);
-                return () -> module.probed(now, host, outcome, took, report);
+                return () -> module.probeCompleted(now, host, outcome, took, report);
             }
             default -> {
                 // A peer's note: this design shares nothing between balancers, so there is nobody to tell.
--- a/sidecar/src/main/java/dapplequay/benchlink/WireActions.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/WireActions.java
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public void timer(long afterUs, long token) {
+    public void setTimer(long afterUs, long token) {
         out.action("SET_TIMER", instance).field("after_us", afterUs).field("cookie", token).end();
     }
 
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void tell(int position, byte[] note) {
+    public void sendToPeer(int position, byte[] note) {
         out.action("WRITE_PEER", instance);
         if (position < 0) {
             out.field("peer", "all");
--- a/sidecar/src/test/java/dapplequay/benchlink/WireActionsTest.java
+++ b/sidecar/src/test/java/dapplequay/benchlink/WireActionsTest.java
@@ -20,13 +20,13 @@
         actions.cancel(1, 0);
         actions.refuse(2, 50);
         actions.fail(3);
-        actions.timer(7, Long.MAX_VALUE);
+        actions.setTimer(7, Long.MAX_VALUE);
         actions.watchFleet(false);
         actions.fetchFleet();
         actions.probe("h:2");
         actions.closeIdle("h:3");
-        actions.tell(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
-        actions.tell(2, new byte[0]);
+        actions.sendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8));
+        actions.sendToPeer(2, new byte[0]);
         actions.log("said \"so\"");
         out.close();
         String p = ",\"proxy_id\":\"proxy-4\"";
