--- a/core/src/main/java/dapplequay/membership/ListCallBackoff.java
+++ b/core/src/main/java/dapplequay/membership/ListCallBackoff.java
@@ -4,41 +4,45 @@
 import java.util.SplittableRandom;
 
 /**
- * When an instance asks for the list. Pure: no clock; pauses are in microseconds. One of many asks a discovery service
- * that does not grow with them. Their first questions are spread over half of the time within which each has to ask, by
- * the instance's number; after a failure an instance backs off, doubling, with jitter over half of the pause. (On
- * sockets {@link ListCallTiming} goes before that: what discovery has counts as told soon after it is back.) An agent of its
- * own, to which lists are pushed, it asks at once: what the agent has counts as told, so that a pause after a
- * failed call takes from the drain's grace.
+ * Computes the pauses before calls to discovery. Pure: no clock; pauses are in microseconds.
+ *
+ * <p>If all instances ask one discovery service, which does not grow with them, their first calls are spread by the
+ * instance's number over half of the time within which each has to ask. After a failure an instance backs off
+ * exponentially, with jitter over half of the pause. (On sockets {@link ListCallTiming} takes precedence, as what
+ * discovery has counts as told soon after it is back.)
+ *
+ * <p>An agent beside the instance, to which lists are pushed, is asked at once. What the agent has counts as told, so
+ * that a pause after a failed call uses up part of the drain's grace.
  */
 public final class ListCallBackoff {
-    /** Share of ask_within over which the first questions are spread: the rest is room for failures. */
-    private static final double SPREAD = 0.5;
-    /** First pause after a failed question, us; doubles up to the spread. */
-    private static final long BACKOFF_US = 1_000_000;
-    private static final int MOST_DOUBLINGS = 10;
-    /** Share of the drain's grace that the longest pause of one who asks an agent takes: the rest is for the call. */
-    private static final double AGENT_SHARE = 0.125;
-    /** First pause after a failed call to an agent, us: that costs nobody anything. */
+    /** Share of ask_within over which the first calls are spread; the rest is left for failures. */
+    private static final double SPREAD_SHARE = 0.5;
+    /** First pause after a failed call; it doubles up to the spread. */
+    private static final long SERVICE_BACKOFF_US = 1_000_000;
+    private static final int MAX_DOUBLINGS = 10;
+    /** Share of the drain's grace that the longest pause before a call to an agent takes; the rest is for the call. */
+    private static final double AGENT_GRACE_SHARE = 0.125;
+    /** First pause after a failed call to an agent, whose calls are cheap. */
     private static final long AGENT_BACKOFF_US = 5_000;
 
     private final boolean asksService;
     private final long spreadUs;
-    private final double turn;
+    private final double position;
     private final SplittableRandom random;
     private int failures;
 
-    /** {@code turn}: from 0 up to 1, evenly spread over the instances. */
-    public ListCallBackoff(Discovery discovery, double turn, SplittableRandom random) {
+    /** @param position from 0 (inclusive) to 1 (exclusive), evenly spread over the instances */
+    public ListCallBackoff(Discovery discovery, double position, SplittableRandom random) {
         asksService = discovery.onRequest();
-        spreadUs = (long) (asksService ? discovery.askWithinUs() * SPREAD : discovery.drainGraceUs() * AGENT_SHARE);
-        this.turn = turn;
+        spreadUs = (long) (asksService ? discovery.askWithinUs() * SPREAD_SHARE
+                : discovery.drainGraceUs() * AGENT_GRACE_SHARE);
+        this.position = position;
         this.random = random;
     }
 
-    /** The pause before the first question after a start, at least 1. */
+    /** Returns the pause before the first call after a start, at least 1. */
     public long firstUs() {
-        return asksService ? 1 + (long) (spreadUs * turn) : 1;
+        return asksService ? 1 + (long) (spreadUs * position) : 1;
     }
 
     /** Discovery answered. */
@@ -46,10 +50,10 @@
         failures = 0;
     }
 
-    /** A question failed: the pause before the next one. */
+    /** Counts a failed call, and returns the pause before the next one. */
     public long failedUs() {
-        long first = asksService ? BACKOFF_US : AGENT_BACKOFF_US;
-        long pause = Math.min(first << Math.min(failures++, MOST_DOUBLINGS), Math.max(1, spreadUs));
-        return pause / 2 + random.nextLong(pause / 2 + 1);
+        long firstUs = asksService ? SERVICE_BACKOFF_US : AGENT_BACKOFF_US;
+        long pauseUs = Math.min(firstUs << Math.min(failures++, MAX_DOUBLINGS), Math.max(1, spreadUs));
+        return pauseUs / 2 + random.nextLong(pauseUs / 2 + 1);
     }
 }
--- a/core/src/main/java/dapplequay/membership/ListSubscription.java
+++ b/core/src/main/java/dapplequay/membership/ListSubscription.java
@@ -6,18 +6,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Whether an instance follows the server list, and when it asks for it; beside the decision module, which takes the
- * list as it comes. Pure: it asks and sets timers through the module's actions. Not thread-safe.
+ * Keeps an instance subscribed to the server list, beside the decision module, which takes each list as it comes. Pure:
+ * subscribes and sets timers through the module's actions. Not thread-safe.
  */
 public final class ListSubscription {
-    /** Of its timer; the module's tokens are above 0. */
-    private static final long TOKEN = 0;
+    /** Token of its timer; the module's tokens are above 0. */
+    private static final long TIMER_TOKEN = 0;
 
     private final Actions actions;
     private final SplittableRandom random;
     private boolean onRequest;
-    private ListCallBackoff pace;
-    private boolean following;
+    private ListCallBackoff backoff;
+    private boolean subscribed;
 
     public ListSubscription(Settings settings, long seed, Actions actions) {
         this.actions = actions;
@@ -27,28 +27,28 @@
 
     public void configure(Settings settings) {
         onRequest = settings.discovery().onRequest();
-        pace = new ListCallBackoff(settings.discovery(), PseudoRandom.evenlySpread(settings.position()), random);
+        backoff = new ListCallBackoff(settings.discovery(), PseudoRandom.evenlySpread(settings.position()), random);
     }
 
-    /** A list came and was taken over, or failed to come. */
+    /** A list has come and was taken over, or has failed to come. */
     public void listReceived(ListKind kind) {
         if (kind == ListKind.FAILED) {
-            following = false;
-            actions.setTimer(pace.failedUs(), TOKEN);
+            subscribed = false;
+            actions.setTimer(backoff.failedUs(), TIMER_TOKEN);
         } else if (kind != ListKind.RESTORED) {
-            following = true;
-            pace.answered();
+            subscribed = true;
+            backoff.answered();
         } else if (onRequest) {
-            // All instances start together and discovery does not grow with them: ask one after another.
-            actions.setTimer(pace.firstUs(), TOKEN);
+            // All instances start together and discovery does not grow with them: they ask one after another.
+            actions.setTimer(backoff.firstUs(), TIMER_TOKEN);
         }
     }
 
-    /** A timer ran off: whether it was one of these. */
+    /** Handles a timer; returns false if the timer is not this object's. */
     public boolean timerFired(long token) {
-        if (token == TOKEN && !following) {
+        if (token == TIMER_TOKEN && !subscribed) {
             actions.watchFleet(true);
         }
-        return token == TOKEN;
+        return token == TIMER_TOKEN;
     }
 }
--- a/sidecar/src/main/java/dapplequay/benchlink/Instances.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/Instances.java
@@ -28,7 +28,8 @@
     private final Sheet[] sheets = new Sheet[SHEETS];
     private long turn;
 
-    private record Instance(BalancerApi module, ListSubscription asking, SettingsReader.Setup setup, WireActions actions) { }
+    private record Instance(BalancerApi module, ListSubscription asking, SettingsReader.Setup setup,
+                            WireActions actions) { }
 
     /** A sheet as read, and as translated for the zones of the instances that used it last. */
     private static final class Sheet {
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -161,7 +161,8 @@
         conductor = new Conductor(facade, upstreams);
         upstreams.conductor(conductor);
         upstreams.onThreadShortage(threads::shortage);
-        ListCallTiming listClock = new ListCallTiming(() -> setup.settings().discovery(), new SplittableRandom(plan.seed()));
+        ListCallTiming listClock = new ListCallTiming(() -> setup.settings().discovery(),
+                new SplittableRandom(plan.seed()));
         discovery = new DiscoveryClient(plan.discovery(), table, facade, upstreams, memory, listClock, clock, figures);
     }
 
