--- a/core/src/main/java/dapplequay/AnswerTimes.java
+++ b/core/src/main/java/dapplequay/AnswerTimes.java
@@ -5,23 +5,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** What answers take, by class: running means, from a first guess on. Times in microseconds. */
+/** How long answers take, by service class: running means that begin with a guess. Times in microseconds. */
 final class AnswerTimes {
-    /** The first guess, as a share of the aim. */
-    static final double GUESS_SHARE = 0.1;
-    /** Weight of the newest answer in what its class takes. */
+    /** The first guess, as a share of the target latency. */
+    static final double GUESS_AIM_SHARE = 0.1;
+    /** Weight of the newest answer in the means of its class. */
     private static final double GAIN = 0.03;
 
-    private final Map<String, Times> byClass = new HashMap<>();
+    private final Map<String, ClassTimes> byClass = new HashMap<>();
 
-    private static final class Times {
-        /** Of the waits for them, from a guess on: silence is told by it. */
+    private static final class ClassTimes {
+        /** Mean wait for an answer, from the guess on; silent servers are recognised by it. */
         private double waitUs;
-        /** Of answers alone. */
+        /** Mean of what answers took, without the guess; 0: none has come. */
         private double tookUs;
         private int answers;
 
-        private Times(double guessUs) {
+        private ClassTimes(double guessUs) {
             waitUs = guessUs;
         }
 
@@ -31,22 +31,27 @@
         }
     }
 
-    /** The classes from now on; what is known of one stays. */
-    void use(List<ServiceClass> classes) {
-        classes.forEach(c -> byClass.putIfAbsent(c.name(), new Times(GUESS_SHARE * c.aimUs())));
+    /** Sets the classes; classes that are known keep their means. */
+    void configure(List<ServiceClass> classes) {
+        classes.forEach(c -> byClass.putIfAbsent(c.name(), new ClassTimes(GUESS_AIM_SHARE * c.aimUs())));
     }
 
-    /** An answer took so long by its server's doing; for the whole of it this side waited longer, or as long. */
+    /**
+     * Counts an answer.
+     *
+     * @param tookUs the time that is due to the server
+     * @param waitedUs the time for which this process waited for the whole answer; at least {@code tookUs}
+     */
     void answered(String serviceClass, long tookUs, long waitedUs) {
         byClass.get(serviceClass).add(tookUs, waitedUs);
     }
 
-    /** How long an attempt usually waits for its whole answer, from its start on; the guess while none has come. */
+    /** Returns how long an attempt usually waits for its whole answer; a guess before the first answer. */
     double usualWaitUs(String serviceClass) {
         return byClass.get(serviceClass).waitUs;
     }
 
-    /** The mean of the class whose answers take longest, of those that were answered; 0: none was. */
+    /** Returns the mean answer time of the class where it is longest; 0 if no request was answered. */
     double slowestUs() {
         return byClass.values().stream().mapToDouble(times -> times.tookUs).max().orElse(0);
     }
--- a/core/src/main/java/dapplequay/Balance.java
+++ b/core/src/main/java/dapplequay/Balance.java
@@ -9,249 +9,274 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of one balancer: buddy-set load sharing after Shin and Chang. A small buddy set in a fixed order; the
- * head takes a send unless that takes it past TH_v; then the first buddy in order whose share flag is set; else the
- * head. Only {@link #send} sends, only {@link #answer} answers. Instances share nothing. Not thread-safe.
+ * Makes all decisions of one balancer, by buddy-set load sharing (Shin and Chang). The balancer sends to a small buddy
+ * set in a fixed order: to the head, unless this takes the head past TH_v; then to the first buddy in order whose share
+ * flag is set; else to the head. Only {@link #send} sends, and only {@link #answer} answers. Instances share nothing.
+ * Not thread-safe.
  */
 public final class Balance implements BalancerApi {
-    /** A shorter time than this, us, is not worth an attempt: a network turn and the shortest work. */
+    /** No attempt is made with less time than this: a network round trip and the shortest work. */
     private static final long MIN_ATTEMPT_US = 2_000;
-    /** A connect that failed after a greater share of the aim than this may be this process's own lateness. */
-    private static final double LATE_SHARE = 0.5;
     /**
-     * A server is silent once its attempts have been waited for so many times as long as answers usually take, and
-     * nothing has come for as long as lies between two looks.
+     * A connect that took longer than this share of the shortest target latency before it failed tells nothing of the
+     * server: this process itself may have been late.
      */
-    private static final double SILENT_TIMES = 16;
-    /** How often that is looked at, as a share of the aim. */
-    private static final double WATCH_SHARE = 0.1;
-    private static final long WATCH_TOKEN = 1;
+    private static final double PROMPT_CONNECT_AIM_SHARE = 0.5;
+    /**
+     * A server counts as silent once its attempts together have waited this many times their usual answer time, and
+     * nothing has come from it for at least the interval between two checks.
+     */
+    private static final double SILENCE_MULTIPLE = 16;
+    /** The interval between checks for silent servers, as a share of the shortest target latency. */
+    private static final double SILENCE_CHECK_AIM_SHARE = 0.1;
+    private static final long SILENCE_CHECK_TOKEN = 1;
 
     private final Actions actions;
     final BuddySet set;
     private final ServerSelector selector;
     private final FailureDetector failureDetector;
-    private final Map<Long, PendingRequest> held = new LinkedHashMap<>();
-    private final Map<String, Long> longestLeft = new HashMap<>();  // per class: the try that clients grant
+    private final Map<Long, PendingRequest> pendingRequests = new LinkedHashMap<>();
+    /** By class name: the longest time left that a request came with, which is what clients grant a first try. */
+    private final Map<String, Long> longestLeftUs = new HashMap<>();
     private final AnswerTimes answerTimes = new AnswerTimes();
     private Settings settings;
     private TenantWorth tenants;
-    private boolean watching;
+    private boolean silenceTimerIsSet;
 
-    /** IllegalArgumentException, naming the setting, where one makes no sense. */
+    /** @throws IllegalArgumentException naming the setting that is illegal */
     public Balance(Settings settings, long seed, Actions actions) {
         this.actions = actions;
         set = new BuddySet(settings, new SplittableRandom(seed));
         failureDetector = new FailureDetector(set, actions);
         selector = new ServerSelector(set);
-        use(settings);
+        configure(settings);
     }
 
-    private void use(Settings next) {
+    private void configure(Settings next) {
         next.check(settings);
         settings = next;
-        set.use(next);
-        selector.use(next);
-        answerTimes.use(next.classes());
+        set.configure(next);
+        selector.configure(next);
+        answerTimes.configure(next.classes());
         tenants = new TenantWorth(next.tenants(), next.overShareWorth());
     }
 
     @Override
     public void reconfigure(long now, Settings next) {
-        use(next);
-        set.form(now);
+        configure(next);
+        set.rebuild(now);
     }
 
     @Override
     public void fleet(long now, ListKind kind, List<FleetEntry> entries) {
-        set.listed(now, kind == ListKind.FULL || kind == ListKind.RESTORED, entries);
+        set.updateList(now, kind == ListKind.FULL || kind == ListKind.RESTORED, entries);
     }
 
     @Override
-    public void request(long now, Request r) {
-        ServiceClass type = settings.classes().get(r.serviceClass());
-        // A try with less time than clients grant is a later one: the time before it is gone from the aim.
-        long longest = longestLeft.merge(type.name(), r.leftUs(), Math::max);
-        long elapsed = r.leftUs() < longest * 0.98 ? Math.max(0, type.deadlineUs() - r.leftUs()) : 0;
-        long useful = type.lateWorth() > 0 ? r.leftUs()
-                : Math.min(r.leftUs(), type.aimUs() + (long) (type.aimStretch() * r.costHintUs()) - elapsed);
-        double worth = (elapsed >= type.aimUs() ? type.lateWorth() : 1) * tenants.worth(r.tenant());
-        PendingRequest h = new PendingRequest(r, type, worth, now + useful, settings.limits().sendCap());
-        held.put(r.id(), h);
-        proceed(now, h);
+    public void request(long now, Request request) {
+        ServiceClass serviceClass = settings.classes().get(request.serviceClass());
+        // Less time left than clients grant a first try: a retry, and the time before it counts against the aim.
+        long longestUs = longestLeftUs.merge(serviceClass.name(), request.leftUs(), Math::max);
+        long elapsedUs = request.leftUs() < longestUs * 0.98
+                ? Math.max(0, serviceClass.deadlineUs() - request.leftUs()) : 0;
+        long usefulUs = serviceClass.lateWorth() > 0 ? request.leftUs()
+                : Math.min(request.leftUs(), serviceClass.aimUs()
+                        + (long) (serviceClass.aimStretch() * request.costHintUs()) - elapsedUs);
+        double worth = (elapsedUs >= serviceClass.aimUs() ? serviceClass.lateWorth() : 1)
+                * tenants.worth(request.tenant());
+        PendingRequest pending = new PendingRequest(request, serviceClass, worth, now + usefulUs,
+                settings.limits().sendCap());
+        pendingRequests.put(request.id(), pending);
+        proceed(now, pending);
     }
 
-    /** Sends the request on if anything may take it, and answers it otherwise. */
-    private void proceed(long now, PendingRequest h) {
-        Server s = h.usefulUntil - now < MIN_ATTEMPT_US ? null : selector.select(now, h, held.size());
-        if (s != null && h.mayGo(now, s, settings.limits())) {
-            send(now, h, s);
+    /** Sends the request if there is a server that may take it, and answers it otherwise. */
+    private void proceed(long now, PendingRequest pending) {
+        Server server = pending.usefulUntil - now < MIN_ATTEMPT_US ? null
+                : selector.select(now, pending, pendingRequests.size());
+        if (server != null && pending.maySendTo(now, server, settings.limits())) {
+            send(now, pending, server);
         } else {
-            answer(now, h);
+            answer(now, pending);
         }
     }
 
-    private void send(long now, PendingRequest h, Server s) {
-        actions.send(h.request.id(), s.host, Math.max(MIN_ATTEMPT_US, h.usefulUntil - now), h.beginBy());
-        h.sent(now, s);
-        s.sent(now);
-        set.zoneLoss.sent(now, s.zone);
-        s.turnsFrom = now;
-        s.turnPhase = 0;
-        if (!watching) {
-            watch(settings.limits().mayCancel());
+    private void send(long now, PendingRequest pending, Server server) {
+        actions.send(pending.request.id(), server.host, Math.max(MIN_ATTEMPT_US, pending.usefulUntil - now),
+                pending.beginBy());
+        pending.attemptSent(now, server);
+        server.attemptSent(now);
+        set.zoneLoss.attemptSent(now, server.zone);
+        server.coldTurnsFrom = now;
+        server.coldTurnPhase = 0;
+        if (!silenceTimerIsSet) {
+            scheduleSilenceCheck(settings.limits().mayCancel());
         }
     }
 
-    /** The one final answer. Refused where the client may safely try again, failed otherwise. */
-    private void answer(long now, PendingRequest h) {
-        held.remove(h.request.id());
-        if (h.isRefusable()) {
-            // Short of the aim: a client that came back after its deadline would not be served at all.
-            actions.refuse(h.request.id(), Math.min(settings.limits().maxRetryAfterUs(), h.type.aimUs() / 2));
+    /** Gives the one final answer: a refusal if the client may safely try again, a failure otherwise. */
+    private void answer(long now, PendingRequest pending) {
+        pendingRequests.remove(pending.request.id());
+        if (pending.isRefusable()) {
+            // Less than the aim: a client that came back after its deadline would not be served at all.
+            actions.refuse(pending.request.id(),
+                    Math.min(settings.limits().maxRetryAfterUs(), pending.serviceClass.aimUs() / 2));
         } else {
-            actions.fail(h.request.id());
+            actions.fail(pending.request.id());
         }
     }
 
     @Override
     public void attemptStarted(long now, long id) {
-        PendingRequest h = held.get(id);
-        if (h != null && h.out > 0) {
-            h.started(now);
-            h.last().started(now);
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending != null && pending.attemptsInFlight > 0) {
+            pending.attemptStarted(now);
+            pending.lastServer().attemptStarted(now);
         }
     }
 
     @Override
     public void streamStarted(long now, long id, int attempt) {
-        held.remove(id);              // the attempt is the client's now; nothing more is owed
+        pendingRequests.remove(id);
     }
 
     @Override
     public void outcome(long now, long id, int attempt, String host, Outcome outcome, long tookUs,
                         boolean closed, LoadReport report) {
-        Server s = set.servers.get(host);
-        PendingRequest h = closed ? held.remove(id) : held.get(id);
-        if (s != null) {
-            s.own = Math.max(0, s.own - (h != null && h.uploading ? 0 : 1));
-            learn(now, s, outcome, tookUs, report);
-            if (outcome == Outcome.OK && h != null) {
-                answerTimes.answered(h.type.name(), tookUs, h.waitedUs(now, tookUs));
-                set.slowestAnswer = answerTimes.slowestUs();
+        Server server = set.servers.get(host);
+        PendingRequest pending = closed ? pendingRequests.remove(id) : pendingRequests.get(id);
+        if (server != null) {
+            server.ownInFlight = Math.max(0, server.ownInFlight - (pending != null && pending.uploading ? 0 : 1));
+            learn(now, server, outcome, tookUs, report);
+            if (outcome == Outcome.OK && pending != null) {
+                answerTimes.answered(pending.serviceClass.name(), tookUs, pending.waitedUs(now, tookUs));
+                set.slowestAnswerUs = answerTimes.slowestUs();
             }
         }
-        if (h == null || closed) {
+        if (pending == null || closed) {
             return;
         }
-        h.ended(outcome.neverRan);
-        if (h.out == 0) {
-            proceed(now, h);
+        pending.attemptEnded(outcome.neverRan);
+        if (pending.attemptsInFlight == 0) {
+            proceed(now, pending);
         }
     }
 
-    private void learn(long now, Server s, Outcome outcome, long tookUs, LoadReport report) {
-        // No answer at all since the attempt began: the machine is gone, which tells nothing of queues.
-        boolean silent = outcome == Outcome.TIMEOUT && s.answeredAt <= now - tookUs && (s.own > 0 || s.trial);
+    /** Updates what is known of a server and its zone from the outcome of an attempt. */
+    private void learn(long now, Server server, Outcome outcome, long tookUs, LoadReport report) {
+        // No answer at all since the attempt began: the machine is lost, which tells nothing of its queue.
+        boolean silent = outcome == Outcome.TIMEOUT && server.lastAnswerAt <= now - tookUs
+                && (server.ownInFlight > 0 || server.suspected);
         boolean answered = outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REFUSED;
-        s.answeredAt = answered ? now : s.answeredAt;
-        s.outcomeAt = now;
-        s.turnPhase -= outcome == Outcome.OK ? 0 : 1;     // a cold one that did not serve misses a turn
-        boolean nobody = silent || outcome == Outcome.CONNECT_FAILED && tookUs < LATE_SHARE * set.leastAim;
-        boolean met = answered || outcome == Outcome.RESET;     // what was given up met nobody, nor did it not
-        if ((nobody || met) && set.zoneLoss.ended(s.zone, nobody)) {
-            // What is back has started anew, long before the list says so.
-            set.servers.values().stream().filter(o -> met && o.zone == s.zone).forEach(o -> o.startedCold(now, now));
-            set.form(now);
-            actions.log((met ? "zone back: " : set.zoneLoss.isLost(s.zone) ? "zone lost: " : "no zone answers: ")
-                    + settings.zones().get(s.zone));
+        server.lastAnswerAt = answered ? now : server.lastAnswerAt;
+        server.lastOutcomeAt = now;
+        server.coldTurnPhase -= outcome == Outcome.OK ? 0 : 1;     // a cold server that did not serve misses a turn
+        boolean unreachable = silent || outcome == Outcome.CONNECT_FAILED
+                && tookUs < PROMPT_CONNECT_AIM_SHARE * set.shortestAimUs;
+        // An attempt that was given up proves neither.
+        boolean reachable = answered || outcome == Outcome.RESET;
+        if ((unreachable || reachable) && set.zoneLoss.attemptEnded(server.zone, unreachable)) {
+            // Servers of a zone that is back have restarted, long before the list says so.
+            set.servers.values().stream().filter(o -> reachable && o.zone == server.zone)
+                    .forEach(o -> o.beginColdStart(now, now));
+            set.rebuild(now);
+            actions.log((reachable ? "zone back: " : set.zoneLoss.isLost(server.zone) ? "zone lost: "
+                    : "no zone answers: ") + settings.zones().get(server.zone));
         }
-        failureDetector.judge(now, s, outcome, silent);
-        s.heard(now, report);
-        if (outcome == Outcome.OK && report != null && s.reportAt == now) {
-            s.answered(tookUs);
+        failureDetector.judge(now, server, outcome, silent);
+        server.reportReceived(now, report);
+        if (outcome == Outcome.OK && report != null && server.lastReportAt == now) {
+            server.answerReceived(tookUs);
         }
     }
 
-    /** Gives up the attempts at servers that have fallen silent, where others may still serve the requests. */
+    /** Cancels attempts at servers that have fallen silent, where other servers may still serve the requests. */
     @Override
     public void timerFired(long now, long token) {
-        countWaits(now);
+        updateAwaitedMultiples(now);
         set.servers.values().stream().filter(s -> isSilent(now, s)).forEach(s -> {
             failureDetector.silent(now, s);
-            held.values().stream().filter(h -> waitsFor(s, h) && mayGoElsewhere(now, h)).forEach(this::giveUp);
+            pendingRequests.values().stream().filter(p -> waitsFor(s, p) && mayUseAnotherServer(now, p))
+                    .forEach(this::cancelAttempt);
         });
         set.shrink(now);
-        watch(!held.isEmpty());
+        scheduleSilenceCheck(!pendingRequests.isEmpty());
     }
 
-    /** How long the attempts at each server have waited, in times that their answers usually take. */
-    private void countWaits(long now) {
-        set.servers.values().forEach(s -> s.awaited = 0);
-        held.values().stream().filter(h -> h.out > 0 && !h.uploading).forEach(h ->
-                h.last().awaited += Math.max(0, h.awaitedUs(now)) / answerTimes.usualWaitUs(h.type.name()));
+    /** Sums up for each server how long its attempts have waited, each in multiples of its usual answer time. */
+    private void updateAwaitedMultiples(long now) {
+        set.servers.values().forEach(s -> s.awaitedMultiple = 0);
+        pendingRequests.values().stream().filter(p -> p.attemptsInFlight > 0 && !p.uploading).forEach(p ->
+                p.lastServer().awaitedMultiple +=
+                        Math.max(0, p.awaitedUs(now)) / answerTimes.usualWaitUs(p.serviceClass.name()));
     }
 
-    private static boolean waitsFor(Server s, PendingRequest h) {
-        return h.out == 1 && !h.uploading && h.last() == s && h.cut < h.attempts.size();
+    private static boolean waitsFor(Server server, PendingRequest pending) {
+        return pending.attemptsInFlight == 1 && !pending.uploading && pending.lastServer() == server
+                && pending.attemptsWhenCancelled < pending.attempts.size();
     }
 
-    private boolean mayGoElsewhere(long now, PendingRequest h) {
-        return set.buddies.stream().anyMatch(o -> !o.trial && selector.usable(now, h, o));
+    private boolean mayUseAnotherServer(long now, PendingRequest pending) {
+        return set.buddies.stream().anyMatch(o -> !o.suspected && selector.isUsable(now, pending, o));
     }
 
-    private void giveUp(PendingRequest h) {
-        h.cut = h.attempts.size();
-        actions.cancel(h.request.id(), h.cut - 1);
+    private void cancelAttempt(PendingRequest pending) {
+        pending.attemptsWhenCancelled = pending.attempts.size();
+        actions.cancel(pending.request.id(), pending.attemptsWhenCancelled - 1);
     }
 
-    /** A pause of this process or of the machine is no silence: a short one is many times a quick answer. */
-    private boolean isSilent(long now, Server s) {
-        return now >= s.shunUntil && s.awaited >= SILENT_TIMES && now - s.silentSince() >= WATCH_SHARE * set.leastAim;
+    /**
+     * True if the server has been silent both in multiples of its answer time and for the interval between two checks.
+     * Even a short pause of this process or machine is a large multiple of a quick answer's time.
+     */
+    private boolean isSilent(long now, Server server) {
+        return now >= server.avoidedUntil && server.awaitedMultiple >= SILENCE_MULTIPLE
+                && now - server.silentSince() >= SILENCE_CHECK_AIM_SHARE * set.shortestAimUs;
     }
 
-    private void watch(boolean wanted) {
-        watching = wanted;
+    private void scheduleSilenceCheck(boolean wanted) {
+        silenceTimerIsSet = wanted;
         if (wanted) {
-            actions.setTimer(Math.max(1, (long) (WATCH_SHARE * set.leastAim)), WATCH_TOKEN);
+            actions.setTimer(Math.max(1, (long) (SILENCE_CHECK_AIM_SHARE * set.shortestAimUs)), SILENCE_CHECK_TOKEN);
         }
     }
 
     @Override
     public int outOfRotationCount() {
         return (int) set.servers.values().stream().filter(s -> s.draining
-                || s.ready && (s.trial || set.zoneLoss.isLost(s.zone))).count();
+                || s.ready && (s.suspected || set.zoneLoss.isLost(s.zone))).count();
     }
 
     @Override
     public void bodyProgress(long now, long id, BodyStage stage) {
-        PendingRequest h = held.get(id);
-        if (h == null || h.attempts.isEmpty()) {
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending == null || pending.attempts.isEmpty()) {
             return;
         }
-        Server s = h.last();
+        Server server = pending.lastServer();
         if (stage == BodyStage.BUFFER_EXCEEDED) {
-            h.sendCap = h.attempts.size();
+            pending.sendCap = pending.attempts.size();
         } else if (stage == BodyStage.ARRIVING) {
-            h.uploading = true;
-            s.own--;
-        } else if (h.uploading) {
-            h.uploading = false;
-            h.usefulUntil = now + h.request.leftUs();
-            h.started(now);
-            s.sent(now);
-            s.started(now);
+            pending.uploading = true;
+            server.ownInFlight--;
+        } else if (pending.uploading) {
+            pending.uploading = false;
+            pending.usefulUntil = now + pending.request.leftUs();
+            pending.attemptStarted(now);
+            server.attemptSent(now);
+            server.attemptStarted(now);
         }
     }
 
     @Override
     public void clientLeft(long now, long id) {
-        bodyProgress(now, id, BodyStage.COMPLETE);      // the end of its attempt, still to come, counts as any other
-        held.remove(id);
+        // Ends a pending upload, so that the outcome of its attempt, still to come, is counted like any other.
+        bodyProgress(now, id, BodyStage.COMPLETE);
+        pendingRequests.remove(id);
     }
 
     @Override
     public void probeCompleted(long now, String host, Outcome outcome, long tookUs, LoadReport report) {
-        set.servers.values().stream().filter(s -> s.host.equals(host)).forEach(s -> s.heard(now, report));
+        set.servers.values().stream().filter(s -> s.host.equals(host)).forEach(s -> s.reportReceived(now, report));
     }
 }
--- a/core/src/main/java/dapplequay/BalancerApi.java
+++ b/core/src/main/java/dapplequay/BalancerApi.java
@@ -3,23 +3,25 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module {@link Balance}: its values, the events that go in as method
- * calls and the actions that come out. All times are microseconds; {@code now} is any clock that never runs
- * backwards.
+ * The whole interface of the decision module {@link Balance}: its values, the events that come in as method calls, and
+ * the actions that go out. All times are microseconds; {@code now} is the time of the event on any monotonic clock.
  */
 public interface BalancerApi {
 
-    /** What repeating a request may do. */
+    /**
+     * Whether a request may run twice. RETRYABLE: always, repeats do no harm. DEDUP: servers discard repeats that reach
+     * them within a time window. FRAGILE: never.
+     */
     enum Semantics { RETRYABLE, DEDUP, FRAGILE }
 
-    /** Which servers discard the repeats of a {@link Semantics#DEDUP} request. */
+    /** Which servers share the memory that discards repeats of a {@link Semantics#DEDUP} request. */
     enum Group { ALL, ZONE, CELL }
 
     enum HostState { READY, DRAINING, REMOVED }
 
     /**
-     * DELTA: changed entries only. FULL: the whole list. RESTORED: as last held before a restart. FAILED: none;
-     * for whoever asks for the list, and nothing to the module.
+     * What a fleet update holds. DELTA: only the entries that changed. FULL: the whole list. RESTORED: the whole list
+     * as it was saved before a restart. FAILED: no list, as a call to discovery failed; the module ignores it.
      */
     enum ListKind { DELTA, FULL, RESTORED, FAILED }
 
@@ -28,7 +30,7 @@
         OK(false), ERROR(false), REFUSED(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
         CANCELLED(false), NOT_SENT(true);
 
-        /** True if the outcome proves that the attempt never ran. */
+        /** True if the outcome proves that no server ran the attempt. */
         public final boolean neverRan;
 
         Outcome(boolean neverRan) {
@@ -36,7 +38,12 @@
         }
     }
 
-    /** One class of request. {@code importance} is the worth of a request of it. */
+    /**
+     * One class of requests. {@code aimUs} is the target latency, extended by {@code aimStretch} times the cost hint of
+     * a request; {@code lateWorth} is the share of its worth that an answer after the target still has. {@code
+     * importance} is the worth of one request. {@code windowUs} is how long servers of {@code group} remember a request
+     * to discard its repeats.
+     */
     record ServiceClass(String name, long aimUs, double aimStretch, long deadlineUs, double lateWorth,
                         double importance, Semantics semantics, Group group, long windowUs,
                         boolean streamed) { }
@@ -44,24 +51,36 @@
     record Tenant(String name, double share, double quotaPerS) { }
 
     /**
-     * When the list has to be asked for, an instance that neither watches nor asks for so long counts as
-     * told. Where it is pushed, an agent beside the instance holds it, and whatever the agent has counts as told;
-     * sends to what drains or is gone end {@code drainGraceUs} after being told.
+     * How the server list is obtained. With {@code onRequest}, each instance asks a shared service, and has to do so at
+     * least every {@code askWithinUs}: after that it counts as informed of every change. Otherwise lists are pushed to
+     * an agent beside the instance, and the instance counts as informed of whatever the agent has. Sends to a server
+     * that drains or is removed must end {@code drainGraceUs} after the instance counts as informed.
      */
     record Discovery(boolean onRequest, long askWithinUs, long drainGraceUs) { }
 
+    /**
+     * What the site permits. {@code sendCap}: most attempts for a request. {@code secondCopies}: a second attempt may
+     * go out while the first is in flight.
+     */
     record Limits(int sendCap, boolean mayCancel, boolean secondCopies, boolean probing, boolean retryAfter,
                   long maxRetryAfterUs) { }
 
+    /**
+     * How a server warms up. {@code from} is the share of its capacity that it has at its start; it has all of it after
+     * {@code warmUpUs}. It fails if it holds more than {@code tipMultiple} times what it can serve at present for
+     * {@code tipAfterUs}.
+     */
     record ColdStart(double from, long warmUpUs, double tipMultiple, long tipAfterUs) { }
 
     /**
-     * Points taken off the result: a zone crossed by each request, host work that served nothing, and so on.
+     * What is deducted from the result: for a request that crosses zones, for server work that served no client, for a
+     * late failure, for a probe and for a handshake.
      */
     record Prices(double crossZone, double waste, double lateFail, double probe, double handshake) { }
 
     /**
-     * What one instance is set to, until it is retuned. Zones, classes and tenants are named below by their index.
+     * The settings of one instance. {@code position} is its number among {@code balancers} instances. Elsewhere in this
+     * interface, zones, service classes and tenants are given by their index in these lists.
      */
     record Settings(int position, int balancers, int zone, List<String> zones, List<ServiceClass> classes,
                     List<Tenant> tenants, double overShareWorth, Discovery discovery, Limits limits,
@@ -73,8 +92,11 @@
         }
 
         /**
-         * IllegalArgumentException, naming the setting, where one makes no sense, or where the zones are others than
-         * in {@code before} (null: there are none before): what is known of servers is kept by zone.
+         * Checks that the settings are legal. Zones can't change while the process runs, as what is known of servers is
+         * kept by zone index.
+         *
+         * @param before the settings in use; null if there are none
+         * @throws IllegalArgumentException naming the setting that is illegal
          */
         public void check(Settings before) {
             check(balancers >= 1, "balancers");
@@ -84,42 +106,49 @@
             check(!classes.isEmpty(), "classes");
             check(limits.sendCap() >= 1, "sendCap");
             check(coldStart.from() >= 0 && coldStart.warmUpUs() >= 0, "coldStart");
-            for (ServiceClass c : classes) {
-                check(c.aimUs() > 0, "aimUs of " + c.name());
-                check(c.deadlineUs() > 0, "deadlineUs of " + c.name());
+            for (ServiceClass serviceClass : classes) {
+                check(serviceClass.aimUs() > 0, "aimUs of " + serviceClass.name());
+                check(serviceClass.deadlineUs() > 0, "deadlineUs of " + serviceClass.name());
             }
         }
 
-        private static void check(boolean good, String setting) {
-            if (!good) {
+        private static void check(boolean isLegal, String setting) {
+            if (!isLegal) {
                 throw new IllegalArgumentException("illegal setting: " + setting);
             }
         }
     }
 
-    /** How far the body of a request has come that is passed on while it comes, after its first part was held. */
+    /** Progress of a request body that is forwarded while it is still arriving, because it exceeds the buffer. */
     enum BodyStage {
-        /** An attempt has been sent; it can't run before the body is whole. */
+        /** An attempt was sent; it can't run before the body is complete. */
         ARRIVING,
-        /** More has been passed on than is held: there can be no further attempt. */
+        /** More was forwarded than is buffered: there can be no further attempt. */
         BUFFER_EXCEEDED,
-        /** The last byte was written; the request's time, and the attempt's, begin now. */
+        /** The last byte was written; the time of the request and of the attempt begins now. */
         COMPLETE
     }
 
-    /** One line of the server list; {@code startedUs} 0: long ago. */
+    /** One entry of the server list. {@code startedUs} is when the server started; 0: long ago. */
     record FleetEntry(String host, int zone, int cell, HostState state, double weight, long startedUs) { }
 
-    /** A server's load as it last told it; NaN: not told. */
+    /** A server's load as it last reported it: requests waiting and requests in its hands; NaN: not reported. */
     record LoadReport(double queue, double inFlight) { }
 
-    /** A client's request. {@code tenant} -1: none. {@code key} may be null. {@code costHintUs} 0: none. */
+    /**
+     * A client's request. {@code tenant} is -1 if there is none, {@code key} may be null, {@code leftUs} is the time
+     * left of its deadline, {@code costHintUs} is 0 if there is no hint.
+     */
     record Request(long id, int serviceClass, int tenant, String key, long leftUs, long costHintUs,
                    boolean clientRetry) { }
 
     // ---- events in ----
 
-    /** Other settings from now on; IllegalArgumentException, and no change, where one makes no sense. */
+    /**
+     * Replaces the settings.
+     *
+     * @throws IllegalArgumentException if a setting is illegal; then nothing has changed
+     */
     void reconfigure(long now, Settings next);
 
     void fleet(long now, ListKind kind, List<FleetEntry> entries);
@@ -127,64 +156,70 @@
     void request(long now, Request request);
 
     /**
-     * The request's last attempt is held back on this side no longer: it is connected for, or written, from now on.
-     * Comes after the decision and before the attempt's outcome, or not at all.
+     * The last attempt of the request is no longer delayed by this process: from now on it is being connected or
+     * written. Comes after the decision and before the outcome of the attempt, or not at all.
      */
     void attemptStarted(long now, long id);
 
-    /** The answer of a streamed class has begun: this attempt is the client's from here on. */
+    /** The answer of a streamed class has begun: from now on the attempt belongs to the client. */
     void streamStarted(long now, long id, int attempt);
 
-    /** {@code closed}: the request has its final answer. {@code report} may be null. */
+    /**
+     * An attempt has ended.
+     *
+     * @param closed true if the request has its final answer
+     * @param report may be null
+     */
     void outcome(long now, long id, int attempt, String host, Outcome outcome, long tookUs, boolean closed,
                  LoadReport report);
 
-    /** A long request's body: how far it has come. Never told of requests that were held whole when they came. */
+    /** The body of a long request has progressed. Never called for requests that were complete when they came. */
     void bodyProgress(long now, long id, BodyStage stage);
 
-    /** The client has left; nothing more is owed. */
+    /** The client has left; the request needs no answer. */
     void clientLeft(long now, long id);
 
     void timerFired(long now, long token);
 
-    /** How many listed servers get no ordinary traffic at present: they drain, failed, or their zone is lost. */
+    /** Returns how many listed servers get no ordinary traffic: they drain or failed, or their zone is lost. */
     int outOfRotationCount();
 
     void probeCompleted(long now, String host, Outcome outcome, long tookUs, LoadReport report);
 
     // ---- actions out ----
 
-    /** Carried out by the embedding program, in the order called, at the time of the event in hand. */
+    /** Carried out by the embedding program, in the order of the calls, at the time of the event being handled. */
     interface Actions {
         /**
-         * The attempts of a request are numbered 0, 1, 2 ... in the order of these calls. {@code beginBy}: its first
-         * byte may not go out at this time or later, as the window for repeats would be over; it is then NOT_SENT.
-         * Long.MAX_VALUE: at any time.
+         * Sends an attempt. The attempts of a request are numbered 0, 1, 2 ... in the order of these calls.
+         *
+         * @param beginBy the attempt's first byte must go out before this time, as servers discard repeats only within
+         *     a window; otherwise its outcome is NOT_SENT. Long.MAX_VALUE: no limit
          */
         void send(long id, String host, long timeoutUs, long beginBy);
 
         void cancel(long id, int attempt);
 
-        /** Final answer: a new try is harmless; {@code pauseUs} 0: no advice. */
+        /** Final answer: the client may safely try again, after {@code pauseUs}; 0: no advice on when. */
         void refuse(long id, long pauseUs);
 
-        /** Final answer: no promise about effects. */
+        /** Final answer: the request may or may not have run. */
         void fail(long id);
 
         void setTimer(long afterUs, long token);
 
-        /** Subscribe to the list's changes, or end that; FAILED or a change answers. */
+        /** Subscribes to changes of the list, or unsubscribes; a change or FAILED is the answer. */
         void watchFleet(boolean on);
 
-        /** Ask for the whole list once. */
+        /** Asks for the whole list once. */
         void fetchFleet();
 
         void probe(String host);
 
-        /** Close the idle connections to a host. */
+        /** Closes the idle connections to a host. */
         void closeIdle(String host);
 
-        /** Bytes to one balancer by position, or to all with -1. Not used: balancers share nothing. */
+        /** Sends bytes to the balancer at a position, or to all with -1. Unused, as balancers share nothing. */
         void sendToPeer(int position, byte[] note);
 
         void log(String line);
--- a/core/src/main/java/dapplequay/BuddySet.java
+++ b/core/src/main/java/dapplequay/BuddySet.java
@@ -7,180 +7,203 @@
 import java.util.*;
 import java.util.stream.IntStream;
 
-/** The servers that are listed, and the few of them, in a fixed order, that this balancer sends to. */
+/** The listed servers, and the few of them, in a fixed order, that this balancer sends to: its buddies. */
 final class BuddySet {
-    /** Buddies; the paper finds 10 to 15 enough at any fleet size, and each buddy may cost a connection. */
-    private static final int SIZE = 12;
-    // Past TH_v everywhere by this share of its own doing a set grows, to so many a request held; shrinks after this.
-    private static final int PER_HELD = 3;
-    private static final double OWN_SHARE = 0.5;
-    private static final long SHRINK_US = 2_000_000;
-    /** Buddies of other zones at least, so that an overloaded zone can spill. */
-    private static final int FOREIGN = 6;
-    /** Buddies kept in lost zones: to try, one after the other, whether they are back. */
-    private static final int LOST = 2;
-    // In a key's order another zone's lie further away by this, over the square of what is held for each worked on.
-    private static final double FOREIGN_LEAN = 0.7;
-    private static final double LEAST_BUSY = 0.05;
-
-    final Map<String, Server> servers = new LinkedHashMap<>();    // all that are listed, in the order met
+    /** Buddies at first; the paper finds 10 to 15 enough at any fleet size, and each buddy may cost a connection. */
+    private static final int BASE_SIZE = 12;
+    /** The set grows to at most this many buddies for each request held by this balancer. */
+    private static final int MAX_BUDDIES_PER_REQUEST = 3;
+    /** The set grows only if more than this share of its load comes from this balancer. */
+    private static final double MIN_OWN_LOAD_SHARE = 0.5;
+    /** The set shrinks by one when its size has not changed for this long. */
+    private static final long SHRINK_AFTER_US = 2_000_000;
+    /** At least this many buddies are of other zones, so that an overloaded zone can spill. */
+    private static final int MIN_FOREIGN = 6;
+    /** Buddies kept in lost zones, to try one after the other whether they are back. */
+    private static final int LOST_ZONE_BUDDIES = 2;
+    /**
+     * How much further down a key's order a server of another zone lies: by this factor, divided by the square of the
+     * buddies' load per unit of weight.
+     */
+    private static final double FOREIGN_KEY_PENALTY = 0.7;
+    /** The least load per unit of weight for which {@link #FOREIGN_KEY_PENALTY} is computed. */
+    private static final double MIN_LOAD_PER_WEIGHT = 0.05;
+
+    /** All listed servers by host, in the order in which they were first listed. */
+    final Map<String, Server> servers = new LinkedHashMap<>();
+    /** In order of preference. */
     List<Server> buddies = List.of();
-    double senders = 1;           // how many have a server in their sets: what each does now and then, so many do
-    double leastAim;
-    double held = 1;              // of all answered sends, as per server
-    double took;
-    int answers = 1;              // the guess at the start counts as one
-    double slowestAnswer;         // what answers take in the class that takes longest, us; 0: there was none
-    double failures;              // share of sends that fail, at all servers: running mean
-    ColdBudget cold;
+    /** How many balancers have a given server in their sets, on average; each is assumed to do as this one does. */
+    double balancersPerServer = 1;
+    double shortestAimUs;
+    /** Requests in flight per unit of weight at the answering server, as reported: running mean of all answers. */
+    double meanInFlightPerWeight = 1;
+    /** What answers take: running mean of all answers. */
+    double meanAnswerUs;
+    /** Answers in the means; the initial guess counts as one. */
+    int answerCount = 1;
+    /** What answers take in the class where they take longest; 0: none has come. */
+    double slowestAnswerUs;
+    /** Share of the attempts at all servers that fail: running mean. */
+    double failureShare;
+    ColdBudget coldBudget;
     final SplittableRandom random;
     ZoneLoss zoneLoss;
     Settings settings;
-    private int size = SIZE;
+    private int targetSize = BASE_SIZE;
     private long resizedAt;
 
     BuddySet(Settings settings, SplittableRandom random) {
         this.random = random;
-        zoneLoss = new ZoneLoss(settings.zones().size(), 3 * FailureDetector.SHUN_US);
+        zoneLoss = new ZoneLoss(settings.zones().size(), 3 * FailureDetector.AVOID_US);
     }
 
     /**
-     * Time per request held and unit of size (Little's law), us. Where no count is told it is a guess, but no more than
-     * an answer takes: that is at least its work.
+     * Returns the mean time of an answer per request in flight and unit of weight (Little's law), us. Without a
+     * reported count it is a guess, limited to what an answer takes, which is at least its work.
      */
-    double pace() {
-        boolean isGuess = answers == 1;
-        return isGuess && slowestAnswer > 0 ? Math.min(took, slowestAnswer) : took / held;
+    double paceUs() {
+        boolean isGuess = answerCount == 1;
+        return isGuess && slowestAnswerUs > 0 ? Math.min(meanAnswerUs, slowestAnswerUs)
+                : meanAnswerUs / meanInFlightPerWeight;
     }
 
-    void use(Settings next) {
+    void configure(Settings next) {
         settings = next;
-        leastAim = next.classes().stream().mapToLong(ServiceClass::aimUs).min().getAsLong();
-        took = took == 0 ? AnswerTimes.GUESS_SHARE * leastAim : took;
-        cold = new ColdBudget(next.coldStart());
+        shortestAimUs = next.classes().stream().mapToLong(ServiceClass::aimUs).min().getAsLong();
+        meanAnswerUs = meanAnswerUs == 0 ? AnswerTimes.GUESS_AIM_SHARE * shortestAimUs : meanAnswerUs;
+        coldBudget = new ColdBudget(next.coldStart());
     }
 
-    /** A list, or its changes where it is not {@code whole}: a whole one leaves out what is gone. */
-    void listed(long now, boolean whole, List<FleetEntry> entries) {
+    /** Takes over a list: the whole one, where what is not in it is removed, or else only the entries that changed. */
+    void updateList(long now, boolean whole, List<FleetEntry> entries) {
         if (whole) {
             servers.values().forEach(s -> s.ready = s.draining = false);
         }
         boolean changed = whole;
-        for (FleetEntry e : entries) {
-            changed |= note(now, e);
+        for (FleetEntry entry : entries) {
+            changed |= updateServer(now, entry);
         }
         if (changed) {
-            form(now);
-            servers.values().removeIf(s -> !s.ready && s.own == 0 && !s.draining);
+            rebuild(now);
+            servers.values().removeIf(s -> !s.ready && s.ownInFlight == 0 && !s.draining);
         }
     }
 
-    private boolean note(long now, FleetEntry e) {
-        if (e.state() == HostState.REMOVED && !servers.containsKey(e.host())) {
+    /** Returns true if the entry may change the buddies. */
+    private boolean updateServer(long now, FleetEntry entry) {
+        if (entry.state() == HostState.REMOVED && !servers.containsKey(entry.host())) {
             return false;
         }
-        Server s = servers.computeIfAbsent(e.host(), host -> new Server(host, settings.position(), this));
-        boolean ready = e.state() == HostState.READY;
-        double entrySize = Math.max(0.05, e.weight());
-        boolean later = e.startedUs() > s.startedUs;    // an older line knows less than what was met there
-        boolean changed = s.ready != ready || s.size != entrySize || later;
-        s.ready = ready;
-        s.draining = e.state() == HostState.DRAINING;
-        if (e.zone() >= 0) {
-            s.zone = e.zone();
-            s.cell = e.cell();
-            s.size = entrySize;
-            s.startedUs = Math.max(s.startedUs, e.startedUs());
+        Server server = servers.computeIfAbsent(entry.host(), host -> new Server(host, settings.position(), this));
+        boolean ready = entry.state() == HostState.READY;
+        double weight = Math.max(0.05, entry.weight());
+        // An entry with an older start knows less than what attempts have shown since.
+        boolean restarted = entry.startedUs() > server.startedUs;
+        boolean changed = server.ready != ready || server.weight != weight || restarted;
+        server.ready = ready;
+        server.draining = entry.state() == HostState.DRAINING;
+        if (entry.zone() >= 0) {
+            server.zone = entry.zone();
+            server.cell = entry.cell();
+            server.weight = weight;
+            server.startedUs = Math.max(server.startedUs, entry.startedUs());
         }
-        if (ready && later) {
-            s.restarted(now);
-            zoneLoss.started(s.zone);
+        if (ready && restarted) {
+            server.processRestarted(now);
+            zoneLoss.processStarted(server.zone);
         }
         return changed;
     }
 
-    /** Fills the set from the ready servers, when the list, a zone's loss or the set's size changes. */
-    void form(long now) {
+    /** Fills the set from the ready servers; called when the list, a zone's loss or the set's size changes. */
+    void rebuild(long now) {
         List<Server> ready = servers.values().stream().filter(s -> s.ready).toList();
         if (ready.stream().allMatch(s -> zoneLoss.isLost(s.zone))) {
-            zoneLoss = new ZoneLoss(settings.zones().size(), 3 * FailureDetector.SHUN_US);  // there is no other to turn to
+            // With all zones lost there is no other to use: none counts as lost.
+            zoneLoss = new ZoneLoss(settings.zones().size(), 3 * FailureDetector.AVOID_US);
         }
-        Comparator<Server> permuted = Comparator.comparingDouble((Server s) -> s.orderKey / s.size)
+        Comparator<Server> permuted = Comparator.comparingDouble((Server s) -> s.orderKey / s.weight)
                 .thenComparing(s -> s.host);
         int home = homeZone();
         List<Server> local = ready.stream().filter(s -> s.zone == home).sorted(permuted).toList();
         List<Server> foreign = new ArrayList<>(ready.stream().filter(s -> s.zone != home)
                 .sorted(Comparator.comparing((Server s) -> zoneLoss.isLost(s.zone)).thenComparing(permuted)).toList());
         int reachable = (int) foreign.stream().filter(s -> !zoneLoss.isLost(s.zone)).count();
-        Server head = headOf(local.isEmpty() ? foreign : local);
-        foreign.subList(Math.min(foreign.size(), reachable + LOST), foreign.size()).clear();
+        Server head = chooseHead(local.isEmpty() ? foreign : local);
+        foreign.subList(Math.min(foreign.size(), reachable + LOST_ZONE_BUDDIES), foreign.size()).clear();
         buddies = new ArrayList<>(head == null ? List.of() : List.of(head));
-        fill(buddies, local, size - Math.min(foreign.size(), FOREIGN));
-        fill(buddies, foreign, size);
-        senders = Math.max(1, (double) settings.balancers() * buddies.size() / Math.max(1, ready.size()));
+        fill(buddies, local, targetSize - Math.min(foreign.size(), MIN_FOREIGN));
+        fill(buddies, foreign, targetSize);
+        balancersPerServer = Math.max(1, (double) settings.balancers() * buddies.size() / Math.max(1, ready.size()));
     }
 
-    private static void fill(List<Server> set, List<Server> from, int upTo) {
-        from.stream().filter(s -> !set.contains(s)).limit(Math.max(0, upTo - set.size())).toList().forEach(set::add);
+    /** Adds servers to {@code set}, in order and each once, up to {@code size} in all. */
+    private static void fill(List<Server> set, List<Server> from, int size) {
+        from.stream().filter(s -> !set.contains(s)).limit(Math.max(0, size - set.size())).toList().forEach(set::add);
     }
 
-    /** The own zone; while that is lost, the next one with ready servers that is not. */
+    /** Returns the balancer's own zone, or while that is lost the next zone with ready servers that is not. */
     private int homeZone() {
         int zones = settings.zones().size();
         return IntStream.range(0, zones).map(i -> (settings.zone() + i) % zones).filter(z -> !zoneLoss.isLost(z)
                 && servers.values().stream().anyMatch(s -> s.ready && s.zone == z)).findFirst().orElse(settings.zone());
     }
 
-    /** Rotation by balancer number, on a ring where each server has an arc as long as its weight. */
-    private Server headOf(List<Server> ring) {
-        List<Server> order = new ArrayList<>(ring);
-        order.sort(Comparator.comparingLong((Server s) -> s.hash).thenComparing(s -> s.host));
-        double point = PseudoRandom.evenlySpread(settings.position()) * order.stream().mapToDouble(s -> s.size).sum();
-        Server at = null;
-        for (int i = 0; i < order.size() && point >= 0; i++) {
-            at = order.get(i);
-            point -= at.size;
+    /** Spreads the heads of all balancers over a hash ring where each server has an arc as long as its weight. */
+    private Server chooseHead(List<Server> candidates) {
+        List<Server> ring = new ArrayList<>(candidates);
+        ring.sort(Comparator.comparingLong((Server s) -> s.hash).thenComparing(s -> s.host));
+        double point = PseudoRandom.evenlySpread(settings.position()) * ring.stream().mapToDouble(s -> s.weight).sum();
+        Server head = null;
+        for (int i = 0; i < ring.size() && point >= 0; i++) {
+            head = ring.get(i);
+            point -= head.weight;
         }
-        return at;
+        return head;
     }
 
-    /** Takes the next ready server in order into the set, where one is left and the set is not wide enough. */
+    /** Adds the next ready server in order, if there is one and the set is too small for this balancer's load. */
     void grow(long now, int requestsHeld) {
-        // Each answers before the next: where this process itself is late, new connections would make it later.
-        if (buddies.size() == size && size < PER_HELD * requestsHeld
-                && buddies.stream().noneMatch(s -> s.own > 0 && s.answeredAt == 0)
-                && buddies.stream().filter(s -> !Double.isNaN(s.reported))
-                        .mapToDouble(s -> s.own - OWN_SHARE * s.held(now)).sum() > 0) {
-            resize(now, size + 1);
+        // A new buddy must answer before the next is added: if this process is late, connections would delay it more.
+        if (buddies.size() == targetSize && targetSize < MAX_BUDDIES_PER_REQUEST * requestsHeld
+                && buddies.stream().noneMatch(s -> s.ownInFlight > 0 && s.lastAnswerAt == 0)
+                && buddies.stream().filter(s -> !Double.isNaN(s.reportedInFlight))
+                        .mapToDouble(s -> s.ownInFlight - MIN_OWN_LOAD_SHARE * s.estimatedInFlight(now)).sum() > 0) {
+            resize(now, targetSize + 1);
         }
     }
 
     void shrink(long now) {
-        if (size > SIZE && now - resizedAt > SHRINK_US) {
-            resize(now, size - 1);
+        if (targetSize > BASE_SIZE && now - resizedAt > SHRINK_AFTER_US) {
+            resize(now, targetSize - 1);
         }
     }
 
-    private void resize(long now, int next) {
-        size = next;
+    private void resize(long now, int size) {
+        targetSize = size;
         resizedAt = now;
-        form(now);
+        rebuild(now);
     }
 
     /**
-     * The buddies, from the one whose turn it is. Where servers remember keys the key decides, so that all of a zone
-     * turn to the same one. Highest random weight (Thaler, Ravishankar 1998): who comes or goes moves its own keys.
+     * Returns the buddies in the order in which they are tried for a key. Where servers keep warm state for keys, all
+     * balancers of a zone prefer the same server for a key, by weighted rendezvous hashing (highest random weight;
+     * Thaler, Ravishankar 1998): a server that comes or goes moves only its own keys.
+     *
+     * @param keyText the request's key; null if it has none
      */
-    List<Server> orderFor(long now, String text) {
-        if (!settings.warmKeys() || text == null) {
+    List<Server> orderForKey(long now, String keyText) {
+        if (!settings.warmKeys() || keyText == null) {
             return buddies;
         }
-        long key = PseudoRandom.mixBits(text.hashCode());
-        double busy = Math.max(LEAST_BUSY, buddies.stream().mapToDouble(s -> s.held(now)).sum()
-                / buddies.stream().mapToDouble(s -> s.size).sum());
-        buddies.forEach(s -> s.keyPlace = PseudoRandom.exponential(key ^ s.hash) / s.size
-                * (s.zone == settings.zone() ? 1 : 1 + FOREIGN_LEAN / (busy * busy)));
-        return buddies.stream().sorted(Comparator.comparingDouble((Server s) -> s.keyPlace)
+        long key = PseudoRandom.mixBits(keyText.hashCode());
+        double loadPerWeight = Math.max(MIN_LOAD_PER_WEIGHT,
+                buddies.stream().mapToDouble(s -> s.estimatedInFlight(now)).sum()
+                / buddies.stream().mapToDouble(s -> s.weight).sum());
+        buddies.forEach(s -> s.keyRank = PseudoRandom.exponential(key ^ s.hash) / s.weight
+                * (s.zone == settings.zone() ? 1 : 1 + FOREIGN_KEY_PENALTY / (loadPerWeight * loadPerWeight)));
+        return buddies.stream().sorted(Comparator.comparingDouble((Server s) -> s.keyRank)
                 .thenComparing(s -> s.host)).toList();
     }
 }
--- a/core/src/main/java/dapplequay/PendingRequest.java
+++ b/core/src/main/java/dapplequay/PendingRequest.java
@@ -4,94 +4,114 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request taken and not yet answered, and the rules on where it may go. */
+/** A request without its final answer, and the rules on which servers it may be sent to. */
 final class PendingRequest {
-    /** What a repeat's first byte may take to its server, and a thread to write it, us. */
-    private static final long WAY_US = 20_000;
-    /** So long an attempt may be held back here: for a used connection to rest, and for a thread to write it, us. */
-    static final long HELD_BACK_US = 40_000;
+    /** What a thread and the network may take to bring the first byte of a repeat to its server. */
+    private static final long REPEAT_DELIVERY_US = 20_000;
+    /** How long this process may delay an attempt: for a used connection to rest, and for a thread to write it. */
+    static final long MAX_LOCAL_DELAY_US = 40_000;
 
-    private static final long NOT_YET = Long.MAX_VALUE;
+    private static final long NOT_STARTED = Long.MAX_VALUE;
 
-    /** An attempt, and where its server was listed when it went out: the list may move it, or start it anew, since. */
-    private record Sent(Server server, int zone, int cell, long at) { }
+    /** An attempt, and its server's place at the time: since then the list may have moved or restarted the server. */
+    private record SentAttempt(Server server, int zone, int cell, long sentAt) { }
 
     final Request request;
-    final ServiceClass type;
-    final double worthShare;      // of its class's worth: less than 1 for a try that can only be late
-    long usefulUntil;             // an answer after this is worth nothing
-    int sendCap;                  // attempts that it may have
-    boolean uploading;            // its body is still coming: no attempt of it runs yet
+    final ServiceClass serviceClass;
+    /** Share of the worth of its class: less than 1 for a try that can only be late, or a tenant over its share. */
+    final double worthShare;
+    /** An answer after this time is worth nothing. */
+    long usefulUntil;
+    /** Most attempts that it may have. */
+    int sendCap;
+    /** True while its body is still arriving: no attempt of it runs yet. */
+    boolean uploading;
+    /** The servers of its attempts, in order. */
     final List<Server> attempts = new ArrayList<>(2);
-    int out;
-    int cut;                      // attempts of which the last was given up as its server is silent
-    private Sent firstMayHaveRun; // out counts as may have run, until its outcome proves that it did not
-    private long sentAt;
-    private long startedAt;       // of its last attempt; NOT_YET: it may be held back on this side
+    int attemptsInFlight;
+    /** The number of its attempts when the last of them was cancelled, as its server was silent; 0: none was. */
+    int attemptsWhenCancelled;
+    /** The first attempt that may have run; an attempt in flight counts until its outcome proves that it did not. */
+    private SentAttempt firstMayHaveRun;
+    private long lastSentAt;
+    /** Start of its last attempt; {@link #NOT_STARTED} while this process may be delaying it. */
+    private long lastStartedAt;
 
-    PendingRequest(Request request, ServiceClass type, double worthShare, long usefulUntil, int sendCap) {
+    PendingRequest(Request request, ServiceClass serviceClass, double worthShare, long usefulUntil, int sendCap) {
         this.request = request;
-        this.type = type;
+        this.serviceClass = serviceClass;
         this.worthShare = worthShare;
         this.usefulUntil = usefulUntil;
         this.sendCap = sendCap;
     }
 
-    /** Rules 2 and 3, and the site's limits on attempts. */
-    boolean mayGo(long now, Server s, Limits limits) {
-        if (!s.ready || attempts.size() >= sendCap || out > 0 && !limits.secondCopies()) {
+    /**
+     * True if the rules against repeated effects (rule 2) and on draining servers (rule 3), and the site's limits on
+     * attempts, permit a next attempt at this server.
+     */
+    boolean maySendTo(long now, Server server, Limits limits) {
+        if (!server.ready || attempts.size() >= sendCap || attemptsInFlight > 0 && !limits.secondCopies()) {
             return false;
         }
-        Sent ran = firstMayHaveRun;
-        return ran == null || switch (type.semantics()) {
+        SentAttempt ran = firstMayHaveRun;
+        return ran == null || switch (serviceClass.semantics()) {
             case RETRYABLE -> true;
             case FRAGILE -> false;
-            case DEDUP -> now < beginBy() && (type.group() == Group.ALL
-                    || s.zone == ran.zone && (type.group() == Group.ZONE || s.cell == ran.cell));
+            case DEDUP -> now < beginBy() && (serviceClass.group() == Group.ALL
+                    || server.zone == ran.zone && (serviceClass.group() == Group.ZONE || server.cell == ran.cell));
         };
     }
 
-    /** Until when the first byte of its next attempt may go out: a repeat has to reach its server in the window. */
+    /**
+     * Returns the time before which the first byte of its next attempt must go out: a repeat must reach its server
+     * within the window in which repeats are discarded. Long.MAX_VALUE: no limit.
+     */
     long beginBy() {
-        return isRefusable() ? Long.MAX_VALUE : firstMayHaveRun.at + type.windowUs() - WAY_US;
+        return isRefusable() ? Long.MAX_VALUE : firstMayHaveRun.sentAt + serviceClass.windowUs() - REPEAT_DELIVERY_US;
     }
 
-    /** Whether the client may safely try again; of what may have run, only where running again does nothing. */
+    /** True if the client may safely try again: no attempt may have run, or running twice does no harm. */
     boolean isRefusable() {
-        return firstMayHaveRun == null || type.semantics() == Semantics.RETRYABLE;
+        return firstMayHaveRun == null || serviceClass.semantics() == Semantics.RETRYABLE;
     }
 
-    void sent(long now, Server s) {
-        attempts.add(s);
-        out++;
-        sentAt = now;
-        startedAt = NOT_YET;
-        firstMayHaveRun = firstMayHaveRun != null ? firstMayHaveRun : new Sent(s, s.zone, s.cell, now);
+    void attemptSent(long now, Server server) {
+        attempts.add(server);
+        attemptsInFlight++;
+        lastSentAt = now;
+        lastStartedAt = NOT_STARTED;
+        firstMayHaveRun = firstMayHaveRun != null ? firstMayHaveRun
+                : new SentAttempt(server, server.zone, server.cell, now);
     }
 
-    void started(long now) {
-        startedAt = now;
+    void attemptStarted(long now) {
+        lastStartedAt = now;
     }
 
-    /** How long its last attempt's server is waited for, us; one whose start nobody tells began when it was sent. */
+    /**
+     * Returns how long the server of its last attempt has been waited for, us. An attempt whose start is not told
+     * counts as started when it was sent, once it can't be delayed by this process any more.
+     */
     long awaitedUs(long now) {
-        long since = startedAt != NOT_YET ? startedAt : now - sentAt > HELD_BACK_US ? sentAt : now;
-        return now - Math.max(since, last().outcomeAt);
+        long since = lastStartedAt != NOT_STARTED ? lastStartedAt
+                : now - lastSentAt > MAX_LOCAL_DELAY_US ? lastSentAt : now;
+        return now - Math.max(since, lastServer().lastOutcomeAt);
     }
 
-    /** How long its last attempt has waited for its answer, which is here; where no start was told, what it took. */
+    /** Returns how long its last attempt waited for the answer that has come; {@code tookUs} if no start was told. */
     long waitedUs(long now, long tookUs) {
-        return startedAt != NOT_YET ? now - startedAt : tookUs;
+        return lastStartedAt != NOT_STARTED ? now - lastStartedAt : tookUs;
     }
 
-    void ended(boolean neverRan) {
-        out--;
-        if (neverRan && out == 0 && firstMayHaveRun.server == last() && firstMayHaveRun.at == sentAt) {
+    void attemptEnded(boolean neverRan) {
+        attemptsInFlight--;
+        if (neverRan && attemptsInFlight == 0 && firstMayHaveRun.server == lastServer()
+                && firstMayHaveRun.sentAt == lastSentAt) {
             firstMayHaveRun = null;
         }
     }
 
-    Server last() {
+    Server lastServer() {
         return attempts.get(attempts.size() - 1);
     }
 }
--- a/core/src/main/java/dapplequay/Server.java
+++ b/core/src/main/java/dapplequay/Server.java
@@ -4,67 +4,94 @@
 import dapplequay.membership.PseudoRandom;
 
 /**
- * What is known of one server. Its load figure is the paper's cumulative execution time: the time, us, that a request
- * sent now is thought to take, which is what the server would hold times the pace that it shows.
+ * What is known of one server. Its load figure is the paper's cumulative execution time: the time that a request sent
+ * now is expected to take, which is the number of requests in flight there times the time for each.
  */
 final class Server {
-    // In times that the set takes for a request with nobody before it. Past TH_v a send would begin to wait.
+    /** A report of a load figure up to this, in multiples of the set's pace, sets the share flag. */
     static final double TH_U = 1;
+    /** A report of a load figure above this, in multiples of the set's pace, clears the share flag. */
     static final double TH_F = 1.3;
+    /** Past this load figure, in multiples of the set's pace, a request would begin to wait: it goes elsewhere. */
     static final double TH_V = 1.5;
-    /** Odds that it fails, in logarithms, where nothing speaks against it. */
-    static final double DOUBT_NONE = -3.5;
-    // Nobody is sent more than takes, at the set's pace, this share of the shortest aim, as all classes wait in one
-    // queue, and a server that holds far more than it works on slows down, for long.
-    private static final double QUEUE_SHARE = 0.8;
-    /** The share of that room for a request worth nothing: the rest is kept for better ones. */
-    private static final double LITTLE_WORTH = 0.5;
-    /** What a report tells fades with this time constant, us: a queue nobody feeds is worked off. */
-    private static final double FADE_US = 8_000_000;
-    // Of the mean of what it holds for others: in times that its reports usually stay the same, and the longest, us.
-    private static final double OTHERS_REFRESHES = 2;
-    private static final double OTHERS_US = 3_000_000;
-    /** A cleared flag is set again after about this, us: one send then tells how the server is. */
-    private static final long FLAG_TIMER_US = 2_000_000;
-    /** Weight of the newest answer in a server's pace, and in the set's: that bounds all, and has to be steady. */
-    private static final double PACE_GAIN = 0.15;
+    /** The log-odds that a server fails, without evidence against it. */
+    static final double BASE_FAILURE_LOG_ODDS = -3.5;
+    /**
+     * A server is sent no more requests than it serves, at the set's pace, within this share of the shortest target
+     * latency: all classes wait in one queue, and a server that holds far more than it works on stays slow for long.
+     */
+    private static final double MAX_QUEUE_AIM_SHARE = 0.8;
+    /** The share of that room which is open to a request of worth 0: the rest is kept for requests of more worth. */
+    private static final double WORTHLESS_ROOM_SHARE = 0.5;
+    /** The load told by a report decays with this time constant: a queue that gets nothing is worked off. */
+    private static final double REPORT_DECAY_US = 8_000_000;
+    /** Time constant of the mean load from other balancers, in multiples of the interval between new reports. */
+    private static final double OTHERS_MEAN_INTERVALS = 2;
+    /** The longest time constant of that mean. */
+    private static final double OTHERS_MEAN_MAX_US = 3_000_000;
+    /** A cleared share flag is set again after this on average: one send then shows how the server is. */
+    private static final long SHARE_FLAG_TIMER_US = 2_000_000;
+    /** Weight of the newest answer or report in the running means of a server. */
+    private static final double SERVER_GAIN = 0.15;
+    /** Weight of the newest answer in the set's running means: these bound the load of all, and have to be steady. */
     private static final double SET_GAIN = 0.02;
-    private static final double PACE_PRIOR = 0.5;
-    /** While cold, a pause is so many times as long where the pace is a guess, and before the first own send. */
-    private static final double WARY = 1.5;
-    private static final double MAX_HELD = 10_000;     // a report of more is broken
+    /** Weight of the set's pace in a server's pace: it prevails while the server has answered little. */
+    private static final double SET_PACE_WEIGHT = 0.5;
+    /** Pauses between sends to a cold server are longer by this if the pace is a guess, and before the first send. */
+    private static final double COLD_CAUTION = 1.5;
+    /** A report of more requests is taken for broken. */
+    private static final double MAX_REPORTED = 10_000;
 
     final String host;
     final long hash;
-    final double orderKey;        // place in this balancer's permutation
+    /** Its place in this balancer's permutation of the servers. */
+    final double orderKey;
     private final BuddySet set;
     int zone;
     int cell;
     boolean ready;
     boolean draining;
     long startedUs;
-    double size = 1;              // registered weight: how many requests it works on at once
-    double keyPlace;              // in the order of the key in hand
-    int own;                      // own attempts out
-    long answeredAt;              // the last answer of any kind
-    double awaited;               // by the attempts that are out, in times that their answers usually take
-    long outcomeAt;               // the last outcome of an own attempt
-    private long awaitedFrom;     // the start of the attempt that ended its idleness
-    double reported = Double.NaN;
-    private double others;        // held for others, as told, running mean
-    long reportAt;
-    private long changedAt;       // the last report that told another figure
-    private double refresh = 1_000_000;   // usual time between two such, us, running mean
-    private double heldSeen;      // requests held a unit of size as told with answers, running mean
-    private double took;          // what those answers took, us, running mean
-    long flagSetAt;               // the share flag: from then on it counts as set
-    long shunUntil;
-    boolean trial;                // failed, and not yet proved sound again
-    double doubt = DOUBT_NONE;
-    long turnsFrom;               // while cold: the news of its start, or the last own send
-    double turnPhase;             // how many pauses count as over by then
-
-    /** The paper permutes orders so that balancers that share a head do not share a second choice too. */
+    /** Registered weight: how many requests it works on at once. */
+    double weight = 1;
+    /** Its place in the order for the key at hand; the lowest is first. */
+    double keyRank;
+    /** Attempts of this balancer in flight. */
+    int ownInFlight;
+    /** Time of the last answer of any kind. */
+    long lastAnswerAt;
+    /** How long the attempts in flight have waited, in multiples of their usual answer times, in sum. */
+    double awaitedMultiple;
+    /** Time of the last outcome of an own attempt. */
+    long lastOutcomeAt;
+    /** Start of the attempt that was sent when no other was in flight. */
+    private long awaitedSince;
+    /** Requests in flight as last reported; NaN: never. */
+    double reportedInFlight = Double.NaN;
+    /** Requests in flight from other balancers, as reported: running mean. */
+    private double othersInFlight;
+    long lastReportAt;
+    /** Time of the last report that differed from the one before. */
+    private long reportChangedAt;
+    /** Time between two such reports: running mean. */
+    private double reportChangeIntervalUs = 1_000_000;
+    /** Requests in flight per unit of weight, as reported with answers: running mean. */
+    private double meanInFlightPerWeight;
+    /** What these answers took: running mean. */
+    private double meanAnswerUs;
+    /** The share flag counts as set from this time on. */
+    long shareFlagSetAt;
+    /** Nothing is sent to it before this time, as it failed or was silent. */
+    long avoidedUntil;
+    /** True if it failed or was silent, and has not proved sound since. */
+    boolean suspected;
+    double failureLogOdds = BASE_FAILURE_LOG_ODDS;
+    /** While cold: when this balancer heard of its start or last sent to it. */
+    long coldTurnsFrom;
+    /** How many pauses count as over at {@link #coldTurnsFrom}. */
+    double coldTurnPhase;
+
+    /** Each balancer has its own order, so that balancers that share a head don't share a second choice (the paper). */
     Server(String host, int position, BuddySet set) {
         this.host = host;
         this.set = set;
@@ -72,120 +99,139 @@
         orderKey = PseudoRandom.exponential(host.hashCode() * 31L + position * 0x9E3779B97F4AL);
     }
 
-    /** A new process: what was known is of one that is gone. */
-    void restarted(long now) {
-        reported = Double.NaN;
-        shunUntil = 0;
-        startedCold(now, startedUs);
-        trial = false;
-        doubt = DOUBT_NONE;
-        clearFlag(now);
+    /** Forgets what was known of the process that ran before. */
+    void processRestarted(long now) {
+        reportedInFlight = Double.NaN;
+        avoidedUntil = 0;
+        beginColdStart(now, startedUs);
+        suspected = false;
+        failureLogOdds = BASE_FAILURE_LOG_ODDS;
+        clearShareFlag(now);
     }
 
-    /** Of many balancers that learn of a start together, each has its first turn at a moment of its own. */
-    void startedCold(long now, long at) {
-        startedUs = at;
-        turnsFrom = now;
-        turnPhase = 1 + set.random.nextDouble();
+    /** Many balancers learn of a start at once: a random phase gives each a first turn at a time of its own. */
+    void beginColdStart(long now, long startUs) {
+        startedUs = startUs;
+        coldTurnsFrom = now;
+        coldTurnPhase = 1 + set.random.nextDouble();
     }
 
-    /** An own attempt was sent to it, which may still be held back on this side. */
-    void sent(long now) {
-        awaitedFrom = own++ == 0 ? now + PendingRequest.HELD_BACK_US : awaitedFrom;
+    /** An own attempt was sent to it, which this process may still delay. */
+    void attemptSent(long now) {
+        awaitedSince = ownInFlight++ == 0 ? now + PendingRequest.MAX_LOCAL_DELAY_US : awaitedSince;
     }
 
-    /** An own attempt is held back no longer. */
-    void started(long now) {
-        awaitedFrom = Math.min(awaitedFrom, now);
+    /** An own attempt is no longer delayed by this process. */
+    void attemptStarted(long now) {
+        awaitedSince = Math.min(awaitedSince, now);
     }
 
-    /** Since when nothing has come of the attempts that are out. */
+    /** Returns since when there has been no outcome of the attempts in flight. */
     long silentSince() {
-        return Math.max(outcomeAt, awaitedFrom);
+        return Math.max(lastOutcomeAt, awaitedSince);
     }
 
-    /** Requests held, as last reported, with own sends since; where good answers tell no count, others do the same. */
-    double held(long now) {
-        double alike = answeredAt > 0 && doubt <= DOUBT_NONE && Double.isNaN(reported) ? set.senders : 1;
-        return Math.exp((reportAt - now) / FADE_US) * others + own * alike;
+    /**
+     * Returns the requests in flight: what others hold as last reported, and this balancer's own. If good answers come
+     * without a count, the other balancers that use the server are assumed to have as many in flight as this one.
+     */
+    double estimatedInFlight(long now) {
+        double balancers = lastAnswerAt > 0 && failureLogOdds <= BASE_FAILURE_LOG_ODDS
+                && Double.isNaN(reportedInFlight) ? set.balancersPerServer : 1;
+        return Math.exp((lastReportAt - now) / REPORT_DECAY_US) * othersInFlight + ownInFlight * balancers;
     }
 
-    double figure(long now) {
-        double time = (held(now) + 1) / size * pace() / warmth(now);
-        // No outcome for so long while own requests are out: a hanging server sends no report to say so.
-        return own > 0 ? Math.max(time, now - silentSince()) : time;
+    /** Returns the load figure: the time, us, that a request sent now is expected to take. */
+    double loadFigureUs(long now) {
+        double timeUs = (estimatedInFlight(now) + 1) / weight * paceUs() / warmth(now);
+        // At least the time without any outcome: a server that hangs sends no report that would show it.
+        return ownInFlight > 0 ? Math.max(timeUs, now - silentSince()) : timeUs;
     }
 
-    /** As the set's, on which it leans where little was sent. */
-    private double pace() {
-        return (took + PACE_PRIOR * set.held * set.pace()) / (heldSeen + PACE_PRIOR * set.held);
+    /** Returns the time per request in flight and unit of weight; near the set's while the server answered little. */
+    private double paceUs() {
+        return (meanAnswerUs + SET_PACE_WEIGHT * set.meanInFlightPerWeight * set.paceUs())
+                / (meanInFlightPerWeight + SET_PACE_WEIGHT * set.meanInFlightPerWeight);
     }
 
+    /** True if the server has room for a request of this share of its class's worth. */
     boolean hasRoom(long now, double worthShare) {
-        return held(now) + 1 <= room() * (LITTLE_WORTH + (1 - LITTLE_WORTH) * worthShare);
+        return estimatedInFlight(now) + 1
+                <= maxInFlight() * (WORTHLESS_ROOM_SHARE + (1 - WORTHLESS_ROOM_SHARE) * worthShare);
     }
 
-    /** The most that it may hold, for all. */
-    private double room() {
-        return QUEUE_SHARE * set.leastAim / set.pace() * size;
+    /** Returns the most requests that it may hold, from all balancers. */
+    private double maxInFlight() {
+        return MAX_QUEUE_AIM_SHARE * set.shortestAimUs / set.paceUs() * weight;
     }
 
-    void heard(long now, LoadReport report) {
+    /** Takes over a load report. {@code report} may be null. */
+    void reportReceived(long now, LoadReport report) {
         double requests = report == null ? Double.NaN
                 : !Double.isNaN(report.inFlight()) ? report.inFlight() : report.queue();
-        if (!(requests >= 0 && requests <= MAX_HELD)) {
-            return;                   // also NaN: one broken report must not upset the running means for good
+        if (!(requests >= 0 && requests <= MAX_REPORTED)) {
+            return;                   // NaN, too: one broken report must not corrupt the running means for good
         }
-        boolean first = Double.isNaN(reported);
-        if (requests != reported) {
-            refresh += first ? 0 : PACE_GAIN * (now - changedAt - refresh);
-            changedAt = now;
+        boolean first = Double.isNaN(reportedInFlight);
+        if (requests != reportedInFlight) {
+            reportChangeIntervalUs += first ? 0 : SERVER_GAIN * (now - reportChangedAt - reportChangeIntervalUs);
+            reportChangedAt = now;
         }
-        reported = requests;
-        double gain = first ? 1 : 1 - Math.exp((reportAt - now) / Math.min(OTHERS_US, OTHERS_REFRESHES * refresh));
-        others += gain * (Math.max(0, requests - own - 1) - others);
-        reportAt = now;
-        double figure = requests / size * pace() / set.pace();
+        reportedInFlight = requests;
+        double gain = first ? 1 : 1 - Math.exp((lastReportAt - now)
+                / Math.min(OTHERS_MEAN_MAX_US, OTHERS_MEAN_INTERVALS * reportChangeIntervalUs));
+        othersInFlight += gain * (Math.max(0, requests - ownInFlight - 1) - othersInFlight);
+        lastReportAt = now;
+        double figure = requests / weight * paceUs() / set.paceUs();
         if (figure > TH_F) {
-            clearFlag(now);
-        } else if (figure <= TH_U && !trial) {
-            flagSetAt = now;
+            clearShareFlag(now);
+        } else if (figure <= TH_U && !suspected) {
+            shareFlagSetAt = now;
         }
     }
 
-    /** An answer to a request of its own, which took so long; with it came the report just heard. */
-    void answered(long tookUs) {
-        double heldPerSize = Math.max(1, reported / size);
-        heldSeen += PACE_GAIN * (heldPerSize - heldSeen);
-        took += PACE_GAIN * (tookUs - took);
-        double gain = Math.max(SET_GAIN, 1.0 / ++set.answers);
-        set.held += gain * (heldPerSize - set.held);
-        set.took += gain * (tookUs - set.took);
+    /** An own request was answered after this time; the report just received came with the answer. */
+    void answerReceived(long tookUs) {
+        double inFlightPerWeight = Math.max(1, reportedInFlight / weight);
+        meanInFlightPerWeight += SERVER_GAIN * (inFlightPerWeight - meanInFlightPerWeight);
+        meanAnswerUs += SERVER_GAIN * (tookUs - meanAnswerUs);
+        double gain = Math.max(SET_GAIN, 1.0 / ++set.answerCount);
+        set.meanInFlightPerWeight += gain * (inFlightPerWeight - set.meanInFlightPerWeight);
+        set.meanAnswerUs += gain * (tookUs - set.meanAnswerUs);
     }
 
-    /** It turned a request away. */
-    void full(long now) {
-        clearFlag(now);
-        others = Math.max(others, room());   // until it says otherwise, or that has faded
-        reportAt = now;
+    /** It refused a request: it counts as full until it reports otherwise or that has decayed. */
+    void requestRefused(long now) {
+        clearShareFlag(now);
+        othersInFlight = Math.max(othersInFlight, maxInFlight());
+        lastReportAt = now;
     }
 
-    void clearFlag(long now) {
-        flagSetAt = now + FLAG_TIMER_US / 2 + set.random.nextLong(FLAG_TIMER_US);
+    /** Clears the share flag until a random time, between half and one and a half of the flag's timer. */
+    void clearShareFlag(long now) {
+        shareFlagSetAt = now + SHARE_FLAG_TIMER_US / 2 + set.random.nextLong(SHARE_FLAG_TIMER_US);
     }
 
+    /** Returns the share of its capacity that it has by now, up to 1. */
     double warmth(long now) {
-        return set.cold.warmth(now, startedUs);
-    }
-
-    /** Whether this balancer may send to it though it is cold; {@code alone}: as nothing better is left. */
-    boolean hasTurn(long now, boolean alone) {
-        // Past the aim the slowest answers are no longer waited for: the pace that the others show looks too good.
-        double late = set.answers == 1 ? WARY : Math.pow(Math.max(1, set.took / set.leastAim), 2);
-        long pause = set.cold.pauseUs(late * (turnPhase > 0 ? WARY : 1) * pace() / size, set.senders, warmth(now));
-        boolean turn = (alone || set.buddies.stream().anyMatch(s -> s.answeredAt > 0))
-                && set.cold.isTurn(now - turnsFrom + turnPhase * pause, pause);
-        boolean next = alone && turnPhase == 0 && answeredAt > turnsFrom && doubt <= DOUBT_NONE && hasRoom(now, 1);
-        return own == 0 && (turn || next && set.cold.bearsOneOfEach(pause));
+        return set.coldBudget.warmth(now, startedUs);
+    }
+
+    /**
+     * True if this balancer may send to it now although it is cold.
+     *
+     * @param alone true if no better server is left
+     */
+    boolean hasColdTurn(long now, boolean alone) {
+        // Past the aim, the slowest answers are no longer waited for: the pace that the others show is too good.
+        double late = set.answerCount == 1 ? COLD_CAUTION
+                : Math.pow(Math.max(1, set.meanAnswerUs / set.shortestAimUs), 2);
+        long pauseUs = set.coldBudget.pauseUs(late * (coldTurnPhase > 0 ? COLD_CAUTION : 1) * paceUs() / weight,
+                set.balancersPerServer, warmth(now));
+        boolean hasRegularTurn = (alone || set.buddies.stream().anyMatch(s -> s.lastAnswerAt > 0))
+                && set.coldBudget.isTurn(now - coldTurnsFrom + coldTurnPhase * pauseUs, pauseUs);
+        boolean hasAnsweredLast = alone && coldTurnPhase == 0 && lastAnswerAt > coldTurnsFrom
+                && failureLogOdds <= BASE_FAILURE_LOG_ODDS && hasRoom(now, 1);
+        return ownInFlight == 0 && (hasRegularTurn || hasAnsweredLast && set.coldBudget.bearsOneOfEach(pauseUs));
     }
 }
--- a/core/src/main/java/dapplequay/ServerSelector.java
+++ b/core/src/main/java/dapplequay/ServerSelector.java
@@ -4,80 +4,96 @@
 import dapplequay.BalancerApi.Settings;
 import java.util.List;
 
-/** Which server takes a request, or that none does: the mechanism's rule, and what departs from it. */
+/** Selects the server for a request, or none: the paper's rule, and the departures from it. */
 final class ServerSelector {
-    /** With keys that servers remember, one whose figure is so many times the set's mean at most has room. */
-    private static final double ROOM = 1.1;
-    /** A request of a greater share of its worth may ask a server anew that nothing would be sent to. */
-    private static final double ASKING_WORTH = 0.5;
+    /** Where servers keep warm state for keys, one has room up to this multiple of the mean load figure. */
+    private static final double KEYED_ROOM_MULTIPLE = 1.1;
+    /** A request of more than this share of its worth may go to an overloaded server that has long told nothing. */
+    private static final double MIN_RECHECK_WORTH = 0.5;
 
     private final BuddySet set;
+    /** True if requests of some class may be repeated. */
     private boolean someRepeatable;
 
     ServerSelector(BuddySet set) {
         this.set = set;
     }
 
-    void use(Settings next) {
+    void configure(Settings next) {
         someRepeatable = next.classes().stream().anyMatch(c -> c.semantics() != Semantics.FRAGILE);
     }
 
-    /** Where the request goes now, one of so many held; null: it has to be answered. */
-    Server select(long now, PendingRequest h, int requestsHeld) {
-        for (Server s : set.buddies) {
-            if (set.zoneLoss.isLost(s.zone) && usable(now, h, s)) {
-                return s;             // now and then, else nobody would learn that its zone is back
+    /**
+     * Returns the server that the request goes to now; null if it has to be answered instead.
+     *
+     * @param requestsHeld the requests without a final answer at this balancer
+     */
+    Server select(long now, PendingRequest pending, int requestsHeld) {
+        for (Server server : set.buddies) {
+            if (set.zoneLoss.isLost(server.zone) && isUsable(now, pending, server)) {
+                return server;        // an occasional request, to find out whether the zone is back
             }
         }
-        List<Server> order = set.orderFor(now, h.request.key());
-        double limit = Server.TH_V * set.pace() * h.worthShare;
+        List<Server> order = set.orderForKey(now, pending.request.key());
+        double limitUs = Server.TH_V * set.paceUs() * pending.worthShare;
         Server head = null;
-        Server least = null;
-        Server unasked = null;
-        for (Server s : order) {
-            if (!usable(now, h, s) || head != null && !worthDiverting(now, h, s, head)) {
+        Server leastLoaded = null;
+        Server longestUnheard = null;
+        for (Server server : order) {
+            if (!isUsable(now, pending, server) || head != null && !isWorthDiverting(now, pending, server, head)) {
                 continue;
             }
-            double figure = s.figure(now);
-            if (figure <= limit && (head == null || now >= s.flagSetAt)) {
-                return s;
+            double figureUs = server.loadFigureUs(now);
+            if (figureUs <= limitUs && (head == null || now >= server.shareFlagSetAt)) {
+                return server;
             }
-            head = head == null ? s : head;
-            least = least == null || figure < least.figure(now) ? s : least;
-            if (s.own == 0 && now - Math.max(s.silentSince(), s.reportAt) > h.type.aimUs()
-                    && h.worthShare > ASKING_WORTH
-                    && (unasked == null || s.silentSince() < unasked.silentSince())) {
-                unasked = s;
+            head = head == null ? server : head;
+            leastLoaded = leastLoaded == null || figureUs < leastLoaded.loadFigureUs(now) ? server : leastLoaded;
+            if (server.ownInFlight == 0
+                    && now - Math.max(server.silentSince(), server.lastReportAt) > pending.serviceClass.aimUs()
+                    && pending.worthShare > MIN_RECHECK_WORTH
+                    && (longestUnheard == null || server.silentSince() < longestUnheard.silentSince())) {
+                longestUnheard = server;
             }
         }
-        if (head == null) {           // each is failing, on trial or cold: the first that rules and budget allow
-            return set.buddies.stream().filter(s -> h.mayGo(now, s, set.settings.limits()) && !h.attempts.contains(s)
-                    && (s.warmth(now) >= 1 || s.hasTurn(now, true))).findFirst().orElse(null);
+        if (head == null) {           // each is avoided, suspected or cold: the first that rules and budget allow
+            return set.buddies.stream().filter(s -> pending.maySendTo(now, s, set.settings.limits())
+                    && !pending.attempts.contains(s)
+                    && (s.warmth(now) >= 1 || s.hasColdTurn(now, true))).findFirst().orElse(null);
         }
         if (order != set.buddies) {
-            List<Server> open = order.stream().filter(s -> usable(now, h, s)).toList();
-            double room = ROOM * open.stream().mapToDouble(s -> s.figure(now)).average().orElse(0);
-            least = open.stream().filter(s -> s.figure(now) <= room).findFirst().orElse(least);
+            List<Server> usable = order.stream().filter(s -> isUsable(now, pending, s)).toList();
+            double roomUs = KEYED_ROOM_MULTIPLE
+                    * usable.stream().mapToDouble(s -> s.loadFigureUs(now)).average().orElse(0);
+            leastLoaded = usable.stream().filter(s -> s.loadFigureUs(now) <= roomUs).findFirst().orElse(leastLoaded);
         }
-        // Past TH_v everywhere a head that many share would be swamped: the least figure takes it, or the first in the
-        // key's order that has room, as all who know the same would find the same least one. Better refused early than
-        // failed late, where it may be refused at all; but one long unheard of is asked, or all may keep away for good.
+        // All are past TH_v. The head would be swamped by all balancers that share it, so the least loaded takes the
+        // request, or in the order for a key the first with room: balancers with the same key and knowledge would all
+        // find the same least loaded one. Without room, refusing early beats failing late, if refusing is possible; but
+        // a server long unheard of gets the request, or all balancers might avoid it for good.
         set.grow(now, requestsHeld);
-        return least.hasRoom(now, h.worthShare) || !h.isRefusable() ? least : unasked;
+        return leastLoaded.hasRoom(now, pending.worthShare) || !pending.isRefusable() ? leastLoaded : longestUnheard;
     }
 
-    /** Crossing zones has a price: a diversion crosses only if it saves that share of the aim. */
-    private boolean worthDiverting(long now, PendingRequest h, Server s, Server head) {
-        return s.zone == head.zone || s.zone == set.settings.zone()
-                || Math.min(1, head.figure(now) / h.type.aimUs()) - s.figure(now) / h.type.aimUs()
+    /** True if the server is in the head's zone or the own one, or saves more of the aim than crossing zones costs. */
+    private boolean isWorthDiverting(long now, PendingRequest pending, Server server, Server head) {
+        return server.zone == head.zone || server.zone == set.settings.zone()
+                || Math.min(1, head.loadFigureUs(now) / pending.serviceClass.aimUs())
+                        - server.loadFigureUs(now) / pending.serviceClass.aimUs()
                 > set.settings.prices().crossZone();
     }
 
-    /** By the rules and for all that is known of it; a suspect is tried by what can be repeated, one at a time. */
-    boolean usable(long now, PendingRequest h, Server s) {
-        return h.mayGo(now, s, set.settings.limits()) && !h.attempts.contains(s) && now >= s.shunUntil
-                && (!set.zoneLoss.isLost(s.zone) || set.zoneLoss.mayTry(now, s.zone) && h.attempts.isEmpty())
-                && !(s.trial && (s.own > 0 || someRepeatable && h.type.semantics() == Semantics.FRAGILE))
-                && (s.warmth(now) >= 1 || h.attempts.isEmpty() && s.hasTurn(now, false));
+    /**
+     * True if the rules and all that is known of the server permit an attempt. A suspected server gets one request at a
+     * time, and only such that can be repeated, if there are any.
+     */
+    boolean isUsable(long now, PendingRequest pending, Server server) {
+        return pending.maySendTo(now, server, set.settings.limits()) && !pending.attempts.contains(server)
+                && now >= server.avoidedUntil
+                && (!set.zoneLoss.isLost(server.zone)
+                        || set.zoneLoss.mayTry(now, server.zone) && pending.attempts.isEmpty())
+                && !(server.suspected && (server.ownInFlight > 0
+                        || someRepeatable && pending.serviceClass.semantics() == Semantics.FRAGILE))
+                && (server.warmth(now) >= 1 || pending.attempts.isEmpty() && server.hasColdTurn(now, false));
     }
 }
--- a/core/src/main/java/dapplequay/membership/ZoneLoss.java
+++ b/core/src/main/java/dapplequay/membership/ZoneLoss.java
@@ -1,47 +1,50 @@
 package dapplequay.membership;
 
 /**
- * Whether a zone as a whole is lost, from attempts that met no process there: refused or vain connects, silence. Learnt
- * server by server, each would take its own failures to be passed over. Pure; times in microseconds.
+ * Detects the loss of a whole zone from attempts that reached no process there: refused or failed connects, silence.
+ * Detected server by server, each would cost failures of its own before it is avoided. Pure; times in microseconds.
  */
 public final class ZoneLoss {
-    /** A zone is lost while more than this share of its last attempts, weighed so, met nobody. */
+    /** A zone is lost while more than this share of its recent attempts reached no process. */
     private static final double LOST_SHARE = 0.5;
-    /** Weight of the newest attempt: four in a row that met nobody lose a zone. */
+    /** Weight of the newest attempt: four in a row that reach no process mean that the zone is lost. */
     private static final double GAIN = 0.2;
 
-    private final double[] goneShare;
-    private final long[] tryAt;
-    private final long tryEveryUs;      // the least time between two attempts in a lost zone
-
-    public ZoneLoss(int zones, long tryEveryUs) {
-        goneShare = new double[zones];
-        tryAt = new long[zones];
-        this.tryEveryUs = tryEveryUs;
+    /** By zone: the weighted share of recent attempts that reached no process. */
+    private final double[] unreachableShare;
+    /** By zone: when an attempt may be made while the zone is lost. */
+    private final long[] nextTryAt;
+    /** The least time between two attempts in a lost zone. */
+    private final long tryIntervalUs;
+
+    public ZoneLoss(int zones, long tryIntervalUs) {
+        unreachableShare = new double[zones];
+        nextTryAt = new long[zones];
+        this.tryIntervalUs = tryIntervalUs;
     }
 
     public boolean isLost(int zone) {
-        return goneShare[zone] > LOST_SHARE;
+        return unreachableShare[zone] > LOST_SHARE;
     }
 
-    /** Whether an attempt may go there: always while the zone is not lost, else now and then. */
+    /** True if an attempt may be made in the zone: always while it is not lost, otherwise once in each interval. */
     public boolean mayTry(long now, int zone) {
-        return !isLost(zone) || now >= tryAt[zone];
+        return !isLost(zone) || now >= nextTryAt[zone];
     }
 
-    public void sent(long now, int zone) {
-        tryAt[zone] = now + tryEveryUs;
+    public void attemptSent(long now, int zone) {
+        nextTryAt[zone] = now + tryIntervalUs;
     }
 
-    /** An attempt ended; true where the zone was lost by it, or is back. */
-    public boolean ended(int zone, boolean metNobody) {
-        boolean before = isLost(zone);
-        goneShare[zone] += GAIN * ((metNobody ? 1 : 0) - goneShare[zone]);
-        return before != isLost(zone);
+    /** Counts an attempt that has ended; returns true if by it the zone has become lost, or has come back. */
+    public boolean attemptEnded(int zone, boolean unreachable) {
+        boolean wasLost = isLost(zone);
+        unreachableShare[zone] += GAIN * ((unreachable ? 1 : 0) - unreachableShare[zone]);
+        return wasLost != isLost(zone);
     }
 
-    /** The list tells of a process that has started there: the next attempts decide anew. */
-    public void started(int zone) {
-        goneShare[zone] = Math.min(goneShare[zone], LOST_SHARE);
+    /** The list names a process that has started in the zone: it counts as not lost, and the next attempts decide. */
+    public void processStarted(int zone) {
+        unreachableShare[zone] = Math.min(unreachableShare[zone], LOST_SHARE);
     }
 }
--- a/core/src/test/java/dapplequay/ColdRampTest.java
+++ b/core/src/test/java/dapplequay/ColdRampTest.java
@@ -222,16 +222,16 @@
         for (long seed = 1; seed <= instances; seed++) {
             Bench b = anInstance(seed).fleet(1, 2);
             for (int i = 0; i < 4; i++) {
-                b.module.set.zoneLoss.ended(1, true);
+                b.module.set.zoneLoss.attemptEnded(1, true);
             }
             Done asked = b.request(Bench.SAFE);
             assertThat(asked.host()).startsWith("b");
             b.pass(10_000).outcome(asked, Outcome.OK);
             assertThat(b.module.set.zoneLoss.isLost(1)).isFalse();
             Server other = b.module.set.servers.get(asked.host().equals("b0") ? "b1" : "b0");
-            b.module.set.answers = 2;
+            b.module.set.answerCount = 2;
             for (int i = 0; i < open.length; i++) {
-                open[i] += other.hasTurn(b.now + i * 100_000, false) ? 1 : 0;
+                open[i] += other.hasColdTurn(b.now + i * 100_000, false) ? 1 : 0;
             }
         }
         assertThat(Arrays.stream(open).max().orElseThrow()).isBetween(1, instances * 3 / 10);
@@ -243,17 +243,17 @@
     void anOlderListMakesNoHostWarmer(ListKind kind) {
         Bench b = anInstance(1).fleet(1, 2);
         for (int i = 0; i < 4; i++) {
-            b.module.set.zoneLoss.ended(1, true);
+            b.module.set.zoneLoss.attemptEnded(1, true);
         }
         b.pass(10_000).outcome(b.request(Bench.SAFE), Outcome.OK);
         Server host = b.module.set.servers.get("b1");
         long back = b.now;
         assertThat(host.warmth(b.pass(2_000_000).now)).isLessThan(1);
-        long turnsFrom = host.turnsFrom;
+        long turnsFrom = host.coldTurnsFrom;
         for (long told : new long[] {0, 1, back - 500_000, back}) {
             b.module.fleet(b.now, kind, List.of(Bench.host("a0", 0), Bench.host("b1", 1, HostState.READY, told)));
             assertThat(host.startedUs).isEqualTo(back);
-            assertThat(host.turnsFrom).as("a turn is not begun anew").isEqualTo(turnsFrom);
+            assertThat(host.coldTurnsFrom).as("a turn is not begun anew").isEqualTo(turnsFrom);
         }
         b.module.fleet(b.now, kind, List.of(Bench.host("a0", 0), Bench.host("b1", 1, HostState.READY, b.now)));
         assertThat(host.startedUs).as("a later start counts").isEqualTo(b.now);
@@ -264,7 +264,7 @@
     @CsvSource({"1, 1.5", "2, 1"})
     void aColdHostThatDidNotServeMissesATurn(int answers, double wary) {
         Bench b = coldAlone(1);
-        b.module.set.answers = answers;
+        b.module.set.answerCount = answers;
         Done send = b.request(Bench.SAFE);
         while (send.host() == null) {
             send = b.pass(10_000).request(Bench.SAFE);
@@ -272,11 +272,11 @@
         long sentAt = b.now;
         b.pass(10_000).outcome(send, Outcome.TIMEOUT);
         Server host = b.module.set.servers.get("a0");
-        while (!host.hasTurn(b.now, true)) {
+        while (!host.hasColdTurn(b.now, true)) {
             b.pass(10_000);
         }
-        ColdBudget budget = b.module.set.cold;
-        long pause = budget.pauseUs(wary * b.module.set.pace(), 30, host.warmth(b.now));
+        ColdBudget budget = b.module.set.coldBudget;
+        long pause = budget.pauseUs(wary * b.module.set.paceUs(), 30, host.warmth(b.now));
         assertThat(b.now - sentAt).isBetween(2 * pause - 10_000, 2 * pause + 20_000);
     }
 
@@ -288,11 +288,11 @@
         Bench b = new Bench(setup, 1);
         b.module.fleet(b.now, ListKind.RESTORED, List.of(Bench.host("a0", 0, HostState.READY, b.now)));
         Server host = b.module.set.servers.get("a0");
-        host.turnPhase = 0.1;
-        host.answeredAt = b.pass(1_000).now;
-        assertThat(host.hasTurn(b.now, true)).isFalse();
-        host.turnPhase = 0;
-        assertThat(host.hasTurn(b.now, true)).as("an answer to a send since the start does").isTrue();
+        host.coldTurnPhase = 0.1;
+        host.lastAnswerAt = b.pass(1_000).now;
+        assertThat(host.hasColdTurn(b.now, true)).isFalse();
+        host.coldTurnPhase = 0;
+        assertThat(host.hasColdTurn(b.now, true)).as("an answer to a send since the start does").isTrue();
     }
 
     /** Where answers tell no count the pace stays a guess, and cold hosts got nothing while any other was usable. */
@@ -304,7 +304,7 @@
         b.pass(10_000).outcome(b.request(Bench.SAFE), 0, Outcome.OK, new LoadReport(Double.NaN, Double.NaN));
         int turns = 0;
         for (int i = 0; i < 100; i++) {
-            turns += b.module.set.servers.get("a1").hasTurn(b.pass(100_000).now, false) ? 1 : 0;
+            turns += b.module.set.servers.get("a1").hasColdTurn(b.pass(100_000).now, false) ? 1 : 0;
         }
         assertThat(turns).isPositive();
     }
@@ -317,13 +317,13 @@
                 Bench.host("a1", 0, HostState.READY, b.now)));
         Server cold = b.module.set.servers.get("a1");
         for (int i = 0; i < 100; i++) {
-            assertThat(cold.hasTurn(b.pass(100_000).now, false)).isFalse();
+            assertThat(cold.hasColdTurn(b.pass(100_000).now, false)).isFalse();
         }
         Done send = b.request(Bench.SAFE);
         b.pass(10_000).outcome(send, 0, Outcome.OK, new LoadReport(0, 0));
         int turns = 0;
         for (int i = 0; i < 100; i++) {
-            turns += cold.hasTurn(b.pass(100_000).now, false) ? 1 : 0;
+            turns += cold.hasColdTurn(b.pass(100_000).now, false) ? 1 : 0;
         }
         assertThat(turns).isPositive();
     }
--- a/core/src/test/java/dapplequay/LargerFleetTest.java
+++ b/core/src/test/java/dapplequay/LargerFleetTest.java
@@ -172,16 +172,16 @@
     void aZoneIsLostByFourInARowAndBackByOneAnswer() {
         ZoneLoss loss = new ZoneLoss(2, 500_000);
         for (int i = 0; i < 3; i++) {
-            assertThat(loss.ended(1, true)).isFalse();
+            assertThat(loss.attemptEnded(1, true)).isFalse();
         }
-        assertThat(loss.ended(1, true)).isTrue();
+        assertThat(loss.attemptEnded(1, true)).isTrue();
         assertThat(loss.isLost(1)).isTrue();
         assertThat(loss.isLost(0)).isFalse();
-        loss.sent(1_000_000, 1);
+        loss.attemptSent(1_000_000, 1);
         assertThat(loss.mayTry(1_499_999, 1)).isFalse();
         assertThat(loss.mayTry(1_500_000, 1)).isTrue();
-        assertThat(loss.ended(1, false)).isTrue();
-        loss.started(0);
+        assertThat(loss.attemptEnded(1, false)).isTrue();
+        loss.processStarted(0);
         assertThat(loss.isLost(1)).isFalse();
     }
 }
--- a/core/src/test/java/dapplequay/NoOtherZoneTest.java
+++ b/core/src/test/java/dapplequay/NoOtherZoneTest.java
@@ -76,7 +76,7 @@
                 b.outcome(send, 0, Outcome.OK, new LoadReport(1, 1));
             }
         }
-        assertThat(b.module.set.servers.values()).filteredOn(s -> s.answeredAt > 0)
+        assertThat(b.module.set.servers.values()).filteredOn(s -> s.lastAnswerAt > 0)
                 .anySatisfy(s -> assertThat(s.warmth(b.now)).isEqualTo(1));
     }
 
