--- a/core/src/main/java/dapplequay/membership/ListCallTiming.java
+++ b/core/src/main/java/dapplequay/membership/ListCallTiming.java
@@ -5,100 +5,103 @@
 import java.util.function.Supplier;
 
 /**
- * The one clock of the list: how long each call to discovery may wait, by when it is given up, and how soon the next
- * one follows. Pure; times in microseconds of any clock that does not run backwards. Not thread-safe.
+ * Times the calls for the server list: how long each call to discovery may wait for a change, when it is given up, and
+ * when the next one begins. Pure; times in microseconds of any monotonic clock. Not thread-safe.
  *
- * <p>What it is held to (the operators' page on the standing test): a call that stays silent is broken. What it missed
- * counts as told {@link #MISSED_US} after it fell silent, and of a call that may wait no sooner than {@link
- * #AFTER_WAIT_US} after that wait is over, whether it arrived or not; then the drain's grace begins. When a call fell
- * silent nobody here can tell, so that its beginning stands for it. And before all else: after a call that failed, was
- * refused or was given up, a change counts {@link #MISSED_US} after discovery had it and could be reached. From this
- * follow
+ * <p>A call that waits for a change is a watch. A call that stays silent is broken. A change counts as told at a time
+ * that the operators set, whether the sidecar has it or not, and then the drain's grace begins:
  * <ul>
- * <li>after any failure: calls do not wait until one has succeeded, and the next one begins no later than {@link
- *     #AGAIN_US} after the failed one began (after one that waited: ended). Discovery may have come back just after
- *     that one began, and left it hanging: then the next one is whole {@link #AGAIN_US} + {@link #CALL_US} = 5.6 s
- *     after the return where discovery answers within {@link #CALL_US}, its connect and its queue included. 0.4 s
- *     and the whole of the grace are left for taking it over;
- * <li>the limit of a call that does not wait: all of {@link #AGAIN_US}. Giving up sooner would bring nothing sooner,
- *     and a discovery that has too many callers works for nobody where all have hung up by the time of their turn. An
- *     agent of the sidecar's own answers at once and is left no longer than a sixth of {@link #MISSED_US}. After a
- *     new configuration, what the new address has counts {@link #MOVED_US} later, and two calls fit into that;
- * <li>the pause before it: drawn from all of that time after the first failure, as one event has met the whole fleet
- *     at one moment, and from its second half after further ones, as fewer calls do then. How soon an agent is asked
- *     again, the module says, within the same bound;
- * <li>the watch after the first success: at once where discovery is idle. Where the answer shows that others queue,
- *     it leaves them their turn, for longer the more they are: up to {@link #AGAIN_US} after the call that was
- *     answered, which is behind the first calls of all. What discovery has meanwhile may count at once, so that the
- *     pause leaves of the drain's grace what the watch then needs;
- * <li>the limit of one that waits: its wait and a third of {@link #AFTER_WAIT_US}, which leaves two thirds and the
- *     grace for connecting anew, asking what there is now, and acting on it;
- * <li>an answer that has begun to come has a quarter of {@link #MISSED_US} for the rest, within the limit: it is
- *     not the bytes that count but the whole answer;
- * <li>the wait that is asked for: a watch that breaks in silence is found only when it is over, so that it is as
- *     short as calls are cheap. An agent's cost nobody anything: what has waited for {@link #AGENT_WAIT_US} counts no
- *     sooner than a call that does not wait. A service that all ask is left a call in three quarters of the time
- *     within which each has to ask anyhow, a quarter of them taken at random: watches that one change has ended do not
- *     end together again.
+ * <li>what a silent call missed: {@link #MISSED_TOLD_US} after the call fell silent, but for a watch no sooner than
+ *     {@link #WATCH_MISSED_TOLD_US} after its wait is over. When a call fell silent can't be seen here: the time of its
+ *     beginning is taken instead;
+ * <li>after a call that failed, was refused or was given up: {@link #MISSED_TOLD_US} after discovery had the change and
+ *     could be reached. This bound comes first.
  * </ul>
- * The call after a silent watch follows at once: it either brings what was missed, or is seen to be silent in its turn,
- * after half of what is left until the missed counts; the next ones have their full time. Where discovery stays silent
- * there is nothing to know: the list stays as it is, and calls go on within the bound.
+ * After a failure, calls therefore don't wait until one has succeeded, and the next call begins no later than {@link
+ * #RETRY_WITHIN_US} after the failed one began (after a watch: ended). Discovery may come back just after a call began
+ * and leave it hanging. Then the next call is answered {@link #RETRY_WITHIN_US} + {@link #MIN_CALL_US} = 5.6 s after
+ * the return, if discovery answers within {@link #MIN_CALL_US} with connect and queueing; 0.4 s and the whole grace are
+ * left to apply the list.
+ *
+ * <p>The call after a silent watch follows at once. It either brings what was missed, or is given up after half of the
+ * time until that counts as told; later calls have their full time. While discovery stays silent nothing can be learnt:
+ * the list stays as it is, and calls go on within the bound.
  */
 public final class ListCallTiming {
-    /** What a call that has fallen silent missed counts as told so much later. */
-    public static final long MISSED_US = 6_000_000;
-    /** The same after the wait of one that may wait is over, if that is later. */
-    public static final long AFTER_WAIT_US = 2_000_000;
-    /** What discovery at a new address has counts so long after the configuration that named it. */
-    public static final long MOVED_US = 4_000_000;
-    /** The longest wait that is asked for. */
+    /** What a silent call missed counts as told this long after the call fell silent. */
+    public static final long MISSED_TOLD_US = 6_000_000;
+    /** What a silent watch missed counts as told no sooner than this after its wait is over. */
+    public static final long WATCH_MISSED_TOLD_US = 2_000_000;
+    /** What discovery at a new address has counts as told this long after the configuration that named the address. */
+    public static final long NEW_ADDRESS_TOLD_US = 4_000_000;
+    /** The longest wait that a watch asks for. */
     public static final long LONGEST_WAIT_US = 20_000_000;
-    /** From the beginning of a call that failed to that of the next one, at the most. */
-    static final long AGAIN_US = 3_250_000;
-    /** What a call after a failure has for connect and answer, at the least. */
-    static final long CALL_US = 2_350_000;
-    /** Discovery works for so long on a call, us. */
-    private static final long WORK_US = 250_000;
-    /** An answer that takes longer than two calls had to queue, us. */
-    private static final long QUEUED_US = 2 * WORK_US;
-    /** The pause before a watch, in times of what the answer before it had to queue. */
-    private static final long PAUSE_PER_QUEUED = 5;
-    /** Of the drain's grace, kept for the call that follows on such a pause, and for a hold-up of this process, us. */
-    private static final long GRACE_FOR_CALL_US = QUEUED_US + 150_000;
-    /** The two in the time that a new address is left: 3.8 s of 4 together. */
-    static final long MOVED_AGAIN_US = 1_950_000;
-    static final long MOVED_CALL_US = 1_850_000;
-    /** The first calls to new addresses that follow on each other begin at least so far apart. */
-    static final long MOVES_APART_US = 500_000;
-    /** That it has nothing to tell yet: what was missed counts as told after {@link #MISSED_US} all the same. */
-    static final long AGENT_WAIT_US = MISSED_US - AFTER_WAIT_US;
-    private static final double ASKED_SHARE = 0.75;
-    private static final double SPREAD = 0.25;
-    private static final long LEAST_WAIT_US = 1_000_000;
-    private static final long LEAST_LIMIT_US = 300_000;
-    private static final long ANSWER_US = MISSED_US / 4;
-    /** Of what is left until something counts as told: the longest pause before it is asked again. */
+    /**
+     * The longest time from the beginning of a call that failed to that of the next one. It is also the limit of a call
+     * that does not wait: giving up sooner would gain nothing, and a discovery with too many callers works in vain if
+     * all have hung up by the time of their turn.
+     */
+    static final long RETRY_WITHIN_US = 3_250_000;
+    /** The time that is left to a call after a failure for connect and answer. */
+    static final long MIN_CALL_US = 2_350_000;
+    /** How long discovery works on a call. */
+    private static final long DISCOVERY_WORK_US = 250_000;
+    /** An answer that takes longer than two calls' work had to queue. */
+    private static final long QUEUED_ANSWER_US = 2 * DISCOVERY_WORK_US;
+    /** The pause before a watch, in multiples of the time for which the answer before it had to queue. */
+    private static final long PAUSE_PER_QUEUE_TIME = 5;
+    /** What such a pause leaves of the drain's grace, for the call that follows and for a delay of this process. */
+    private static final long GRACE_FOR_CALL_US = QUEUED_ANSWER_US + 150_000;
+    /** As {@link #RETRY_WITHIN_US}, at a new address; with the call that follows 3.8 of the 4 s that are given. */
+    static final long NEW_ADDRESS_RETRY_WITHIN_US = 1_950_000;
+    /** The limit of a call at a new address, so that two calls fit into the time that is given. */
+    static final long NEW_ADDRESS_CALL_US = 1_850_000;
+    /** The least time between the first calls to two new addresses. */
+    static final long NEW_ADDRESS_INTERVAL_US = 500_000;
+    /**
+     * The wait of a watch at an agent beside the sidecar, whose calls are cheap. A watch that breaks is noticed only
+     * when its wait is over: with this wait, what it missed counts no sooner than with a call that does not wait.
+     */
+    static final long AGENT_WAIT_US = MISSED_TOLD_US - WATCH_MISSED_TOLD_US;
+    /** The longest wait of a watch at a service that all ask, as a share of the time within which each has to ask. */
+    private static final double WAIT_SHARE = 0.75;
+    /** The share of that wait that is random, so that watches ended by one change don't end together again. */
+    private static final double WAIT_RANDOM_SHARE = 0.25;
+    private static final long MIN_WAIT_US = 1_000_000;
+    private static final long MIN_LIMIT_US = 300_000;
+    /** How long an answer that has begun may take to be complete: what counts is the whole answer, not its bytes. */
+    private static final long ANSWER_LIMIT_US = MISSED_TOLD_US / 4;
+    /** The longest pause before the next call, as a share of the time until something missed counts as told. */
     private static final double PAUSE_SHARE = 0.25;
     private static final long NEVER = Long.MAX_VALUE;
 
     private final Supplier<Discovery> settings;
     private final SplittableRandom random;
-    private boolean isMoved;
-    private long movedUs = NEVER;   // the first call to the new address began then
-    private long lastMoveCallUs = Long.MIN_VALUE;
-    private boolean isUnsure;       // the last call failed: what there is now is asked for, without a wait
-    private boolean watchWasSilent;         // it was the last call
-    private long beganUs;
-    private long waitUs;
-    private long limitUs;
-    private long againUs = NEVER;   // the next call begins then: one that failed came before
-    private long toldUs = NEVER;    // from then on what was missed since discovery was last heard counts as told
-    private long nextToldUs = NEVER;        // the same of what the last silent call missed
-    private long returnToldUs = NEVER;      // the same of what came after the last call that failed
+    /** True from a change of discovery's address until the first call there succeeds. */
+    private boolean addressIsNew;
+    /** When the first call to the new address began. */
+    private long newAddressCalledUs = NEVER;
+    /** The same of the last new address; Long.MIN_VALUE: there was none. */
+    private long lastNewAddressCallUs = Long.MIN_VALUE;
+    /** True if the last call failed: the next one asks for the present list, without a wait. */
+    private boolean lastCallFailed;
+    /** True if the last call was a watch that stayed silent. */
+    private boolean lastWasSilentWatch;
+    private long callBeganUs;
+    private long callWaitUs;
+    private long callLimitUs;
+    /** When the next call begins after one that failed; NEVER: none failed. */
+    private long retryUs = NEVER;
+    /** When what was missed since discovery last answered begins to count as told. */
+    private long missedToldUs = NEVER;
+    /** The same of what the last silent call missed. */
+    private long lastMissedToldUs = NEVER;
+    /** The same of what discovery had after the last call that failed. */
+    private long returnToldUs = NEVER;
 
     /**
-     * {@code settings}: of the moment, as they may change; {@code random}: spreads this one's calls among the others'.
+     * @param settings gives the settings in use, which may change
+     * @param random spreads this instance's calls among those of the others
      */
     public ListCallTiming(Supplier<Discovery> settings, SplittableRandom random) {
         this.settings = settings;
@@ -106,150 +109,166 @@
     }
 
     /**
-     * Another call begins now, for {@code all} of the list or for changes: the wait that it asks for, at least 1; what
-     * is asked for all can't wait.
+     * A call begins now. Returns the wait that it asks for, at least 1; 0 for the whole list.
+     *
+     * @param whole true if the call asks for the whole list, which can't wait; false if for changes
      */
-    public long begin(long now, boolean all) {
+    public long callBegins(long now, boolean whole) {
         Discovery discovery = settings.get();
-        beganUs = now;
-        againUs = NEVER;
-        if (isMoved && movedUs == NEVER) {
-            movedUs = now;
-            lastMoveCallUs = now;
+        callBeganUs = now;
+        retryUs = NEVER;
+        if (addressIsNew && newAddressCalledUs == NEVER) {
+            newAddressCalledUs = now;
+            lastNewAddressCallUs = now;
         }
-        waitUs = all ? 0 : isUnsure ? 1 : longestWaitUs(discovery);
-        if (waitUs > 1) {
-            limitUs = now + waitUs + AFTER_WAIT_US / 3;
+        callWaitUs = whole ? 0 : lastCallFailed ? 1 : longestWaitUs(discovery);
+        if (callWaitUs > 1) {
+            // Two thirds of that time and the grace are left to connect anew, ask for the present list and act on it.
+            callLimitUs = now + callWaitUs + WATCH_MISSED_TOLD_US / 3;
         } else {
-            long usualUs = isNewThere(now) ? MOVED_CALL_US : discovery.onRequest() ? AGAIN_US : MISSED_US / 6;
-            long leftUs = watchWasSilent && now < toldUs ? (toldUs - now) / 2 : usualUs;
-            limitUs = now + Math.min(usualUs, Math.max(LEAST_LIMIT_US, leftUs));
+            // An agent beside the sidecar answers at once.
+            long usualUs = isNewAddressUntold(now) ? NEW_ADDRESS_CALL_US
+                    : discovery.onRequest() ? RETRY_WITHIN_US : MISSED_TOLD_US / 6;
+            long leftUs = lastWasSilentWatch && now < missedToldUs ? (missedToldUs - now) / 2 : usualUs;
+            callLimitUs = now + Math.min(usualUs, Math.max(MIN_LIMIT_US, leftUs));
         }
-        watchWasSilent = false;
-        return waitUs;
+        lastWasSilentWatch = false;
+        return callWaitUs;
     }
 
-    /** Whether what a new address has is about to count. */
-    private boolean isNewThere(long now) {
-        return isMoved && now - movedUs < MOVED_US;
+    /** True if discovery has a new address, and what it has there does not yet count as told. */
+    private boolean isNewAddressUntold(long now) {
+        return addressIsNew && now - newAddressCalledUs < NEW_ADDRESS_TOLD_US;
     }
 
     private long longestWaitUs(Discovery discovery) {
         if (!discovery.onRequest()) {
             return AGENT_WAIT_US;
         }
-        double wait = discovery.askWithinUs() * ASKED_SHARE * (1 - SPREAD * random.nextDouble());
-        return (long) Math.max(LEAST_WAIT_US, Math.min(LONGEST_WAIT_US, wait));
+        double waitUs = discovery.askWithinUs() * WAIT_SHARE * (1 - WAIT_RANDOM_SHARE * random.nextDouble());
+        return (long) Math.max(MIN_WAIT_US, Math.min(LONGEST_WAIT_US, waitUs));
     }
 
-    /** When the call under way is given up. */
-    public long limitUs() {
-        return limitUs;
+    /** Returns when the call in progress is given up. */
+    public long callLimitUs() {
+        return callLimitUs;
     }
 
-    /** The first byte of its answer has come. */
-    public void answering(long now) {
-        limitUs = Math.min(limitUs, now + ANSWER_US);
+    /** The first byte of the call's answer has come. */
+    public void answerBegins(long now) {
+        callLimitUs = Math.min(callLimitUs, now + ANSWER_LIMIT_US);
     }
 
     /**
-     * When the watch may begin that follows on the answer which has just come: at once, but after a failure that has
-     * met others, too, where the answer shows that they queue. Then it leaves them their turn: it begins no later than
-     * a further call of one that had not been heard yet would, within half of the time for which none is needed, and
-     * early enough for what the grace has to cover. To be asked before {@link #heard}.
+     * Returns when the watch after the answer that has just come may begin. To be called before {@link #callSucceeded}.
+     *
+     * <p>That is at once, except after a failure if the answer shows that other callers queue, as the failure met them,
+     * too. Then the watch leaves them their turn: the longer the queue, the later, up to the latest time at which a
+     * caller without an answer would call again, within half of the time for which no call is needed, and early enough
+     * to leave the grace the time for the watch, as what discovery has may count as told at once.
      */
     public long watchFromUs(long now) {
         Discovery discovery = settings.get();
-        long tookUs = now - beganUs;
-        if (!isUnsure || !discovery.onRequest() || tookUs <= QUEUED_US) {
+        long tookUs = now - callBeganUs;
+        if (!lastCallFailed || !discovery.onRequest() || tookUs <= QUEUED_ANSWER_US) {
             return now;
         }
-        long pauseUs = Math.min(PAUSE_PER_QUEUED * (tookUs - WORK_US),
+        long pauseUs = Math.min(PAUSE_PER_QUEUE_TIME * (tookUs - DISCOVERY_WORK_US),
                 Math.max(0, discovery.drainGraceUs() - GRACE_FOR_CALL_US));
-        return Math.min(now + pauseUs, beganUs + Math.min(AGAIN_US, discovery.askWithinUs() / 2));
+        return Math.min(now + pauseUs, callBeganUs + Math.min(RETRY_WITHIN_US, discovery.askWithinUs() / 2));
     }
 
-    /** It was answered whole, and that was taken over. */
-    public void heard() {
-        isMoved = false;
-        settle();
+    /** The call was answered whole, and the answer was applied. */
+    public void callSucceeded() {
+        addressIsNew = false;
+        reset();
     }
 
-    private void settle() {
-        isUnsure = false;
-        watchWasSilent = false;
-        movedUs = NEVER;
-        againUs = NEVER;
-        toldUs = NEVER;
-        nextToldUs = NEVER;
+    private void reset() {
+        lastCallFailed = false;
+        lastWasSilentWatch = false;
+        newAddressCalledUs = NEVER;
+        retryUs = NEVER;
+        missedToldUs = NEVER;
+        lastMissedToldUs = NEVER;
         returnToldUs = NEVER;
     }
 
-    /** It was given up: true where the next one follows at once, false where a pause is kept. */
-    public boolean silent() {
-        nextToldUs = beganUs + Math.max(MISSED_US, waitUs + AFTER_WAIT_US);
-        toldUs = Math.min(toldUs, nextToldUs);
-        watchWasSilent = waitUs > 1;
-        boolean first = !isUnsure;
-        again(beganUs);
-        againUs = first ? beganUs : againUs;
-        return first;
+    /** The call was given up at its limit; returns true if the next one follows at once, false after a pause. */
+    public boolean callWasSilent() {
+        lastMissedToldUs = callBeganUs + Math.max(MISSED_TOLD_US, callWaitUs + WATCH_MISSED_TOLD_US);
+        missedToldUs = Math.min(missedToldUs, lastMissedToldUs);
+        lastWasSilentWatch = callWaitUs > 1;
+        boolean isFirst = !lastCallFailed;
+        scheduleRetry(callBeganUs);
+        retryUs = isFirst ? callBeganUs : retryUs;
+        return isFirst;
     }
 
     /**
-     * It failed before its time was over. {@code spoke}: by an answer that can't be used, so that discovery was there,
-     * and may have been since an earlier failure; else it was not, and what it has to tell begins to count anew.
+     * The call failed before its limit.
+     *
+     * @param answered true if an answer came that can't be used: discovery could be reached, perhaps since an earlier
+     *     failure. False if it could not: then the time until its changes count as told begins anew
      */
-    public void failed(long now, boolean spoke) {
-        long countsUs = now + MISSED_US;
-        returnToldUs = spoke ? Math.min(returnToldUs, countsUs) : countsUs;
-        again(waitUs > 1 ? now : beganUs);
+    public void callFailed(long now, boolean answered) {
+        long toldUs = now + MISSED_TOLD_US;
+        returnToldUs = answered ? Math.min(returnToldUs, toldUs) : toldUs;
+        scheduleRetry(callWaitUs > 1 ? now : callBeganUs);
     }
 
-    private void again(long fromUs) {
-        long mostUs = isNewThere(fromUs) ? MOVED_AGAIN_US : AGAIN_US;
-        long leastUs = isUnsure ? mostUs / 2 : 0;
-        againUs = fromUs + leastUs + random.nextLong(mostUs - leastUs + 1);
-        isUnsure = true;
+    /**
+     * Draws the time of the next call: after a first failure from the whole interval, as one event has met the whole
+     * fleet at the same time; after further ones from its second half, which makes for fewer calls.
+     */
+    private void scheduleRetry(long fromUs) {
+        long longestUs = isNewAddressUntold(fromUs) ? NEW_ADDRESS_RETRY_WITHIN_US : RETRY_WITHIN_US;
+        long shortestUs = lastCallFailed ? longestUs / 2 : 0;
+        retryUs = fromUs + shortestUs + random.nextLong(longestUs - shortestUs + 1);
+        lastCallFailed = true;
     }
 
-    /** Discovery is at another address, and has not failed yet; what was missed at the old one counts as it did. */
-    public void moved() {
-        isMoved = true;
-        isUnsure = false;
-        watchWasSilent = false;
-        movedUs = NEVER;
-        againUs = NEVER;
+    /** Discovery has a new address, which has not failed yet; what was missed at the old one counts as before. */
+    public void addressChanged() {
+        addressIsNew = true;
+        lastCallFailed = false;
+        lastWasSilentWatch = false;
+        newAddressCalledUs = NEVER;
+        retryUs = NEVER;
     }
 
-    /** When the first call to a new address may begin: right after another such call it would only crowd a service. */
-    public long moveCallFromUs() {
-        boolean isLimited = settings.get().onRequest() && lastMoveCallUs != Long.MIN_VALUE;
-        return isLimited ? lastMoveCallUs + MOVES_APART_US : Long.MIN_VALUE;
+    /**
+     * Returns when the first call to a new address may begin, so that address changes in a row don't crowd a service;
+     * Long.MIN_VALUE: at any time.
+     */
+    public long newAddressCallFromUs() {
+        boolean isLimited = settings.get().onRequest() && lastNewAddressCallUs != Long.MIN_VALUE;
+        return isLimited ? lastNewAddressCallUs + NEW_ADDRESS_INTERVAL_US : Long.MIN_VALUE;
     }
 
     /**
-     * The longest pause before the next call: {@link Long#MAX_VALUE} where none failed, and nothing that was missed
-     * is about to count.
+     * Returns the longest pause before the next call; Long.MAX_VALUE if no call has failed and nothing that was missed
+     * is about to count as told.
      */
     public long longestPauseUs(long now) {
-        long pauseUs = againUs == NEVER ? NEVER : Math.max(1, againUs - now);
-        long countsUs = now < toldUs ? toldUs : nextToldUs;
-        return countsUs == NEVER || now >= countsUs ? pauseUs
-                : Math.min(pauseUs, Math.max(1, (long) (PAUSE_SHARE * (countsUs - now))));
+        long pauseUs = retryUs == NEVER ? NEVER : Math.max(1, retryUs - now);
+        long toldUs = now < missedToldUs ? missedToldUs : lastMissedToldUs;
+        return toldUs == NEVER || now >= toldUs ? pauseUs
+                : Math.min(pauseUs, Math.max(1, (long) (PAUSE_SHARE * (toldUs - now))));
     }
 
-    /** Whether that pause is kept in full, whatever the module wants: many share one discovery. */
+    /**
+     * True if this pause is kept in full even if the module asks for a call sooner, as many share one discovery. How
+     * soon an agent is asked again is up to the module, within this pause.
+     */
     public boolean keepsPause() {
         return settings.get().onRequest();
     }
 
-    /**
-     * What is left of the drain's grace for what has just come, after failures that may have eaten of it; 0 or more.
-     */
+    /** Returns what earlier failures leave of the drain's grace for the list that has just come; 0 or more. */
     public long graceLeftUs(long now) {
         long graceUs = settings.get().drainGraceUs();
-        long countsUs = Math.min(toldUs, returnToldUs);
-        return countsUs > now ? graceUs : Math.max(0, graceUs - (now - countsUs));
+        long toldUs = Math.min(missedToldUs, returnToldUs);
+        return toldUs > now ? graceUs : Math.max(0, graceUs - (now - toldUs));
     }
 }
--- a/core/src/test/java/dapplequay/membership/ListCallTimingReturnTest.java
+++ b/core/src/test/java/dapplequay/membership/ListCallTimingReturnTest.java
@@ -49,7 +49,7 @@
         ListCallTiming clock = new ListCallTiming(() -> discovery, random);
         ListCallBackoff pace = new ListCallBackoff(discovery, 0, random);
         if (moved) {
-            clock.moved();
+            clock.addressChanged();
         }
         List<Call> calls = new ArrayList<>();
         long now = 100 * S;
@@ -57,8 +57,8 @@
         for (int i = 0; i < fates.size() + MORE; i++) {
             Fate fate = i < fates.size() ? fates.get(i) : Fate.SILENT;
             long beganUs = now;
-            long waitUs = clock.begin(now, all);
-            long limitUs = clock.limitUs();
+            long waitUs = clock.callBegins(now, all);
+            long limitUs = clock.callLimitUs();
             now = switch (fate) {
                 case SILENT -> limitUs;
                 case NO_CONNECT -> Math.min(limitUs, beganUs + S);
@@ -68,14 +68,14 @@
             calls.add(new Call(beganUs, waitUs, limitUs, now, fate));
             long paceUs = discovery.onRequest() ? Long.MAX_VALUE : pace.failedUs();
             if (fate == Fate.ANSWERED) {
-                clock.heard();
+                clock.callSucceeded();
                 pace.answered();
                 all = false;
                 paceUs = 0;
             } else if (fate == Fate.SILENT || fate == Fate.NO_CONNECT) {
-                paceUs = clock.silent() ? 0 : paceUs;
+                paceUs = clock.callWasSilent() ? 0 : paceUs;
             } else {
-                clock.failed(now, fate == Fate.UNREADABLE);
+                clock.callFailed(now, fate == Fate.UNREADABLE);
             }
             now += Math.min(paceUs, clock.longestPauseUs(now));
         }
@@ -118,7 +118,7 @@
     @ValueSource(longs = {0, 3 * S, 10 * S, 60 * S})
     void fromAnyMomentOnACallIsWholeWithinTheBound(long askWithinUs) {
         Discovery discovery = discovery(askWithinUs);
-        long callUs = discovery.onRequest() ? ListCallTiming.CALL_US : ListCallTiming.MISSED_US / 6;
+        long callUs = discovery.onRequest() ? ListCallTiming.MIN_CALL_US : ListCallTiming.MISSED_TOLD_US / 6;
         long worst = 0;
         for (List<Fate> fates : allOrders()) {
             worst = Math.max(worst, worstUs(play(discovery, fates, false), callUs, 0, DEPTH));
@@ -132,9 +132,9 @@
     void aNewAddressIsAskedTwiceBeforeWhatItHasCounts(long askWithinUs) {
         Discovery discovery = discovery(askWithinUs);
         for (List<Fate> fates : allOrders()) {
-            long callUs = discovery.onRequest() ? ListCallTiming.MOVED_CALL_US : ListCallTiming.MISSED_US / 6;
+            long callUs = discovery.onRequest() ? ListCallTiming.NEW_ADDRESS_CALL_US : ListCallTiming.MISSED_TOLD_US / 6;
             assertThat(worstUs(play(discovery, fates, true), callUs, 0, 1)).as("%s", fates)
-                    .isLessThan(ListCallTiming.MOVED_US - S / 10);
+                    .isLessThan(ListCallTiming.NEW_ADDRESS_TOLD_US - S / 10);
         }
     }
 
@@ -153,15 +153,15 @@
     @Test
     void doubtHasWhatFailuresLeaveOfTheGrace() {
         ListCallTiming clock = new ListCallTiming(() -> discovery(10 * S), new SplittableRandom(1));
-        clock.begin(0, false);
-        clock.failed(S, false);
-        clock.begin(2 * S, false);
-        clock.failed(20 * S, false);
+        clock.callBegins(0, false);
+        clock.callFailed(S, false);
+        clock.callBegins(2 * S, false);
+        clock.callFailed(20 * S, false);
         assertThat(clock.graceLeftUs(25 * S)).as("not there until 20 s").isEqualTo(250_000);
-        clock.failed(21 * S, true);
-        clock.failed(30 * S, true);
+        clock.callFailed(21 * S, true);
+        clock.callFailed(30 * S, true);
         assertThat(clock.graceLeftUs(26 * S + 100_000)).as("there, and not understood").isEqualTo(150_000);
-        clock.heard();
+        clock.callSucceeded();
         assertThat(clock.graceLeftUs(60 * S)).isEqualTo(250_000);
     }
 
@@ -199,8 +199,8 @@
             for (int i = 0; i < fleet; i++) {
                 Sidecar one = new Sidecar();
                 one.clock = new ListCallTiming(() -> FLEET, new SplittableRandom(i));
-                one.clock.begin(0, false);
-                one.clock.failed(1, false);
+                one.clock.callBegins(0, false);
+                one.clock.callFailed(1, false);
                 one.nextUs = 1 + one.clock.longestPauseUs(1);
                 sidecars.add(one);
             }
@@ -231,18 +231,18 @@
         }
 
         private void turn(Sidecar one, long now) {
-            if (one.calls && now >= one.clock.limitUs()) {
+            if (one.calls && now >= one.clock.callLimitUs()) {
                 one.calls = false;
-                one.nextUs = one.clock.silent() ? now : now + one.clock.longestPauseUs(now);
+                one.nextUs = one.clock.callWasSilent() ? now : now + one.clock.longestPauseUs(now);
             } else if (one.calls && now - one.beganUs > PATIENCE_US) {
                 one.calls = false;
-                one.clock.failed(now, false);
+                one.clock.callFailed(now, false);
                 one.nextUs = now + one.clock.longestPauseUs(now);
             } else if (!one.calls && !one.watches && now >= one.nextUs) {
                 one.beganUs = now;
-                one.clock.begin(now, false);
+                one.clock.callBegins(now, false);
                 if (now < BACK_US) {
-                    one.clock.failed(now, false);
+                    one.clock.callFailed(now, false);
                     one.nextUs = now + one.clock.longestPauseUs(now);
                 } else {
                     one.calls = true;
@@ -254,7 +254,7 @@
         private void answered(Sidecar one, long now) {
             one.calls = false;
             one.nextUs = one.clock.watchFromUs(now);
-            one.clock.heard();
+            one.clock.callSucceeded();
             one.watches = one.heard;
             if (!one.heard) {
                 one.heard = true;
@@ -280,12 +280,12 @@
     @Test
     void theWatchAfterAFailureWaitsOnlyWhereOthersQueue() {
         ListCallTiming clock = new ListCallTiming(() -> FLEET, new SplittableRandom(1));
-        clock.begin(0, false);
+        clock.callBegins(0, false);
         assertThat(clock.watchFromUs(5 * S)).as("no failure came before").isEqualTo(5 * S);
-        clock.failed(5 * S, false);
-        clock.begin(6 * S, false);
+        clock.callFailed(5 * S, false);
+        clock.callBegins(6 * S, false);
         assertThat(clock.watchFromUs(6 * S + S / 4)).isEqualTo(6 * S + S / 4);
-        assertThat(clock.watchFromUs(8 * S)).isEqualTo(6 * S + ListCallTiming.AGAIN_US);
+        assertThat(clock.watchFromUs(8 * S)).isEqualTo(6 * S + ListCallTiming.RETRY_WITHIN_US);
     }
 
     /** A drain that discovery had just after the answer was met 2.7 s later, at a grace of 2.5 s. */
@@ -293,9 +293,9 @@
     @CsvSource({"510, 2500", "550, 2500", "750, 2500", "1000, 2500", "2350, 2500", "550, 700", "2000, 250"})
     void theWatchAfterAFailureLeavesTheGraceItsCall(long answeredMs, long graceMs) {
         ListCallTiming clock = new ListCallTiming(() -> new Discovery(true, 10 * S, graceMs * 1_000), new SplittableRandom(1));
-        clock.begin(0, false);
-        clock.failed(5 * S, false);
-        clock.begin(6 * S, false);
+        clock.callBegins(0, false);
+        clock.callFailed(5 * S, false);
+        clock.callBegins(6 * S, false);
         long answeredUs = 6 * S + answeredMs * 1_000;
         long pauseUs = clock.watchFromUs(answeredUs) - answeredUs;
         assertThat(pauseUs).isBetween(0L, Math.max(0, graceMs * 1_000 - S / 2 - 150_000));
@@ -307,12 +307,12 @@
         List<Long> pauses = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             ListCallTiming clock = new ListCallTiming(() -> discovery(10 * S), new SplittableRandom(i));
-            clock.begin(0, false);
-            clock.failed(S, false);
+            clock.callBegins(0, false);
+            clock.callFailed(S, false);
             pauses.add(clock.longestPauseUs(S));
         }
         Collections.sort(pauses);
-        assertThat(pauses.get(99)).isLessThanOrEqualTo(ListCallTiming.AGAIN_US);
+        assertThat(pauses.get(99)).isLessThanOrEqualTo(ListCallTiming.RETRY_WITHIN_US);
         for (int i = 0; i + 20 < 100; i++) {
             assertThat(pauses.get(i + 20) - pauses.get(i)).as("twenty of a hundred").isGreaterThan(S / 4);
         }
--- a/core/src/test/java/dapplequay/membership/ListCallTimingTest.java
+++ b/core/src/test/java/dapplequay/membership/ListCallTimingTest.java
@@ -36,31 +36,31 @@
         for (int i = 0; i < fates.size() + 2; i++) {
             Fate fate = i < fates.size() ? fates.get(i) : Fate.ANSWERED;
             long beganUs = now;
-            long waitUs = clock.begin(now, all);
-            long limitUs = clock.limitUs();
-            long toldUs = beganUs + Math.max(ListCallTiming.MISSED_US, waitUs > 1 ? waitUs + ListCallTiming.AFTER_WAIT_US : 0);
+            long waitUs = clock.callBegins(now, all);
+            long limitUs = clock.callLimitUs();
+            long toldUs = beganUs + Math.max(ListCallTiming.MISSED_TOLD_US, waitUs > 1 ? waitUs + ListCallTiming.WATCH_MISSED_TOLD_US : 0);
             calls.add(new Call(beganUs, toldUs, fate));
             assertThat(limitUs).as("a call has time, and ends before what it may miss counts").isGreaterThan(now)
                     .isLessThan(toldUs);
             if (fate == Fate.DRIPPED) {
                 now += S / 10;
                 for (int more = 0; more < 100; more++) {
-                    clock.answering(now + more * S / 10);
+                    clock.answerBegins(now + more * S / 10);
                 }
-                assertThat(clock.limitUs()).as("bytes do not prolong it").isLessThanOrEqualTo(limitUs);
+                assertThat(clock.callLimitUs()).as("bytes do not prolong it").isLessThanOrEqualTo(limitUs);
             }
             if (fate == Fate.SILENT || fate == Fate.DRIPPED) {
-                now = clock.limitUs();
-                now += clock.silent() ? 0 : Math.min(pace.failedUs(), clock.longestPauseUs(now));
+                now = clock.callLimitUs();
+                now += clock.callWasSilent() ? 0 : Math.min(pace.failedUs(), clock.longestPauseUs(now));
             } else if (fate == Fate.ANSWERED) {
-                now += Math.min(3 * S / 10, clock.limitUs() - now);
-                clock.heard();
+                now += Math.min(3 * S / 10, clock.callLimitUs() - now);
+                clock.callSucceeded();
                 pace.answered();
                 all = false;
                 assertThat(clock.longestPauseUs(now)).isEqualTo(Long.MAX_VALUE);
                 assertThat(clock.graceLeftUs(now + 60 * S)).isEqualTo(250_000);
             } else if (fate == Fate.MOVED) {
-                clock.moved();
+                clock.addressChanged();
                 all = true;
             } else {
                 now += Math.min(pace.failedUs(), clock.longestPauseUs(now));
@@ -110,7 +110,7 @@
     void watchesThatEndTogetherDoNotEndTogetherAgain() {
         Discovery asked = discovery(true, 10 * S);
         long[] waits = new SplittableRandom(1).ints(100).mapToLong(seed -> new ListCallTiming(() -> asked,
-                new SplittableRandom(seed)).begin(0, false)).sorted().toArray();
+                new SplittableRandom(seed)).callBegins(0, false)).sorted().toArray();
         assertThat(waits[0]).isGreaterThan(5 * S);
         assertThat(waits[99]).isLessThanOrEqualTo(10 * S);
         assertThat(waits[90] - waits[10]).as("spread").isGreaterThan(S);
@@ -119,15 +119,15 @@
     @Test
     void afterASilenceNothingIsWaitedForAndDoubtHasWhatIsLeftOfTheGrace() {
         ListCallTiming clock = new ListCallTiming(() -> discovery(true, 10 * S), new SplittableRandom(1));
-        long wait = clock.begin(0, false);
-        assertThat(clock.silent()).isTrue();
-        long told = wait + ListCallTiming.AFTER_WAIT_US;
-        assertThat(clock.begin(clock.limitUs(), false)).isEqualTo(1);
-        assertThat(clock.silent()).as("a second one keeps the pace").isFalse();
+        long wait = clock.callBegins(0, false);
+        assertThat(clock.callWasSilent()).isTrue();
+        long told = wait + ListCallTiming.WATCH_MISSED_TOLD_US;
+        assertThat(clock.callBegins(clock.callLimitUs(), false)).isEqualTo(1);
+        assertThat(clock.callWasSilent()).as("a second one keeps the pace").isFalse();
         assertThat(clock.graceLeftUs(told - 1)).isEqualTo(250_000);
         assertThat(clock.graceLeftUs(told + 100_000)).isEqualTo(150_000);
         assertThat(clock.graceLeftUs(told + S)).isZero();
-        clock.heard();
-        assertThat(clock.begin(0, false)).as("waits again").isGreaterThan(S);
+        clock.callSucceeded();
+        assertThat(clock.callBegins(0, false)).as("waits again").isGreaterThan(S);
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -38,13 +38,13 @@
      */
     private static final long CONNECT_US = 1_000_000;
     /** A superseded call is read for so long, us: by then what it could bring is known in other ways. */
-    static final long SUPERSEDED_US = ListCallTiming.MISSED_US + ListCallTiming.AFTER_WAIT_US;
+    static final long SUPERSEDED_US = ListCallTiming.MISSED_TOLD_US + ListCallTiming.WATCH_MISSED_TOLD_US;
     /** More than so many superseded calls are not kept: each holds a descriptor. */
     static final int MOST_SUPERSEDED = 6;
     /** Calls for a whole list that an answer has made necessary begin at least so long apart, us. */
     static final long WHOLE_LISTS_APART_US = 1_000_000;
     /** For so long, us, after it was heard a version counts: a quiet watch, and as long as an older one is refused. */
-    static final long VERSION_COUNTS_US = ListCallTiming.LONGEST_WAIT_US + ListCallTiming.AFTER_WAIT_US
+    static final long VERSION_COUNTS_US = ListCallTiming.LONGEST_WAIT_US + ListCallTiming.WATCH_MISSED_TOLD_US
             + ServerRegistry.REGRESSION_US;
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -134,7 +134,7 @@
 
     /** Moves in quick succession: what calls for each address would cost a discovery that many ask is kept down. */
     private synchronized void awaitMovesApart() throws InterruptedException {
-        while (!isEnded && hasMoved && waitUntil(clock.moveCallFromUs())) {
+        while (!isEnded && hasMoved && waitUntil(clock.newAddressCallFromUs())) {
             continue;
         }
     }
@@ -169,7 +169,7 @@
             notBeforeUs = NEVER;
             wholeListUs = NEVER;
             table.moved();
-            clock.moved();
+            clock.addressChanged();
         }
         facade.watchAnew();
     }
@@ -205,12 +205,12 @@
         long nowUs = now.getAsLong();
         ListAnswer.Call id = table.nextCall(nowUs);
         boolean asksForAll = id.after() == ListAnswer.WHOLE_LIST;
-        long waitUs = clock.begin(nowUs, asksForAll);
+        long waitUs = clock.callBegins(nowUs, asksForAll);
         if (connection == null) {
             connection = new DiscoveryConnection(discovery, this, now);
         }
         current = new Call(id, connection, Long.MAX_VALUE);
-        long connectUs = Math.max(1_000, Math.min(clock.limitUs() - nowUs, CONNECT_US));
+        long connectUs = Math.max(1_000, Math.min(clock.callLimitUs() - nowUs, CONNECT_US));
         try {
             connection.call(asksForAll ? "" : "?after=" + id.after() + "&wait_ms=" + Math.max(1, waitUs / 1_000),
                     (int) ((connectUs + 999) / 1_000));
@@ -223,7 +223,7 @@
     /** Waits until the call has ended, is superseded, or its time is over. */
     private synchronized void awaitEnd(Call call) throws InterruptedException {
         while (call != null && current == call && !isEnded) {
-            if (!waitUntil(clock.limitUs())) {
+            if (!waitUntil(clock.callLimitUs())) {
                 supersede();
                 failed(new SocketTimeoutException("no answer in time; it is still read"), false);
             }
@@ -233,7 +233,7 @@
     @Override
     public synchronized void answering(DiscoveryConnection its) {
         if (isCurrent(its)) {
-            clock.answering(now.getAsLong());
+            clock.answerBegins(now.getAsLong());
             notifyAll();
         }
     }
@@ -287,7 +287,7 @@
     }
 
     private void heard() {
-        clock.heard();
+        clock.callSucceeded();
         if (fault != null) {
             fault = null;
             LOG.info("discovery answers again");
@@ -325,8 +325,8 @@
             LOG.log(Level.WARNING, "discovery call failed: {0}", text);
         }
         if (!(failure instanceof SocketTimeoutException)) {
-            clock.failed(now.getAsLong(), answered);
-        } else if (clock.silent()) {
+            clock.callFailed(now.getAsLong(), answered);
+        } else if (clock.callWasSilent()) {
             return;             // what it may have missed counts soon: the next one is not put off
         }
         facade.news(ListNews.failed());
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -265,7 +265,7 @@
             discoveryClient.moveTo(at(next));
             next.next();
         } else {
-            clock.addAndGet(ListCallTiming.LONGEST_WAIT_US + ListCallTiming.AFTER_WAIT_US);
+            clock.addAndGet(ListCallTiming.LONGEST_WAIT_US + ListCallTiming.WATCH_MISSED_TOLD_US);
             atClock = () -> clock.addAndGet(1_000);
             discoveryClient.moveTo(at(old));          // no move: it looks at its clock
             assertThat(query(old.next())).contains("after=6&");
@@ -289,7 +289,7 @@
         start(hosts.get(0), 250_000);
         hosts.get(0).next();
         for (Host host : hosts.subList(1, hosts.size())) {
-            clock.addAndGet(ListCallTiming.MOVED_US);
+            clock.addAndGet(ListCallTiming.NEW_ADDRESS_TOLD_US);
             discoveryClient.moveTo(at(host));
             host.next();
         }
