--- a/core/src/test/java/dapplequay/Bench.java
+++ b/core/src/test/java/dapplequay/BalanceRig.java
@@ -19,17 +19,17 @@
 import dapplequay.BalancerApi.Tenant;
 
 /** One module on a fake clock, with its actions written down. */
-final class Bench implements BalancerApi.Actions {
-    static final int SAFE = 0;
-    static final int UNSAFE = 1;
-    static final int KEYED_ALL = 2;
-    static final int KEYED_ZONE = 3;
-    static final int KEYED_CELL = 4;
-    static final long AIM = 400_000;
-    static final long LEFT = 800_000;
+final class BalanceRig implements BalancerApi.Actions {
+    static final int RETRYABLE = 0;
+    static final int FRAGILE = 1;
+    static final int DEDUP_ALL = 2;
+    static final int DEDUP_ZONE = 3;
+    static final int DEDUP_CELL = 4;
+    static final long AIM_US = 400_000;
+    static final long LEFT_US = 800_000;
 
     /** One action; {@code host} is null but for sends. */
-    record Done(String what, long id, String host, long time) { }
+    record Action(String kind, long id, String host, long argument) { }
 
     /** Settings that a test may vary. */
     static final class Setup {
@@ -61,28 +61,28 @@
         }
 
         private ServiceClass type(String name, Semantics semantics, Group group) {
-            return new ServiceClass(name, AIM, 0, 1_000_000, lateWorth, 1, semantics, group, 500_000, false);
+            return new ServiceClass(name, AIM_US, 0, 1_000_000, lateWorth, 1, semantics, group, 500_000, false);
         }
     }
 
-    final List<Done> log = new ArrayList<>();
-    final List<String> lines = new ArrayList<>();
-    final Balance module;
+    final List<Action> actions = new ArrayList<>();
+    final List<String> logLines = new ArrayList<>();
+    final Balance balance;
     long now = 1_000_000_000L;
     /** Until when the last send's first byte may go out. */
     long lastBeginBy;
     private long nextId = 100;
 
-    Bench() {
+    BalanceRig() {
         this(new Setup());
     }
 
-    Bench(Setup setup) {
+    BalanceRig(Setup setup) {
         this(setup, 42);
     }
 
-    Bench(Setup setup, long seed) {
-        module = new Balance(setup.settings(), seed, this);
+    BalanceRig(Setup setup, long seed) {
+        balance = new Balance(setup.settings(), seed, this);
     }
 
     static FleetEntry host(String name, int zone) {
@@ -94,7 +94,7 @@
     }
 
     /** {@code local} hosts a0, a1 ... in the own zone and {@code foreign} hosts b0, b1 ... in the other. */
-    Bench fleet(int local, int foreign) {
+    BalanceRig fleet(int local, int foreign) {
         List<FleetEntry> entries = new ArrayList<>();
         for (int i = 0; i < local; i++) {
             entries.add(host("a" + i, 0));
@@ -102,120 +102,120 @@
         for (int i = 0; i < foreign; i++) {
             entries.add(host("b" + i, 1));
         }
-        module.fleet(now, ListKind.RESTORED, entries);
+        balance.fleet(now, ListKind.RESTORED, entries);
         return this;
     }
 
     void delta(FleetEntry... entries) {
-        module.fleet(now, ListKind.DELTA, List.of(entries));
+        balance.fleet(now, ListKind.DELTA, List.of(entries));
     }
 
-    Bench pass(long us) {
+    BalanceRig advance(long us) {
         now += us;
         return this;
     }
 
     /** Hands in a request and returns what was done with it at once; null if nothing. */
-    Done request(int type) {
-        return request(type, LEFT);
+    Action request(int type) {
+        return request(type, LEFT_US);
     }
 
-    Done request(int type, long left) {
+    Action request(int type, long left) {
         return request(type, left, 0);
     }
 
-    Done request(int type, long left, int tenant) {
+    Action request(int type, long left, int tenant) {
         return request(type, left, tenant, null);
     }
 
-    Done request(int type, String key) {
-        return request(type, LEFT, 0, key);
+    Action request(int type, String key) {
+        return request(type, LEFT_US, 0, key);
     }
 
-    private Done request(int type, long left, int tenant, String key) {
-        int before = log.size();
-        module.request(now, new Request(nextId++, type, tenant, key, left, 0, false));
-        return log.size() == before ? null : log.get(before);
+    private Action request(int type, long left, int tenant, String key) {
+        int before = actions.size();
+        balance.request(now, new Request(nextId++, type, tenant, key, left, 0, false));
+        return actions.size() == before ? null : actions.get(before);
     }
 
     /** The outcome of a send, and what was done because of it; null if nothing. */
-    Done outcome(Done send, int attempt, Outcome outcome, LoadReport report) {
-        int before = log.size();
-        module.outcome(now, send.id(), attempt, send.host(), outcome, 10_000, outcome == Outcome.OK, report);
-        return log.size() == before ? null : log.get(before);
+    Action outcome(Action send, int attempt, Outcome outcome, LoadReport report) {
+        int before = actions.size();
+        balance.outcome(now, send.id(), attempt, send.host(), outcome, 10_000, outcome == Outcome.OK, report);
+        return actions.size() == before ? null : actions.get(before);
     }
 
-    Done outcome(Done send, Outcome outcome) {
+    Action outcome(Action send, Outcome outcome) {
         return outcome(send, 0, outcome, null);
     }
 
     /** Sends one request and has it answered with a report of so many requests held. */
-    Done answered(int type, double held) {
-        Done send = request(type);
+    Action requestAndAnswer(int type, double held) {
+        Action send = request(type);
         if (send.host() != null) {
-            pass(10_000);
+            advance(10_000);
             outcome(send, 0, Outcome.OK, new LoadReport(held, held));
         }
         return send;
     }
 
-    long count(String what) {
-        return log.stream().filter(d -> d.what().equals(what)).count();
+    long count(String kind) {
+        return actions.stream().filter(d -> d.kind().equals(kind)).count();
     }
 
     @Override
     public void send(long id, String host, long timeoutUs, long beginBy) {
         lastBeginBy = beginBy;
-        log.add(new Done("send", id, host, timeoutUs));
+        actions.add(new Action("send", id, host, timeoutUs));
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        log.add(new Done("cancel", id, null, attempt));
+        actions.add(new Action("cancel", id, null, attempt));
     }
 
     @Override
     public void refuse(long id, long pauseUs) {
-        log.add(new Done("refuse", id, null, pauseUs));
+        actions.add(new Action("refuse", id, null, pauseUs));
     }
 
     @Override
     public void fail(long id) {
-        log.add(new Done("fail", id, null, 0));
+        actions.add(new Action("fail", id, null, 0));
     }
 
     @Override
     public void setTimer(long afterUs, long token) {
-        log.add(new Done("timer", token, null, afterUs));
+        actions.add(new Action("timer", token, null, afterUs));
     }
 
     @Override
     public void watchFleet(boolean on) {
-        log.add(new Done("watch", 0, null, 0));
+        actions.add(new Action("watch", 0, null, 0));
     }
 
     @Override
     public void fetchFleet() {
-        log.add(new Done("fetch", 0, null, 0));
+        actions.add(new Action("fetch", 0, null, 0));
     }
 
     @Override
     public void probe(String host) {
-        log.add(new Done("probe", 0, host, 0));
+        actions.add(new Action("probe", 0, host, 0));
     }
 
     @Override
     public void closeIdle(String host) {
-        log.add(new Done("close", 0, host, 0));
+        actions.add(new Action("close", 0, host, 0));
     }
 
     @Override
     public void sendToPeer(int position, byte[] note) {
-        log.add(new Done("tell", position, null, 0));
+        actions.add(new Action("tell", position, null, 0));
     }
 
     @Override
     public void log(String line) {
-        lines.add(line);
+        logLines.add(line);
     }
 }
--- a/core/src/test/java/dapplequay/ColdFleet.java
+++ b/core/src/test/java/dapplequay/ColdFleet.java
@@ -137,7 +137,7 @@
     }
 
     final class Instance implements BalancerApi.Actions {
-        private final Balance module;
+        private final Balance balance;
         private final Map<Long, Try> open = new HashMap<>();
         private boolean ended;
 
@@ -147,7 +147,7 @@
             for (int z = 0; z < zones; z++) {
                 names.add("zone" + z);
             }
-            module = new Balance(new Settings(position, balancers, zone, names,
+            balance = new Balance(new Settings(position, balancers, zone, names,
                     List.of(new ServiceClass("order", aimUs, 0, deadlineUs, 0.25, 1, Semantics.RETRYABLE, Group.ALL,
                             4_000_000, false)), List.of(), 0, new Discovery(true, 10_000_000, 2_500_000),
                     new Limits(3, true, true, false, false, 2_000_000), cold, new Prices(0.03, 0.04, 0.05, 0.01, 0.02),
@@ -159,7 +159,7 @@
         }
 
         void list(ListKind kind, List<FleetEntry> entries) {
-            module.fleet(now, kind, entries);
+            balance.fleet(now, kind, entries);
         }
 
         void request(int triesLeft) {
@@ -169,7 +169,7 @@
             long id = nextId++;
             asked++;
             open.put(id, new Try(triesLeft));
-            module.request(now, new Request(id, 0, -1, null, deadlineUs, 0, false));
+            balance.request(now, new Request(id, 0, -1, null, deadlineUs, 0, false));
         }
 
         @Override
@@ -182,7 +182,7 @@
             t.sentAt = now;
             boolean full = host.holds >= QUEUE;
             // Only what is sent by those that know of the start: who does not can't do better.
-            Server known = module.set.servers.get(name);
+            Server known = balance.set.servers.get(name);
             long answer = host.take(host.startedUs > 0 && host.warmth(now) < 1 && known.warmth(now) < 1);
             double errors = host.startedUs > 0 ? coldErrors : now >= newsAt ? warmErrors : 0;
             boolean error = errors > 0 && random.nextDouble() < errors;
@@ -207,7 +207,7 @@
                 ok++;
             }
             boolean heard = served || outcome == Outcome.REFUSED || outcome == Outcome.ERROR;
-            module.outcome(now, id, attempt, host.name, outcome, now - t.sentAt, served, heard ? host.report() : null);
+            balance.outcome(now, id, attempt, host.name, outcome, now - t.sentAt, served, heard ? host.report() : null);
         }
 
         @Override
@@ -238,7 +238,7 @@
         public void setTimer(long afterUs, long token) {
             at(now + afterUs, () -> {
                 if (!ended) {
-                    module.timerFired(now, token);
+                    balance.timerFired(now, token);
                 }
             });
         }
--- a/core/src/test/java/dapplequay/ColdRampTest.java
+++ b/core/src/test/java/dapplequay/ColdRampTest.java
@@ -7,7 +7,7 @@
 import dapplequay.BalancerApi.ListKind;
 import dapplequay.BalancerApi.LoadReport;
 import dapplequay.BalancerApi.Outcome;
-import dapplequay.Bench.Done;
+import dapplequay.BalanceRig.Action;
 import dapplequay.limits.ColdBudget;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -201,17 +201,17 @@
         assertThat(budget.bearsOneOfEach(budget.pauseUs(110_000, 0.67 * calls, 0.31))).isFalse();
     }
 
-    private static Bench coldAlone(long seed) {
-        Bench b = anInstance(seed);
-        b.module.fleet(b.now, ListKind.RESTORED, List.of(Bench.host("a0", 0, HostState.READY, b.now)));
-        return b;
+    private static BalanceRig coldAlone(long seed) {
+        BalanceRig rig = anInstance(seed);
+        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, rig.now)));
+        return rig;
     }
 
-    private static Bench anInstance(long seed) {
-        Bench.Setup setup = new Bench.Setup();
+    private static BalanceRig anInstance(long seed) {
+        BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.position = (int) seed;
         setup.balancers = 30;
-        return new Bench(setup, seed);
+        return new BalanceRig(setup, seed);
     }
 
     /** Where a zone answers again its hosts start cold, and the instances must not all turn to them in one moment. */
@@ -220,18 +220,18 @@
         int instances = 100;
         int[] open = new int[20];      // of 100 ms each, in which a pause goes from 6.7 s to 4.3 s
         for (long seed = 1; seed <= instances; seed++) {
-            Bench b = anInstance(seed).fleet(1, 2);
+            BalanceRig rig = anInstance(seed).fleet(1, 2);
             for (int i = 0; i < 4; i++) {
-                b.module.set.zoneLoss.attemptEnded(1, true);
+                rig.balance.set.zoneLoss.attemptEnded(1, true);
             }
-            Done asked = b.request(Bench.SAFE);
+            Action asked = rig.request(BalanceRig.RETRYABLE);
             assertThat(asked.host()).startsWith("b");
-            b.pass(10_000).outcome(asked, Outcome.OK);
-            assertThat(b.module.set.zoneLoss.isLost(1)).isFalse();
-            Server other = b.module.set.servers.get(asked.host().equals("b0") ? "b1" : "b0");
-            b.module.set.answerCount = 2;
+            rig.advance(10_000).outcome(asked, Outcome.OK);
+            assertThat(rig.balance.set.zoneLoss.isLost(1)).isFalse();
+            Server other = rig.balance.set.servers.get(asked.host().equals("b0") ? "b1" : "b0");
+            rig.balance.set.answerCount = 2;
             for (int i = 0; i < open.length; i++) {
-                open[i] += other.hasColdTurn(b.now + i * 100_000, false) ? 1 : 0;
+                open[i] += other.hasColdTurn(rig.now + i * 100_000, false) ? 1 : 0;
             }
         }
         assertThat(Arrays.stream(open).max().orElseThrow()).isBetween(1, instances * 3 / 10);
@@ -241,70 +241,73 @@
     @ParameterizedTest
     @EnumSource(value = ListKind.class, names = {"DELTA", "FULL"})
     void anOlderListMakesNoHostWarmer(ListKind kind) {
-        Bench b = anInstance(1).fleet(1, 2);
+        BalanceRig rig = anInstance(1).fleet(1, 2);
         for (int i = 0; i < 4; i++) {
-            b.module.set.zoneLoss.attemptEnded(1, true);
+            rig.balance.set.zoneLoss.attemptEnded(1, true);
         }
-        b.pass(10_000).outcome(b.request(Bench.SAFE), Outcome.OK);
-        Server host = b.module.set.servers.get("b1");
-        long back = b.now;
-        assertThat(host.warmth(b.pass(2_000_000).now)).isLessThan(1);
+        rig.advance(10_000).outcome(rig.request(BalanceRig.RETRYABLE), Outcome.OK);
+        Server host = rig.balance.set.servers.get("b1");
+        long back = rig.now;
+        assertThat(host.warmth(rig.advance(2_000_000).now)).isLessThan(1);
         long turnsFrom = host.coldTurnsFrom;
         for (long told : new long[] {0, 1, back - 500_000, back}) {
-            b.module.fleet(b.now, kind, List.of(Bench.host("a0", 0), Bench.host("b1", 1, HostState.READY, told)));
+            rig.balance.fleet(rig.now, kind,
+                    List.of(BalanceRig.host("a0", 0), BalanceRig.host("b1", 1, HostState.READY, told)));
             assertThat(host.startedUs).isEqualTo(back);
             assertThat(host.coldTurnsFrom).as("a turn is not begun anew").isEqualTo(turnsFrom);
         }
-        b.module.fleet(b.now, kind, List.of(Bench.host("a0", 0), Bench.host("b1", 1, HostState.READY, b.now)));
-        assertThat(host.startedUs).as("a later start counts").isEqualTo(b.now);
+        rig.balance.fleet(rig.now, kind,
+                List.of(BalanceRig.host("a0", 0), BalanceRig.host("b1", 1, HostState.READY, rig.now)));
+        assertThat(host.startedUs).as("a later start counts").isEqualTo(rig.now);
     }
 
     /** With the pace a guess, all pauses are half as long again. */
     @ParameterizedTest
     @CsvSource({"1, 1.5", "2, 1"})
     void aColdHostThatDidNotServeMissesATurn(int answers, double wary) {
-        Bench b = coldAlone(1);
-        b.module.set.answerCount = answers;
-        Done send = b.request(Bench.SAFE);
+        BalanceRig rig = coldAlone(1);
+        rig.balance.set.answerCount = answers;
+        Action send = rig.request(BalanceRig.RETRYABLE);
         while (send.host() == null) {
-            send = b.pass(10_000).request(Bench.SAFE);
+            send = rig.advance(10_000).request(BalanceRig.RETRYABLE);
         }
-        long sentAt = b.now;
-        b.pass(10_000).outcome(send, Outcome.TIMEOUT);
-        Server host = b.module.set.servers.get("a0");
-        while (!host.hasColdTurn(b.now, true)) {
-            b.pass(10_000);
+        long sentAt = rig.now;
+        rig.advance(10_000).outcome(send, Outcome.TIMEOUT);
+        Server host = rig.balance.set.servers.get("a0");
+        while (!host.hasColdTurn(rig.now, true)) {
+            rig.advance(10_000);
         }
-        ColdBudget budget = b.module.set.coldBudget;
-        long pause = budget.pauseUs(wary * b.module.set.paceUs(), 30, host.warmth(b.now));
-        assertThat(b.now - sentAt).isBetween(2 * pause - 10_000, 2 * pause + 20_000);
+        ColdBudget budget = rig.balance.set.coldBudget;
+        long pause = budget.pauseUs(wary * rig.balance.set.paceUs(), 30, host.warmth(rig.now));
+        assertThat(rig.now - sentAt).isBetween(2 * pause - 10_000, 2 * pause + 20_000);
     }
 
     /** A host's last answer may be from before it started: that says nothing of what it bears now. */
     @Test
     void anAnswerToWhatWasSentBeforeTheStartOpensNoTurn() {
-        Bench.Setup setup = new Bench.Setup();
+        BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.balancers = 2;
-        Bench b = new Bench(setup, 1);
-        b.module.fleet(b.now, ListKind.RESTORED, List.of(Bench.host("a0", 0, HostState.READY, b.now)));
-        Server host = b.module.set.servers.get("a0");
+        BalanceRig rig = new BalanceRig(setup, 1);
+        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, rig.now)));
+        Server host = rig.balance.set.servers.get("a0");
         host.coldTurnPhase = 0.1;
-        host.lastAnswerAt = b.pass(1_000).now;
-        assertThat(host.hasColdTurn(b.now, true)).isFalse();
+        host.lastAnswerAt = rig.advance(1_000).now;
+        assertThat(host.hasColdTurn(rig.now, true)).isFalse();
         host.coldTurnPhase = 0;
-        assertThat(host.hasColdTurn(b.now, true)).as("an answer to a send since the start does").isTrue();
+        assertThat(host.hasColdTurn(rig.now, true)).as("an answer to a send since the start does").isTrue();
     }
 
     /** Where answers tell no count the pace stays a guess, and cold hosts got nothing while any other was usable. */
     @Test
     void coldHostsHaveTheirTurnsWhereNoCountIsTold() {
-        Bench b = anInstance(1);
-        b.module.fleet(b.now, ListKind.RESTORED, List.of(Bench.host("a0", 0, HostState.READY, 0),
-                Bench.host("a1", 0, HostState.READY, b.now)));
-        b.pass(10_000).outcome(b.request(Bench.SAFE), 0, Outcome.OK, new LoadReport(Double.NaN, Double.NaN));
+        BalanceRig rig = anInstance(1);
+        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, 0),
+                BalanceRig.host("a1", 0, HostState.READY, rig.now)));
+        rig.advance(10_000).outcome(rig.request(BalanceRig.RETRYABLE), 0, Outcome.OK,
+                new LoadReport(Double.NaN, Double.NaN));
         int turns = 0;
         for (int i = 0; i < 100; i++) {
-            turns += b.module.set.servers.get("a1").hasColdTurn(b.pass(100_000).now, false) ? 1 : 0;
+            turns += rig.balance.set.servers.get("a1").hasColdTurn(rig.advance(100_000).now, false) ? 1 : 0;
         }
         assertThat(turns).isPositive();
     }
@@ -312,18 +315,18 @@
     /** The first guess at what a request takes may be far off: a cold host gets nothing on it while others serve. */
     @Test
     void nothingGoesToAColdHostBeforeTheFirstAnswer() {
-        Bench b = anInstance(1);
-        b.module.fleet(b.now, ListKind.RESTORED, List.of(Bench.host("a0", 0, HostState.READY, 0),
-                Bench.host("a1", 0, HostState.READY, b.now)));
-        Server cold = b.module.set.servers.get("a1");
+        BalanceRig rig = anInstance(1);
+        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, 0),
+                BalanceRig.host("a1", 0, HostState.READY, rig.now)));
+        Server cold = rig.balance.set.servers.get("a1");
         for (int i = 0; i < 100; i++) {
-            assertThat(cold.hasColdTurn(b.pass(100_000).now, false)).isFalse();
+            assertThat(cold.hasColdTurn(rig.advance(100_000).now, false)).isFalse();
         }
-        Done send = b.request(Bench.SAFE);
-        b.pass(10_000).outcome(send, 0, Outcome.OK, new LoadReport(0, 0));
+        Action send = rig.request(BalanceRig.RETRYABLE);
+        rig.advance(10_000).outcome(send, 0, Outcome.OK, new LoadReport(0, 0));
         int turns = 0;
         for (int i = 0; i < 100; i++) {
-            turns += cold.hasColdTurn(b.pass(100_000).now, false) ? 1 : 0;
+            turns += cold.hasColdTurn(rig.advance(100_000).now, false) ? 1 : 0;
         }
         assertThat(turns).isPositive();
     }
@@ -334,9 +337,9 @@
         int seeds = 100;
         int sent = 0;
         for (long seed = 1; seed <= seeds; seed++) {
-            Bench b = coldAlone(seed);
+            BalanceRig rig = coldAlone(seed);
             for (int i = 0; i < 30; i++) {
-                sent += b.pass(10_000).request(Bench.SAFE).host() == null ? 0 : 1;
+                sent += rig.advance(10_000).request(BalanceRig.RETRYABLE).host() == null ? 0 : 1;
             }
         }
         // The pause is 1.5 x 1.5 x 40 ms x 30 / (0.4 x 3 x 0.15) = 15 s, a turn lasts an eighth of it, and 0.3 s go by.
--- a/core/src/test/java/dapplequay/LargerFleetTest.java
+++ b/core/src/test/java/dapplequay/ManyInstancesTest.java
@@ -9,7 +9,7 @@
 import dapplequay.BalancerApi.ListKind;
 import dapplequay.BalancerApi.LoadReport;
 import dapplequay.BalancerApi.Outcome;
-import dapplequay.Bench.Done;
+import dapplequay.BalanceRig.Action;
 import dapplequay.limits.ColdBudget;
 import dapplequay.membership.ListCallBackoff;
 import dapplequay.membership.PseudoRandom;
@@ -30,21 +30,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What many instances do together: each is a module of its own, and they share nothing but these counters. */
-class LargerFleetTest {
+class ManyInstancesTest {
     private static final long STEP_US = 5_000;
     private static final long SERVICE_US = 40_000;
     /** As the settings of the tests say. */
     private static final double COLDEST = 0.15;
 
-    private record Out(Bench at, Done send, long sentAt, long endsAt) { }
+    private record Out(BalanceRig at, Action send, long sentAt, long endsAt) { }
 
-    private static List<Bench> instances(int count) {
-        List<Bench> all = new ArrayList<>();
+    private static List<BalanceRig> instances(int count) {
+        List<BalanceRig> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Bench.Setup setup = new Bench.Setup();
+            BalanceRig.Setup setup = new BalanceRig.Setup();
             setup.position = i;
             setup.balancers = count;
-            all.add(new Bench(setup));
+            all.add(new BalanceRig(setup));
         }
         return all;
     }
@@ -53,7 +53,7 @@
     private static List<FleetEntry> hosts(int count, long coldSince) {
         List<FleetEntry> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(Bench.host((i % 2 == 0 ? "a" : "b") + i, i % 2, HostState.READY, i % 4 < 2 ? 0 : coldSince));
+            all.add(BalanceRig.host((i % 2 == 0 ? "a" : "b") + i, i % 2, HostState.READY, i % 4 < 2 ? 0 : coldSince));
         }
         return all;
     }
@@ -66,9 +66,9 @@
     @ParameterizedTest
     @CsvSource({"14, 60", "100, 60", "14, 100", "100, 400"})
     void coldHostsGetLessThanTheirBudgetFromAllTogether(int instances, int hosts) {
-        List<Bench> all = instances(instances);
+        List<BalanceRig> all = instances(instances);
         long start = all.get(0).now;
-        all.forEach(b -> b.module.fleet(start, ListKind.RESTORED, hosts(hosts, start)));
+        all.forEach(rig -> rig.balance.fleet(start, ListKind.RESTORED, hosts(hosts, start)));
         Map<String, Integer> cold = new TreeMap<>();
         PriorityQueue<Out> out = new PriorityQueue<>(Comparator.comparingLong(Out::endsAt));
         Map<String, Long> freeAt = new HashMap<>();
@@ -80,12 +80,12 @@
                 String host = ended.send().host();
                 int held = holds.merge(host, -1, Integer::sum) + 1;
                 ended.at().now = now;
-                ended.at().module.outcome(now, ended.send().id(), 0, host, Outcome.OK, now - ended.sentAt(), true,
+                ended.at().balance.outcome(now, ended.send().id(), 0, host, Outcome.OK, now - ended.sentAt(), true,
                         new LoadReport(held, held));
             }
-            for (Bench b : all) {
-                b.now = now;
-                Done send = b.request(Bench.SAFE);
+            for (BalanceRig rig : all) {
+                rig.now = now;
+                Action send = rig.request(BalanceRig.RETRYABLE);
                 if (send.host() == null) {
                     continue;
                 }
@@ -93,7 +93,7 @@
                 long endsAt = Math.max(now, freeAt.getOrDefault(send.host(), 0L)) + service;
                 freeAt.put(send.host(), endsAt);
                 holds.merge(send.host(), 1, Integer::sum);
-                out.add(new Out(b, send, now, endsAt));
+                out.add(new Out(rig, send, now, endsAt));
                 if (isCold(send.host())) {
                     cold.merge(send.host(), 1, Integer::sum);
                 }
@@ -110,9 +110,9 @@
     @CsvSource({"14, 60", "100, 60", "100, 400"})
     void firstChoicesAreSpreadOverTheHomeZone(int instances, int hosts) {
         Set<String> heads = new HashSet<>();
-        for (Bench b : instances(instances)) {
-            b.module.fleet(b.now, ListKind.RESTORED, hosts(hosts, 0));
-            heads.add(b.request(Bench.SAFE).host());
+        for (BalanceRig rig : instances(instances)) {
+            rig.balance.fleet(rig.now, ListKind.RESTORED, hosts(hosts, 0));
+            heads.add(rig.request(BalanceRig.RETRYABLE).host());
         }
         assertThat(heads).hasSizeGreaterThanOrEqualTo(Math.min(instances, hosts / 2) * 3 / 5);
     }
@@ -124,7 +124,8 @@
         int[] first = new int[51];
         int[] second = new int[80];
         for (int i = 0; i < instances; i++) {
-            ListCallBackoff pace = new ListCallBackoff(new Discovery(true, 10_000_000, 2_500_000), PseudoRandom.evenlySpread(i), new SplittableRandom(i));
+            ListCallBackoff pace = new ListCallBackoff(new Discovery(true, 10_000_000, 2_500_000),
+                    PseudoRandom.evenlySpread(i), new SplittableRandom(i));
             long asked = pace.firstUs();
             first[(int) (asked / 100_000)]++;
             second[(int) ((asked + pace.failedUs()) / 100_000)]++;
@@ -140,16 +141,16 @@
 
     @Test
     void drainedHostsGetNothingMoreFromAnyInstance() {
-        List<Bench> all = instances(14);
-        all.forEach(b -> b.module.fleet(b.now, ListKind.RESTORED, hosts(60, 0)));
-        for (Bench b : all) {
+        List<BalanceRig> all = instances(14);
+        all.forEach(rig -> rig.balance.fleet(rig.now, ListKind.RESTORED, hosts(60, 0)));
+        for (BalanceRig rig : all) {
             List<FleetEntry> draining = new ArrayList<>();
             for (int i = 0; i < 60; i += 3) {
-                draining.add(Bench.host(i % 2 == 0 ? "a" + i : "b" + i, i % 2, HostState.DRAINING, 0));
+                draining.add(BalanceRig.host(i % 2 == 0 ? "a" + i : "b" + i, i % 2, HostState.DRAINING, 0));
             }
-            b.module.fleet(b.now, ListKind.DELTA, draining);
+            rig.balance.fleet(rig.now, ListKind.DELTA, draining);
             for (int i = 0; i < 300; i++) {
-                Done send = b.pass(2_000).request(Bench.SAFE);
+                Action send = rig.advance(2_000).request(BalanceRig.RETRYABLE);
                 if (send.host() != null) {
                     assertThat(Integer.parseInt(send.host().substring(1)) % 3).as(send.host()).isNotZero();
                 }
--- a/core/src/test/java/dapplequay/NoOtherZoneTest.java
+++ b/core/src/test/java/dapplequay/NoOtherZoneTest.java
@@ -4,7 +4,7 @@
 
 import dapplequay.BalancerApi.LoadReport;
 import dapplequay.BalancerApi.Outcome;
-import dapplequay.Bench.Done;
+import dapplequay.BalanceRig.Action;
 import java.util.HashSet;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -13,17 +13,17 @@
 
 /** A zone is left for another one. Where there is none, failures in a row are single hosts' failures. */
 class NoOtherZoneTest {
-    private static Bench fleet(int zones) {
-        Bench.Setup setup = new Bench.Setup();
+    private static BalanceRig fleet(int zones) {
+        BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.zones = zones;
-        return new Bench(setup).fleet(8, 0);
+        return new BalanceRig(setup).fleet(8, 0);
     }
 
-    private static void failInARow(Bench b, int count) {
+    private static void failInARow(BalanceRig rig, int count) {
         for (int i = 0; i < count; i++) {
-            Done send = b.request(Bench.UNSAFE);
-            b.pass(1_000);
-            b.outcome(send, Outcome.CONNECT_FAILED);
+            Action send = rig.request(BalanceRig.FRAGILE);
+            rig.advance(1_000);
+            rig.outcome(send, Outcome.CONNECT_FAILED);
         }
     }
 
@@ -31,65 +31,65 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 5})
     void theOnlyZoneWithHostsIsNotLost(int zones) {
-        Bench b = fleet(zones);
-        failInARow(b, 6);
+        BalanceRig rig = fleet(zones);
+        failInARow(rig, 6);
         Set<String> met = new HashSet<>();
         for (int i = 0; i < 12; i++) {
-            b.pass(10_000);
-            Done send = b.request(Bench.UNSAFE);
-            assertThat(send.what()).isEqualTo("send");
+            rig.advance(10_000);
+            Action send = rig.request(BalanceRig.FRAGILE);
+            assertThat(send.kind()).isEqualTo("send");
             met.add(send.host());
         }
         assertThat(met).hasSizeGreaterThan(2);
-        assertThat(b.lines).noneMatch(line -> line.startsWith("zone lost") || line.startsWith("zone back"));
+        assertThat(rig.logLines).noneMatch(line -> line.startsWith("zone lost") || line.startsWith("zone back"));
     }
 
     /** Whoever came back in it was taken for cold, and got next to nothing for as long as a start takes. */
     @Test
     void noHostIsTakenForColdAsOthersFailed() {
-        Bench b = fleet(1);
-        failInARow(b, 6);
+        BalanceRig rig = fleet(1);
+        failInARow(rig, 6);
         for (int i = 0; i < 20; i++) {
-            b.pass(10_000);
-            b.answered(Bench.SAFE, 1);
+            rig.advance(10_000);
+            rig.requestAndAnswer(BalanceRig.RETRYABLE, 1);
         }
-        assertThat(b.module.set.servers.values()).allSatisfy(s -> assertThat(s.warmth(b.now)).isEqualTo(1));
+        assertThat(rig.balance.set.servers.values()).allSatisfy(s -> assertThat(s.warmth(rig.now)).isEqualTo(1));
     }
 
     @Test
     void whereAllZonesFailNoneCountsAsLostAndTheFirstToAnswerIsNotTakenForCold() {
-        Bench b = new Bench().fleet(6, 6);
+        BalanceRig rig = new BalanceRig().fleet(6, 6);
         for (int i = 0; i < 40; i++) {
-            b.pass(20_000);
-            Done send = b.request(Bench.SAFE);
-            for (int attempt = 0; send != null && send.what().equals("send"); attempt++) {
-                b.pass(1_000);
-                send = b.outcome(send, attempt, Outcome.CONNECT_FAILED, null);
+            rig.advance(20_000);
+            Action send = rig.request(BalanceRig.RETRYABLE);
+            for (int attempt = 0; send != null && send.kind().equals("send"); attempt++) {
+                rig.advance(1_000);
+                send = rig.outcome(send, attempt, Outcome.CONNECT_FAILED, null);
             }
         }
-        assertThat(b.module.set.zoneLoss.isLost(0) && b.module.set.zoneLoss.isLost(1)).isFalse();
-        b.pass(2_000_000);
+        assertThat(rig.balance.set.zoneLoss.isLost(0) && rig.balance.set.zoneLoss.isLost(1)).isFalse();
+        rig.advance(2_000_000);
         for (int i = 0; i < 30; i++) {
-            b.pass(50_000);
-            Done send = b.request(Bench.SAFE);
+            rig.advance(50_000);
+            Action send = rig.request(BalanceRig.RETRYABLE);
             if (send.host() != null) {
-                b.outcome(send, 0, Outcome.OK, new LoadReport(1, 1));
+                rig.outcome(send, 0, Outcome.OK, new LoadReport(1, 1));
             }
         }
-        assertThat(b.module.set.servers.values()).filteredOn(s -> s.lastAnswerAt > 0)
-                .anySatisfy(s -> assertThat(s.warmth(b.now)).isEqualTo(1));
+        assertThat(rig.balance.set.servers.values()).filteredOn(s -> s.lastAnswerAt > 0)
+                .anySatisfy(s -> assertThat(s.warmth(rig.now)).isEqualTo(1));
     }
 
     /** As before: with another zone there, a lost one is left, and what is back is taken for cold. */
     @Test
     void aZoneIsStillLeftForAnother() {
-        Bench b = new Bench().fleet(6, 6);
-        failInARow(b, 5);
-        assertThat(b.module.set.zoneLoss.isLost(0)).isTrue();
-        assertThat(b.lines).contains("zone lost: zone0");
+        BalanceRig rig = new BalanceRig().fleet(6, 6);
+        failInARow(rig, 5);
+        assertThat(rig.balance.set.zoneLoss.isLost(0)).isTrue();
+        assertThat(rig.logLines).contains("zone lost: zone0");
         for (int i = 0; i < 5; i++) {
-            b.pass(10_000);
-            Done send = b.request(Bench.SAFE);
+            rig.advance(10_000);
+            Action send = rig.request(BalanceRig.RETRYABLE);
             assertThat(send.host()).startsWith(i == 0 ? "" : "b");
         }
     }
--- a/core/src/test/java/dapplequay/RulesTest.java
+++ b/core/src/test/java/dapplequay/RulesTest.java
@@ -9,7 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import dapplequay.Bench.Done;
+import dapplequay.BalanceRig.Action;
 import dapplequay.BalancerApi.FleetEntry;
 import dapplequay.BalancerApi.HostState;
 import dapplequay.BalancerApi.ListKind;
@@ -29,86 +29,87 @@
     @ParameterizedTest
     @EnumSource(Outcome.class)
     void everyOutcomeLeadsToAnAnswerInTheEnd(Outcome outcome) {
-        for (int type = Bench.SAFE; type <= Bench.KEYED_CELL; type++) {
-            Bench b = new Bench().fleet(6, 0);
-            Done send = b.request(type);
+        for (int type = BalanceRig.RETRYABLE; type <= BalanceRig.DEDUP_CELL; type++) {
+            BalanceRig rig = new BalanceRig().fleet(6, 0);
+            Action send = rig.request(type);
             int attempt = 0;
-            Done next = send;
-            while (next != null && next.what().equals("send")) {
-                b.pass(1_000);
-                next = b.outcome(next, attempt++, outcome, null);
+            Action next = send;
+            while (next != null && next.kind().equals("send")) {
+                rig.advance(1_000);
+                next = rig.outcome(next, attempt++, outcome, null);
             }
-            long answers = b.count("refuse") + b.count("fail");
+            long answers = rig.count("refuse") + rig.count("fail");
             assertEquals(outcome == Outcome.OK ? 0 : 1, answers, "class " + type);
-            b.module.outcome(b.now, send.id(), 0, send.host(), outcome, 0, true, null);
-            assertEquals(answers, b.count("refuse") + b.count("fail"), "a late outcome must not answer again");
+            rig.balance.outcome(rig.now, send.id(), 0, send.host(), outcome, 0, true, null);
+            assertEquals(answers, rig.count("refuse") + rig.count("fail"), "a late outcome must not answer again");
         }
     }
 
     @Test
     void emptyFleetRefusesAtOnce() {
-        Bench b = new Bench().fleet(0, 0);
-        assertEquals("refuse", b.request(Bench.UNSAFE).what());
+        BalanceRig rig = new BalanceRig().fleet(0, 0);
+        assertEquals("refuse", rig.request(BalanceRig.FRAGILE).kind());
     }
 
     @Test
     void listThatEmptiesAndRefillsServesAgain() {
-        Bench b = new Bench().fleet(2, 0);
-        b.delta(Bench.host("a0", 0, HostState.REMOVED, 0), Bench.host("a1", 0, HostState.DRAINING, 0));
-        assertEquals("refuse", b.request(Bench.SAFE).what());
-        b.module.fleet(b.now, ListKind.FULL, List.of(Bench.host("a7", 0)));
-        assertEquals("a7", b.request(Bench.SAFE).host());
+        BalanceRig rig = new BalanceRig().fleet(2, 0);
+        rig.delta(BalanceRig.host("a0", 0, HostState.REMOVED, 0), BalanceRig.host("a1", 0, HostState.DRAINING, 0));
+        assertEquals("refuse", rig.request(BalanceRig.RETRYABLE).kind());
+        rig.balance.fleet(rig.now, ListKind.FULL, List.of(BalanceRig.host("a7", 0)));
+        assertEquals("a7", rig.request(BalanceRig.RETRYABLE).host());
     }
 
     @Test
     void timeOutOwesAnAnswerAndNothingGoesOutAfterIt() {
-        Bench b = new Bench().fleet(3, 0);
-        Done send = b.request(Bench.UNSAFE);
-        b.pass(Bench.AIM);
-        assertEquals("fail", b.outcome(send, Outcome.TIMEOUT).what());
-        assertNull(b.outcome(send, 1, Outcome.REFUSED, null));
+        BalanceRig rig = new BalanceRig().fleet(3, 0);
+        Action send = rig.request(BalanceRig.FRAGILE);
+        rig.advance(BalanceRig.AIM_US);
+        assertEquals("fail", rig.outcome(send, Outcome.TIMEOUT).kind());
+        assertNull(rig.outcome(send, 1, Outcome.REFUSED, null));
     }
 
     @Test
     void goneClientIsOwedNothing() {
-        Bench b = new Bench().fleet(3, 0);
-        Done send = b.request(Bench.SAFE);
-        b.module.clientLeft(b.now, send.id());
-        b.module.clientLeft(b.now, send.id());
-        assertNull(b.outcome(send, Outcome.ERROR));
+        BalanceRig rig = new BalanceRig().fleet(3, 0);
+        Action send = rig.request(BalanceRig.RETRYABLE);
+        rig.balance.clientLeft(rig.now, send.id());
+        rig.balance.clientLeft(rig.now, send.id());
+        assertNull(rig.outcome(send, Outcome.ERROR));
     }
 
     @Test
     void workPastItsAimIsRefusedAndNotSent() {
-        Bench b = new Bench().fleet(3, 0);
-        assertEquals("send", b.request(Bench.SAFE, Bench.LEFT).what());
+        BalanceRig rig = new BalanceRig().fleet(3, 0);
+        assertEquals("send", rig.request(BalanceRig.RETRYABLE, BalanceRig.LEFT_US).kind());
         // Less time than clients grant a try: 600 ms of the deadline of 1 s are gone, and the aim is 400 ms.
-        assertEquals("refuse", b.request(Bench.SAFE, 400_000).what());
+        assertEquals("refuse", rig.request(BalanceRig.RETRYABLE, 400_000).kind());
     }
 
     @Test
     void lateAnswerOfSomeWorthIsStillSoughtAfterTheAim() {
-        Bench.Setup setup = new Bench.Setup();
+        BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.lateWorth = 0.2;
-        Bench b = new Bench(setup).fleet(3, 0);
-        Done send = b.request(Bench.SAFE, Bench.LEFT);
-        assertEquals(Bench.LEFT, send.time());
-        assertEquals("send", b.request(Bench.SAFE, 400_000).what());
+        BalanceRig rig = new BalanceRig(setup).fleet(3, 0);
+        Action send = rig.request(BalanceRig.RETRYABLE, BalanceRig.LEFT_US);
+        assertEquals(BalanceRig.LEFT_US, send.argument());
+        assertEquals("send", rig.request(BalanceRig.RETRYABLE, 400_000).kind());
     }
 
     @Test
     void tryThatCanOnlyBeLateGetsNoRoomBesideWorkThatCanBeInTime() {
-        Bench.Setup setup = new Bench.Setup();
+        BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.lateWorth = 0.2;
-        Bench b = new Bench(setup).fleet(2, 0);
+        BalanceRig rig = new BalanceRig(setup).fleet(2, 0);
         for (int i = 0; i < 10; i++) {
-            b.pass(50_000).answered(Bench.SAFE, 1);
+            rig.advance(50_000).requestAndAnswer(BalanceRig.RETRYABLE, 1);
         }
         for (int i = 0; i < 100; i++) {
-            b.pass(100_000).module.probeCompleted(b.now, "a" + i % 2, Outcome.OK, 1_000, new LoadReport(20, 20));
+            rig.advance(100_000).balance.probeCompleted(rig.now, "a" + i % 2, Outcome.OK, 1_000,
+                    new LoadReport(20, 20));
         }
-        assertEquals("send", b.request(Bench.SAFE, Bench.LEFT).what());
-        assertEquals("refuse", b.request(Bench.SAFE, 400_000).what());
+        assertEquals("send", rig.request(BalanceRig.RETRYABLE, BalanceRig.LEFT_US).kind());
+        assertEquals("refuse", rig.request(BalanceRig.RETRYABLE, 400_000).kind());
     }
 
     // ---- rule 2: no effect twice ----
@@ -119,65 +120,65 @@
             if (outcome == Outcome.OK) {
                 continue;
             }
-            Bench b = new Bench().fleet(4, 0);
-            Done send = b.request(Bench.UNSAFE);
-            b.pass(1_000);
-            assertEquals(outcome.neverRan ? "send" : "fail", b.outcome(send, outcome).what(), outcome.name());
+            BalanceRig rig = new BalanceRig().fleet(4, 0);
+            Action send = rig.request(BalanceRig.FRAGILE);
+            rig.advance(1_000);
+            assertEquals(outcome.neverRan ? "send" : "fail", rig.outcome(send, outcome).kind(), outcome.name());
         }
     }
 
     @Test
     void unsafeThatRanOnTheSecondAttemptFails() {
-        Bench b = new Bench().fleet(4, 0);
-        Done first = b.request(Bench.UNSAFE);
-        b.pass(1_000);
-        Done second = b.outcome(first, Outcome.REFUSED);
+        BalanceRig rig = new BalanceRig().fleet(4, 0);
+        Action first = rig.request(BalanceRig.FRAGILE);
+        rig.advance(1_000);
+        Action second = rig.outcome(first, Outcome.REFUSED);
         assertNotEquals(first.host(), second.host());
-        b.pass(1_000);
-        assertEquals("fail", b.outcome(second, 1, Outcome.RESET, null).what());
+        rig.advance(1_000);
+        assertEquals("fail", rig.outcome(second, 1, Outcome.RESET, null).kind());
     }
 
     @Test
     void keyedOfAZoneStaysInItsZoneAndIsNeverRefusedOnceItMayHaveRun() {
-        Bench b = new Bench().fleet(1, 4);
-        Done send = b.request(Bench.KEYED_ZONE);
+        BalanceRig rig = new BalanceRig().fleet(1, 4);
+        Action send = rig.request(BalanceRig.DEDUP_ZONE);
         assertEquals("a0", send.host());
-        b.pass(1_000);
-        assertEquals("fail", b.outcome(send, Outcome.ERROR).what(), "no other host of its zone, so no further try");
+        rig.advance(1_000);
+        assertEquals("fail", rig.outcome(send, Outcome.ERROR).kind(), "no other host of its zone, so no further try");
     }
 
     @Test
     void keyedOfAZoneMayLeaveItsZoneBeforeItRan() {
-        Bench b = new Bench().fleet(1, 4);
-        Done send = b.request(Bench.KEYED_ZONE);
-        b.pass(1_000);
-        assertTrue(b.outcome(send, Outcome.CONNECT_FAILED).host().startsWith("b"));
+        BalanceRig rig = new BalanceRig().fleet(1, 4);
+        Action send = rig.request(BalanceRig.DEDUP_ZONE);
+        rig.advance(1_000);
+        assertTrue(rig.outcome(send, Outcome.CONNECT_FAILED).host().startsWith("b"));
     }
 
     @Test
     void keyedOfAllGoesAnywhereWithinItsWindowAndIsNeverRefusedOnceItMayHaveRun() {
-        Bench b = new Bench().fleet(2, 0);
-        Done send = b.request(Bench.KEYED_ALL);
-        b.pass(1_000);
-        Done second = b.outcome(send, Outcome.RESET);
-        assertEquals("send", second.what());
-        Bench.Setup setup = new Bench.Setup();
+        BalanceRig rig = new BalanceRig().fleet(2, 0);
+        Action send = rig.request(BalanceRig.DEDUP_ALL);
+        rig.advance(1_000);
+        Action second = rig.outcome(send, Outcome.RESET);
+        assertEquals("send", second.kind());
+        BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.lateWorth = 0.5;
-        Bench late = new Bench(setup).fleet(2, 0);
-        Done first = late.request(Bench.KEYED_ALL);
-        late.pass(500_001);     // the window is 500 ms from the first send that may have run
-        assertEquals("fail", late.outcome(first, Outcome.RESET).what());
+        BalanceRig late = new BalanceRig(setup).fleet(2, 0);
+        Action first = late.request(BalanceRig.DEDUP_ALL);
+        late.advance(500_001);     // the window is 500 ms from the first send that may have run
+        assertEquals("fail", late.outcome(first, Outcome.RESET).kind());
     }
 
     @Test
     void keyedWorkIsRefusedOnlyWhereEachOfItsAttemptsProvedThatItNeverRan() {
-        for (int type = Bench.KEYED_ALL; type <= Bench.KEYED_CELL; type++) {
+        for (int type = BalanceRig.DEDUP_ALL; type <= BalanceRig.DEDUP_CELL; type++) {
             for (Outcome outcome : Outcome.values()) {
                 if (outcome != Outcome.OK) {
-                    Bench b = new Bench().fleet(1, 0);
-                    Done send = b.request(type);
-                    b.pass(1_000);
-                    assertEquals(outcome.neverRan ? "refuse" : "fail", b.outcome(send, outcome).what(),
+                    BalanceRig rig = new BalanceRig().fleet(1, 0);
+                    Action send = rig.request(type);
+                    rig.advance(1_000);
+                    assertEquals(outcome.neverRan ? "refuse" : "fail", rig.outcome(send, outcome).kind(),
                             type + " " + outcome);
                 }
             }
@@ -188,17 +189,18 @@
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"RESET", "ERROR", "CANCELLED"})
     void whatCanNotBeRefusedAnyMoreGoesOnAlsoWhereNobodyHasRoom(Outcome outcome) {
-        for (int type = Bench.KEYED_ALL; type <= Bench.KEYED_CELL; type++) {
-            Bench b = new Bench().fleet(2, 0);
-            Done send = b.request(type);
+        for (int type = BalanceRig.DEDUP_ALL; type <= BalanceRig.DEDUP_CELL; type++) {
+            BalanceRig rig = new BalanceRig().fleet(2, 0);
+            Action send = rig.request(type);
             for (int i = 0; i < 6; i++) {
                 for (String host : List.of("a0", "a1")) {
-                    b.module.probeCompleted(b.pass(20_000).now, host, Outcome.OK, 1_000, new LoadReport(200, 200));
+                    rig.balance.probeCompleted(rig.advance(20_000).now, host, Outcome.OK, 1_000,
+                            new LoadReport(200, 200));
                 }
             }
-            assertEquals("refuse", b.request(type).what(), "nobody has room");
-            Done second = b.outcome(send, outcome);
-            assertEquals("send", second.what(), type + " after " + outcome);
+            assertEquals("refuse", rig.request(type).kind(), "nobody has room");
+            Action second = rig.outcome(send, outcome);
+            assertEquals("send", second.kind(), type + " after " + outcome);
             assertNotEquals(send.host(), second.host());
         }
     }
@@ -206,31 +208,31 @@
     /** The window of 500 ms counts from the first send that may have run, however long the network takes to begin. */
     @Test
     void repeatOfKeyedWorkHasToBeginWithinItsWindowAndTheWayToTheServer() {
-        Bench b = new Bench().fleet(4, 0);
-        Done first = b.request(Bench.KEYED_ALL);
-        assertEquals(Long.MAX_VALUE, b.lastBeginBy, "nothing ran before it");
-        b.pass(100_000);
-        Done second = b.outcome(first, Outcome.CONNECT_FAILED);
-        long ran = b.now;
-        assertEquals(Long.MAX_VALUE, b.lastBeginBy, "nor before this one");
-        b.pass(100_000);
-        Done third = b.outcome(second, 1, Outcome.RESET, null);
-        assertEquals("send", third.what());
-        assertEquals(ran + 480_000, b.lastBeginBy);
-        b.pass(50_000);
-        assertEquals("send", b.outcome(third, 2, Outcome.NOT_SENT, null).what());
-        assertEquals(ran + 480_000, b.lastBeginBy, "what was stopped before its first byte opens no window");
+        BalanceRig rig = new BalanceRig().fleet(4, 0);
+        Action first = rig.request(BalanceRig.DEDUP_ALL);
+        assertEquals(Long.MAX_VALUE, rig.lastBeginBy, "nothing ran before it");
+        rig.advance(100_000);
+        Action second = rig.outcome(first, Outcome.CONNECT_FAILED);
+        long ran = rig.now;
+        assertEquals(Long.MAX_VALUE, rig.lastBeginBy, "nor before this one");
+        rig.advance(100_000);
+        Action third = rig.outcome(second, 1, Outcome.RESET, null);
+        assertEquals("send", third.kind());
+        assertEquals(ran + 480_000, rig.lastBeginBy);
+        rig.advance(50_000);
+        assertEquals("send", rig.outcome(third, 2, Outcome.NOT_SENT, null).kind());
+        assertEquals(ran + 480_000, rig.lastBeginBy, "what was stopped before its first byte opens no window");
     }
 
     @Test
     void keyedWorkIsNotSentAgainWhereItsWindowIsAsGoodAsOver() {
         for (long after : new long[] {479_999, 480_000}) {
-            Bench.Setup setup = new Bench.Setup();
+            BalanceRig.Setup setup = new BalanceRig.Setup();
             setup.lateWorth = 0.5;
-            Bench b = new Bench(setup).fleet(4, 0);
-            Done send = b.request(Bench.KEYED_CELL);
-            b.pass(after);
-            assertEquals(after < 480_000 ? "send" : "fail", b.outcome(send, Outcome.RESET).what());
+            BalanceRig rig = new BalanceRig(setup).fleet(4, 0);
+            Action send = rig.request(BalanceRig.DEDUP_CELL);
+            rig.advance(after);
+            assertEquals(after < 480_000 ? "send" : "fail", rig.outcome(send, Outcome.RESET).kind());
         }
     }
 
@@ -239,20 +241,21 @@
     @ValueSource(booleans = {false, true})
     void repeatOfKeyedWorkStaysWhereTheFirstAttemptWent(boolean startedAnew) {
         for (int others = 0; others < 2; others++) {
-            for (int type : new int[] {Bench.KEYED_CELL, Bench.KEYED_ZONE}) {
-                Bench b = new Bench();
+            for (int type : new int[] {BalanceRig.DEDUP_CELL, BalanceRig.DEDUP_ZONE}) {
+                BalanceRig rig = new BalanceRig();
                 List<FleetEntry> all = new ArrayList<>(List.of(place("a0", 0, 5), place("b0", 1, 6)));
                 if (others == 1) {
                     all.addAll(List.of(place("a1", 0, 5), place("b1", 1, 6)));
                 }
-                b.module.fleet(b.now, ListKind.RESTORED, all);
-                Done first = b.request(type);
+                rig.balance.fleet(rig.now, ListKind.RESTORED, all);
+                Action first = rig.request(type);
                 assertTrue(first.host().startsWith("a"));
-                b.pass(1_000);
-                long started = startedAnew ? b.now : 0;
-                b.delta(new FleetEntry(first.host(), type == Bench.KEYED_ZONE ? 1 : 0, 6, HostState.READY, 1, started));
-                Done next = b.pass(1_000).outcome(first, Outcome.RESET);
-                assertEquals(others == 0 ? "fail" : "send", next.what());
+                rig.advance(1_000);
+                long started = startedAnew ? rig.now : 0;
+                rig.delta(new FleetEntry(first.host(), type == BalanceRig.DEDUP_ZONE ? 1 : 0, 6, HostState.READY, 1,
+                        started));
+                Action next = rig.advance(1_000).outcome(first, Outcome.RESET);
+                assertEquals(others == 0 ? "fail" : "send", next.kind());
                 assertTrue(others == 0 || next.host().startsWith("a") && !next.host().equals(first.host()));
             }
         }
@@ -264,94 +267,94 @@
 
     @Test
     void whatMayBeRepeatedAtAnyTimeMayBeginAtAnyTime() {
-        Bench b = new Bench().fleet(4, 0);
-        Done send = b.request(Bench.SAFE);
-        b.pass(100_000);
-        assertEquals("send", b.outcome(send, Outcome.RESET).what());
-        assertEquals(Long.MAX_VALUE, b.lastBeginBy);
+        BalanceRig rig = new BalanceRig().fleet(4, 0);
+        Action send = rig.request(BalanceRig.RETRYABLE);
+        rig.advance(100_000);
+        assertEquals("send", rig.outcome(send, Outcome.RESET).kind());
+        assertEquals(Long.MAX_VALUE, rig.lastBeginBy);
     }
 
     @Test
     void sendCapHolds() {
-        Bench.Setup setup = new Bench.Setup();
+        BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.sendCap = 1;
-        Bench b = new Bench(setup).fleet(4, 0);
-        Done send = b.request(Bench.SAFE);
-        b.pass(1_000);
-        assertEquals("refuse", b.outcome(send, Outcome.REFUSED).what());
+        BalanceRig rig = new BalanceRig(setup).fleet(4, 0);
+        Action send = rig.request(BalanceRig.RETRYABLE);
+        rig.advance(1_000);
+        assertEquals("refuse", rig.outcome(send, Outcome.REFUSED).kind());
     }
 
     // ---- rule 3: drains ----
 
     @Test
     void drainingHostGetsNothingFromTheEventThatNamesIt() {
-        Bench b = new Bench().fleet(3, 0);
-        String head = b.answered(Bench.SAFE, 0).host();
-        b.delta(Bench.host(head, 0, HostState.DRAINING, 0));
+        BalanceRig rig = new BalanceRig().fleet(3, 0);
+        String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
+        rig.delta(BalanceRig.host(head, 0, HostState.DRAINING, 0));
         for (int i = 0; i < 20; i++) {
-            assertNotEquals(head, b.pass(50_000).answered(Bench.SAFE, 0).host());
+            assertNotEquals(head, rig.advance(50_000).requestAndAnswer(BalanceRig.RETRYABLE, 0).host());
         }
     }
 
     @Test
     void hostMissingFromAFullListIsGoneAndItsWorkInFlightFinishes() {
-        Bench b = new Bench().fleet(2, 0);
-        Done send = b.request(Bench.SAFE);
+        BalanceRig rig = new BalanceRig().fleet(2, 0);
+        Action send = rig.request(BalanceRig.RETRYABLE);
         String other = send.host().equals("a0") ? "a1" : "a0";
-        b.module.fleet(b.now, ListKind.FULL, List.of(Bench.host(other, 0)));
-        assertNull(b.outcome(send, Outcome.OK));
-        assertEquals(other, b.request(Bench.SAFE).host());
+        rig.balance.fleet(rig.now, ListKind.FULL, List.of(BalanceRig.host(other, 0)));
+        assertNull(rig.outcome(send, Outcome.OK));
+        assertEquals(other, rig.request(BalanceRig.RETRYABLE).host());
     }
 
     @Test
     void furtherAttemptAvoidsAHostThatDrainsMeanwhile() {
-        Bench b = new Bench().fleet(2, 0);
-        Done send = b.request(Bench.SAFE);
+        BalanceRig rig = new BalanceRig().fleet(2, 0);
+        Action send = rig.request(BalanceRig.RETRYABLE);
         String other = send.host().equals("a0") ? "a1" : "a0";
-        b.delta(Bench.host(other, 0, HostState.DRAINING, 0));
-        b.pass(1_000);
-        assertEquals("refuse", b.outcome(send, Outcome.REFUSED).what());
+        rig.delta(BalanceRig.host(other, 0, HostState.DRAINING, 0));
+        rig.advance(1_000);
+        assertEquals("refuse", rig.outcome(send, Outcome.REFUSED).kind());
     }
 
     /** Taken for a whole list, it would be an empty one. */
     @Test
     void listThatFailedToComeChangesNothing() {
-        Bench b = new Bench().fleet(1, 0);
-        b.module.fleet(b.now, ListKind.FAILED, List.of());
-        assertEquals("a0", b.request(Bench.SAFE).host());
+        BalanceRig rig = new BalanceRig().fleet(1, 0);
+        rig.balance.fleet(rig.now, ListKind.FAILED, List.of());
+        assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host());
     }
 
     @Test
     void hostSeenOnlyAsRemovedIsNoError() {
-        Bench b = new Bench().fleet(1, 0);
-        b.delta(Bench.host("never-met", -1, HostState.REMOVED, 0));
-        assertEquals("a0", b.request(Bench.SAFE).host());
+        BalanceRig rig = new BalanceRig().fleet(1, 0);
+        rig.delta(BalanceRig.host("never-met", -1, HostState.REMOVED, 0));
+        assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host());
     }
 
     @Test
     void askedDiscoveryIsAskedWithinItsTimeSpreadOutAndAgainAfterFailure() {
         List<Long> first = new ArrayList<>();
         for (int position = 0; position < 10; position++) {
-            Bench.Setup setup = new Bench.Setup();
+            BalanceRig.Setup setup = new BalanceRig.Setup();
             setup.position = position;
             setup.onRequest = true;
-            Bench b = new Bench(setup);
-            ListSubscription asking = new ListSubscription(setup.settings(), 1, b);
+            BalanceRig rig = new BalanceRig(setup);
+            ListSubscription asking = new ListSubscription(setup.settings(), 1, rig);
             asking.listReceived(ListKind.RESTORED);
-            Done timer = b.log.get(0);
-            assertEquals("timer", timer.what());
-            assertTrue(timer.time() <= 5_000_000, "well within ask_within");
-            first.add(timer.time());
+            Action timer = rig.actions.get(0);
+            assertEquals("timer", timer.kind());
+            assertTrue(timer.argument() <= 5_000_000, "well within ask_within");
+            first.add(timer.argument());
             assertTrue(asking.timerFired(timer.id()));
-            assertEquals(1, b.count("watch"));
+            assertEquals(1, rig.count("watch"));
             asking.listReceived(ListKind.FAILED);
-            Done again = b.log.get(b.log.size() - 1);
-            assertEquals("timer", again.what());
+            Action again = rig.actions.get(rig.actions.size() - 1);
+            assertEquals("timer", again.kind());
             assertTrue(asking.timerFired(again.id()));
-            assertEquals(2, b.count("watch"));
+            assertEquals(2, rig.count("watch"));
             asking.listReceived(ListKind.DELTA);
             asking.timerFired(again.id());
-            assertEquals(2, b.count("watch"), "a subscriber asks no more");
+            assertEquals(2, rig.count("watch"), "a subscriber asks no more");
         }
         assertEquals(10, first.stream().distinct().count());
     }
@@ -360,34 +363,34 @@
 
     @Test
     void coldHeadGetsItsTrafficBackOnceItIsWarm() {
-        Bench b = new Bench().fleet(4, 0);
-        String head = b.answered(Bench.SAFE, 0).host();
-        b.delta(Bench.host(head, 0, HostState.READY, b.now));
-        assertTrue(sends(b, head, 100) < 35, "others are far quicker");
-        b.pass(20_000_000);
-        assertEquals(100, sends(b, head, 100));
+        BalanceRig rig = new BalanceRig().fleet(4, 0);
+        String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
+        rig.delta(BalanceRig.host(head, 0, HostState.READY, rig.now));
+        assertTrue(sends(rig, head, 100) < 35, "others are far quicker");
+        rig.advance(20_000_000);
+        assertEquals(100, sends(rig, head, 100));
     }
 
-    private static int sends(Bench b, String host, int requests) {
+    private static int sends(BalanceRig rig, String host, int requests) {
         int sends = 0;
         for (int i = 0; i < requests; i++) {
-            Done send = b.request(Bench.SAFE);
+            Action send = rig.request(BalanceRig.RETRYABLE);
             if (host.equals(send.host())) {
                 sends++;
             }
-            b.outcome(send, 0, Outcome.OK, new LoadReport(0, 0));
+            rig.outcome(send, 0, Outcome.OK, new LoadReport(0, 0));
         }
         return sends;
     }
 
     @Test
     void coldHostHoldsOneRequestOfABalancerAtMost() {
-        Bench b = new Bench().fleet(3, 0);
-        String head = b.answered(Bench.SAFE, 0).host();
-        b.delta(Bench.host(head, 0, HostState.READY, b.now));
+        BalanceRig rig = new BalanceRig().fleet(3, 0);
+        String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
+        rig.delta(BalanceRig.host(head, 0, HostState.READY, rig.now));
         int out = 0;                      // of many who hear of it at once, each begins at a moment of its own
         for (int i = 0; i < 500; i++) {
-            if (head.equals(b.pass(10_000).request(Bench.SAFE).host())) {
+            if (head.equals(rig.advance(10_000).request(BalanceRig.RETRYABLE).host())) {
                 out++;
             }
         }
@@ -396,18 +399,18 @@
 
     @Test
     void fleetThatIsColdAsAWholeIsServedWithoutDeadlock() {
-        Bench b = new Bench();
+        BalanceRig rig = new BalanceRig();
         List<FleetEntry> all = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            all.add(Bench.host("a" + i, 0, HostState.READY, b.now));
+            all.add(BalanceRig.host("a" + i, 0, HostState.READY, rig.now));
         }
-        b.module.fleet(b.now, ListKind.RESTORED, all);
+        rig.balance.fleet(rig.now, ListKind.RESTORED, all);
         int served = 0;
         for (int i = 0; i < 20; i++) {
-            Done send = b.request(Bench.SAFE);
-            if (send.what().equals("send")) {
+            Action send = rig.request(BalanceRig.RETRYABLE);
+            if (send.kind().equals("send")) {
                 served++;
-                b.pass(20_000).outcome(send, 0, Outcome.OK, new LoadReport(0, 0));
+                rig.advance(20_000).outcome(send, 0, Outcome.OK, new LoadReport(0, 0));
             }
         }
         assertEquals(20, served);
@@ -415,23 +418,25 @@
 
     @Test
     void unknownStartTimeCountsAsLongAgo() {
-        Bench b = new Bench().fleet(1, 0);
-        assertEquals("a0", b.request(Bench.SAFE).host());
-        assertEquals("a0", b.request(Bench.SAFE).host(), "no cold limit of one at a time");
+        BalanceRig rig = new BalanceRig().fleet(1, 0);
+        assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host());
+        assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host(), "no cold limit of one at a time");
     }
 
     @Test
     void headsAreSpreadOverTheServersByRegisteredWeight() {
         Map<String, Integer> heads = new HashMap<>();
         for (int position = 0; position < 200; position++) {
-            Bench.Setup setup = new Bench.Setup();
+            BalanceRig.Setup setup = new BalanceRig.Setup();
             setup.position = position;
             setup.balancers = 200;
-            Bench b = new Bench(setup);
-            b.module.fleet(b.now, ListKind.RESTORED, List.of(
-                    new FleetEntry("s0", 0, 0, HostState.READY, 1, 0), new FleetEntry("s1", 0, 0, HostState.READY, 1, 0),
-                    new FleetEntry("s2", 0, 0, HostState.READY, 2, 0), new FleetEntry("s3", 0, 0, HostState.READY, 0, 0)));
-            heads.merge(b.request(Bench.SAFE).host(), 1, Integer::sum);
+            BalanceRig rig = new BalanceRig(setup);
+            rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(
+                    new FleetEntry("s0", 0, 0, HostState.READY, 1, 0),
+                    new FleetEntry("s1", 0, 0, HostState.READY, 1, 0),
+                    new FleetEntry("s2", 0, 0, HostState.READY, 2, 0),
+                    new FleetEntry("s3", 0, 0, HostState.READY, 0, 0)));
+            heads.merge(rig.request(BalanceRig.RETRYABLE).host(), 1, Integer::sum);
         }
         assertEquals(100, heads.get("s2"), 6);
         assertEquals(50, heads.get("s0"), 6);
--- a/core/src/test/java/dapplequay/UntoldLoadTest.java
+++ b/core/src/test/java/dapplequay/UnreportedLoadTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Hosts whose answers tell no load: nothing but what requests of one's own take shows how fast they are. */
-class UntoldLoadTest {
+class UnreportedLoadTest {
     /**
      * Four hosts that answer in 20 ms, one after the other: five out at each are a third of the aim of 300 ms. The
      * tenant is alone, beyond its share, and nobody else wants what they can do.
@@ -29,19 +29,19 @@
 
     /** How many requests are sent at once before one is refused, after many that took so long, one after the other. */
     private static int sentAtOnceAfter(long takesUs) {
-        Bench.Setup setup = new Bench.Setup();
+        BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.balancers = 1;
         setup.classes = List.of(new ServiceClass("quote", 300_000, 0, 1_000_000, 0, 1, Semantics.RETRYABLE, Group.ALL,
                 4_000_000, false));
         setup.tenants = List.of(new Tenant("a", 0.6, 2_000), new Tenant("b", 0.4, 2_000));
-        Bench b = new Bench(setup).fleet(4, 0);
+        BalanceRig rig = new BalanceRig(setup).fleet(4, 0);
         for (int i = 0; i < 300; i++) {
-            Bench.Done send = b.request(0);
-            assertThat(send.what()).isEqualTo("send");
-            b.pass(takesUs).module.outcome(b.now, send.id(), 0, send.host(), Outcome.OK, takesUs, true, null);
+            BalanceRig.Action send = rig.request(0);
+            assertThat(send.kind()).isEqualTo("send");
+            rig.advance(takesUs).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, takesUs, true, null);
         }
         int sent = 0;
-        while (b.request(0).what().equals("send")) {
+        while (rig.request(0).kind().equals("send")) {
             sent++;
         }
         return sent;
--- a/core/src/test/java/dapplequay/membership/ListCallTimingReturnTest.java
+++ b/core/src/test/java/dapplequay/membership/ListCallTimingReturnTest.java
@@ -132,7 +132,8 @@
     void aNewAddressIsAskedTwiceBeforeWhatItHasCounts(long askWithinUs) {
         Discovery discovery = discovery(askWithinUs);
         for (List<Fate> fates : allOrders()) {
-            long callUs = discovery.onRequest() ? ListCallTiming.NEW_ADDRESS_CALL_US : ListCallTiming.MISSED_TOLD_US / 6;
+            long callUs = discovery.onRequest() ? ListCallTiming.NEW_ADDRESS_CALL_US
+                    : ListCallTiming.MISSED_TOLD_US / 6;
             assertThat(worstUs(play(discovery, fates, true), callUs, 0, 1)).as("%s", fates)
                     .isLessThan(ListCallTiming.NEW_ADDRESS_TOLD_US - S / 10);
         }
@@ -292,7 +293,8 @@
     @ParameterizedTest
     @CsvSource({"510, 2500", "550, 2500", "750, 2500", "1000, 2500", "2350, 2500", "550, 700", "2000, 250"})
     void theWatchAfterAFailureLeavesTheGraceItsCall(long answeredMs, long graceMs) {
-        ListCallTiming clock = new ListCallTiming(() -> new Discovery(true, 10 * S, graceMs * 1_000), new SplittableRandom(1));
+        ListCallTiming clock = new ListCallTiming(() -> new Discovery(true, 10 * S, graceMs * 1_000),
+                new SplittableRandom(1));
         clock.callBegins(0, false);
         clock.callFailed(5 * S, false);
         clock.callBegins(6 * S, false);
--- a/core/src/test/java/dapplequay/membership/ListCallTimingTest.java
+++ b/core/src/test/java/dapplequay/membership/ListCallTimingTest.java
@@ -38,7 +38,8 @@
             long beganUs = now;
             long waitUs = clock.callBegins(now, all);
             long limitUs = clock.callLimitUs();
-            long toldUs = beganUs + Math.max(ListCallTiming.MISSED_TOLD_US, waitUs > 1 ? waitUs + ListCallTiming.WATCH_MISSED_TOLD_US : 0);
+            long toldUs = beganUs + Math.max(ListCallTiming.MISSED_TOLD_US,
+                    waitUs > 1 ? waitUs + ListCallTiming.WATCH_MISSED_TOLD_US : 0);
             calls.add(new Call(beganUs, toldUs, fate));
             assertThat(limitUs).as("a call has time, and ends before what it may miss counts").isGreaterThan(now)
                     .isLessThan(toldUs);
