--- a/core/src/test/java/dapplequay/BalanceRig.java
+++ b/core/src/test/java/dapplequay/BalanceRig.java
@@ -18,20 +18,29 @@
 import dapplequay.BalancerApi.Settings;
 import dapplequay.BalancerApi.Tenant;
 
-/** One module on a fake clock, with its actions written down. */
+/** A {@link Balance} on a fake clock that records its actions. */
 final class BalanceRig implements BalancerApi.Actions {
+    /** Index of the class of retryable requests. */
     static final int RETRYABLE = 0;
+    /** Index of the class of requests that may not be repeated. */
     static final int FRAGILE = 1;
+    /** Index of the class whose repeats all servers discard. */
     static final int DEDUP_ALL = 2;
+    /** Index of the class whose repeats the servers of the same zone discard. */
     static final int DEDUP_ZONE = 3;
+    /** Index of the class whose repeats the servers of the same cell discard. */
     static final int DEDUP_CELL = 4;
     static final long AIM_US = 400_000;
+    /** The time left that a request has unless a test says otherwise. */
     static final long LEFT_US = 800_000;
 
-    /** One action; {@code host} is null but for sends. */
+    /**
+     * One action. {@code host} is null for actions that name no host. {@code argument} is the timeout of a send, the
+     * attempt of a cancel, the pause of a refusal and the delay of a timer.
+     */
     record Action(String kind, long id, String host, long argument) { }
 
-    /** Settings that a test may vary. */
+    /** The settings that a test may vary. */
     static final class Setup {
         int position;
         int balancers = 10;
@@ -41,7 +50,7 @@
         boolean onRequest;
         boolean warmKeys;
         double lateWorth;
-        double crossPrice = 0.1;
+        double crossZonePrice = 0.1;
         List<ServiceClass> classes;
         List<Tenant> tenants = List.of(new Tenant("t", 1, 100));
 
@@ -51,16 +60,19 @@
                 names.add("zone" + z);
             }
             List<ServiceClass> all = classes != null ? classes : List.of(
-                    type("safe", Semantics.RETRYABLE, Group.ALL), type("unsafe", Semantics.FRAGILE, Group.ALL),
-                    type("keyed-all", Semantics.DEDUP, Group.ALL), type("keyed-zone", Semantics.DEDUP, Group.ZONE),
-                    type("keyed-cell", Semantics.DEDUP, Group.CELL));
+                    serviceClass("safe", Semantics.RETRYABLE, Group.ALL),
+                    serviceClass("unsafe", Semantics.FRAGILE, Group.ALL),
+                    serviceClass("keyed-all", Semantics.DEDUP, Group.ALL),
+                    serviceClass("keyed-zone", Semantics.DEDUP, Group.ZONE),
+                    serviceClass("keyed-cell", Semantics.DEDUP, Group.CELL));
             return new Settings(position, balancers, 0, names, all, tenants, 0.1,
                     new Discovery(onRequest, 10_000_000, 2_500_000),
                     new Limits(sendCap, true, secondCopies, false, true, 1_500_000),
-                    new ColdStart(0.15, 20_000_000, 3, 1_500_000), new Prices(crossPrice, 0.02, 0.05, 0, 0), warmKeys);
+                    new ColdStart(0.15, 20_000_000, 3, 1_500_000), new Prices(crossZonePrice, 0.02, 0.05, 0, 0),
+                    warmKeys);
         }
 
-        private ServiceClass type(String name, Semantics semantics, Group group) {
+        private ServiceClass serviceClass(String name, Semantics semantics, Group group) {
             return new ServiceClass(name, AIM_US, 0, 1_000_000, lateWorth, 1, semantics, group, 500_000, false);
         }
     }
@@ -69,8 +81,8 @@
     final List<String> logLines = new ArrayList<>();
     final Balance balance;
     long now = 1_000_000_000L;
-    /** Until when the last send's first byte may go out. */
-    long lastBeginBy;
+    /** The time before which the first byte of the last send must go out. */
+    long lastSendBeginBy;
     private long nextId = 100;
 
     BalanceRig() {
@@ -93,7 +105,7 @@
         return new FleetEntry(name, zone, 0, state, 1, startedUs);
     }
 
-    /** {@code local} hosts a0, a1 ... in the own zone and {@code foreign} hosts b0, b1 ... in the other. */
+    /** Lists {@code local} hosts a0, a1 ... in the own zone and {@code foreign} hosts b0, b1 ... in the other. */
     BalanceRig fleet(int local, int foreign) {
         List<FleetEntry> entries = new ArrayList<>();
         for (int i = 0; i < local; i++) {
@@ -115,30 +127,30 @@
         return this;
     }
 
-    /** Hands in a request and returns what was done with it at once; null if nothing. */
-    Action request(int type) {
-        return request(type, LEFT_US);
+    /** Submits a request and returns the first action for it; null if there is none. */
+    Action request(int serviceClass) {
+        return request(serviceClass, LEFT_US);
     }
 
-    Action request(int type, long left) {
-        return request(type, left, 0);
+    Action request(int serviceClass, long leftUs) {
+        return request(serviceClass, leftUs, 0);
     }
 
-    Action request(int type, long left, int tenant) {
-        return request(type, left, tenant, null);
+    Action request(int serviceClass, long leftUs, int tenant) {
+        return request(serviceClass, leftUs, tenant, null);
     }
 
-    Action request(int type, String key) {
-        return request(type, LEFT_US, 0, key);
+    Action request(int serviceClass, String key) {
+        return request(serviceClass, LEFT_US, 0, key);
     }
 
-    private Action request(int type, long left, int tenant, String key) {
+    private Action request(int serviceClass, long leftUs, int tenant, String key) {
         int before = actions.size();
-        balance.request(now, new Request(nextId++, type, tenant, key, left, 0, false));
+        balance.request(now, new Request(nextId++, serviceClass, tenant, key, leftUs, 0, false));
         return actions.size() == before ? null : actions.get(before);
     }
 
-    /** The outcome of a send, and what was done because of it; null if nothing. */
+    /** Reports the outcome of a send and returns the first action that follows; null if there is none. */
     Action outcome(Action send, int attempt, Outcome outcome, LoadReport report) {
         int before = actions.size();
         balance.outcome(now, send.id(), attempt, send.host(), outcome, 10_000, outcome == Outcome.OK, report);
@@ -149,12 +161,12 @@
         return outcome(send, 0, outcome, null);
     }
 
-    /** Sends one request and has it answered with a report of so many requests held. */
-    Action requestAndAnswer(int type, double held) {
-        Action send = request(type);
+    /** Submits a request and answers it, if it is sent, with a report of {@code inFlight} requests. */
+    Action requestAndAnswer(int serviceClass, double inFlight) {
+        Action send = request(serviceClass);
         if (send.host() != null) {
             advance(10_000);
-            outcome(send, 0, Outcome.OK, new LoadReport(held, held));
+            outcome(send, 0, Outcome.OK, new LoadReport(inFlight, inFlight));
         }
         return send;
     }
@@ -165,7 +177,7 @@
 
     @Override
     public void send(long id, String host, long timeoutUs, long beginBy) {
-        lastBeginBy = beginBy;
+        lastSendBeginBy = beginBy;
         actions.add(new Action("send", id, host, timeoutUs));
     }
 
--- a/core/src/test/java/dapplequay/FailureDetectorTest.java
+++ b/core/src/test/java/dapplequay/FailureDetectorTest.java
@@ -14,11 +14,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Who is passed over for failures, and for how long. */
+/** Which servers are avoided for failures or silence, and for how long. */
 class FailureDetectorTest {
-    /** On a network that resets one attempt in fourteen wherever it goes, two in a short while say little of a host. */
+    /** On a network that resets one attempt in fourteen at all hosts, two resets in a row say little of one host. */
     @Test
-    void whatFailsEverywhereIsHeldAgainstNoHost() {
+    void failuresThatAllHostsShareCountAgainstNone() {
         BalanceRig rig = new BalanceRig().fleet(8, 0);
         SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 4_000; i++) {
@@ -29,9 +29,9 @@
         assertThat(passedOver).isBetween(5L, 34L);
     }
 
-    /** A wrong suspicion costs a part of the fleet for as long as it lasts. */
+    /** A sound host that is suspected is missing from the fleet for as long as it is avoided. */
     @Test
-    void aSuspectIsTriedAgainSoonAndLaterIfThatFailsToo() {
+    void suspectedServerIsTriedAgainSoonAndLaterIfItFailsAgain() {
         BalanceRig rig = new BalanceRig().fleet(6, 0);
         String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 1).host();
         failTwice(rig, head);
@@ -39,7 +39,8 @@
         BalanceRig.Action trial = rig.advance(60_000).request(BalanceRig.RETRYABLE);
         assertThat(trial.host()).isEqualTo(head);
         rig.outcome(trial, Outcome.ERROR);
-        assertThat(rig.advance(1_750_000).request(BalanceRig.RETRYABLE).host()).as("it failed at once")
+        assertThat(rig.advance(1_750_000).request(BalanceRig.RETRYABLE).host())
+                .as("avoided for longer, as it failed when it was tried")
                 .isNotEqualTo(head);
         trial = rig.advance(60_000).request(BalanceRig.RETRYABLE);
         assertThat(trial.host()).isEqualTo(head);
@@ -47,7 +48,8 @@
         trial = rig.request(BalanceRig.RETRYABLE);
         assertThat(trial.host()).isEqualTo(head);
         rig.outcome(trial, Outcome.ERROR);
-        assertThat(rig.advance(310_000).request(BalanceRig.RETRYABLE).host()).as("it had served meanwhile")
+        assertThat(rig.advance(310_000).request(BalanceRig.RETRYABLE).host())
+                .as("avoided for the shorter time, as it had served meanwhile")
                 .isEqualTo(head);
     }
 
@@ -60,11 +62,11 @@
     }
 
     /**
-     * A used connection rests for 20 ms before it is used again, and an attempt may wait for that: eight that wait beside
-     * one another, for answers that take 5 ms, are no sign of a host that has fallen silent.
+     * Guards against taking local delay for silence. A used connection rests for 20 ms before it is used again, and an
+     * attempt may wait for that. Where answers take 5 ms, eight attempts that wait so do not make a host silent.
      */
     @Test
-    void attemptsThatWaitForTheirConnectionsAreNoSilence() {
+    void attemptsThatWaitForAConnectionAreNoSilence() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         for (int i = 0; i < 200; i++) {
             BalanceRig.Action send = rig.request(BalanceRig.RETRYABLE);
@@ -83,11 +85,11 @@
         assertThat(rig.count("cancel")).as("nothing came for long").isPositive();
     }
 
-    /** An attempt is waited for from the moment at which it is held back no longer, however late that is. */
+    /** A host is waited for from the time at which this process no longer delays the attempt, however late that is. */
     @Test
     void silenceCountsFromTheStartOfAnAttempt() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
-        answered(rig, BalanceRig.RETRYABLE, 5_000);
+        requestAndAnswerMany(rig, BalanceRig.RETRYABLE, 5_000);
         List<BalanceRig.Action> sent = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
             sent.add(rig.request(BalanceRig.RETRYABLE));
@@ -100,13 +102,13 @@
         assertThat(rig.count("cancel")).as("nothing came for long").isPositive();
     }
 
-    /** A long request can be answered from its last byte on: the time in which it came was taken for its host's silence. */
+    /** Guards against taking the time in which a long request arrives for silence of its host. */
     @Test
     void silenceCountsFromTheLastByteOfALongRequest() {
         BalanceRig rig = new BalanceRig();
         rig.balance.fleet(rig.now, ListKind.RESTORED, Stream.of("a0", "a1", "a2")
                 .map(name -> new FleetEntry(name, 0, 0, HostState.READY, 4, 0)).toList());
-        answered(rig, BalanceRig.RETRYABLE, 5_000);
+        requestAndAnswerMany(rig, BalanceRig.RETRYABLE, 5_000);
         BalanceRig.Action slower = rig.request(BalanceRig.DEDUP_ALL);
         BalanceRig.Action upload = rig.request(BalanceRig.RETRYABLE);
         assertThat(upload.host()).isEqualTo(slower.host());
@@ -119,11 +121,11 @@
                 .anyMatch(line -> line.startsWith("passed over for silence"));
     }
 
-    /** A pause of some milliseconds, of this process or of the machine, was a silence of hosts that answer in one. */
+    /** Guards against taking a pause of this process of some milliseconds for silence of hosts that answer in one. */
     @Test
-    void aShortPauseIsNoSilenceOfAQuickHost() {
+    void shortPauseOfThisProcessIsNoSilenceOfAFastHost() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
-        answered(rig, BalanceRig.RETRYABLE, 1_000);
+        requestAndAnswerMany(rig, BalanceRig.RETRYABLE, 1_000);
         for (int i = 0; i < 16; i++) {
             rig.balance.attemptStarted(rig.now, rig.request(BalanceRig.RETRYABLE).id());
         }
@@ -134,8 +136,8 @@
     }
 
     /**
-     * Answers whose first line is quick and whose rest comes late, as of hosts that write twice and wait for an
-     * acknowledgement between, 40 ms: each was waited for as if it was over with its first line.
+     * Guards against measuring the wait for an answer by its first line. Hosts that write twice, and wait 40 ms for an
+     * acknowledgement in between, send the first line fast and the rest late.
      */
     @Test
     void silenceIsMeasuredByTheWaitForWholeAnswers() {
@@ -154,7 +156,7 @@
                 .allMatch(l -> l.startsWith("passed over for silence"));
     }
 
-    private static void answered(BalanceRig rig, int type, long tookUs) {
+    private static void requestAndAnswerMany(BalanceRig rig, int type, long tookUs) {
         for (int i = 0; i < 200; i++) {
             BalanceRig.Action send = rig.request(type);
             rig.advance(tookUs).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, tookUs, true,
--- a/core/src/test/java/dapplequay/LoadSharingTest.java
+++ b/core/src/test/java/dapplequay/LoadSharingTest.java
@@ -20,7 +20,7 @@
 import dapplequay.BalancerApi.Outcome;
 import org.junit.jupiter.api.Test;
 
-/** The mechanism, and the failures that its extensions answer. */
+/** Buddy-set load sharing, and the failures that its extensions guard against. */
 class LoadSharingTest {
 
     @Test
@@ -39,18 +39,18 @@
         rig.advance(1_000_000);       // flags of new buddies are set by their timer
         Set<String> targets = new TreeSet<>();
         for (int i = 0; i < 10; i++) {
-            loadHead(rig, head, 100);
+            reportLoad(rig, head, 100);
             Action send = rig.request(BalanceRig.RETRYABLE);
             assertNotEquals(head, send.host());
             targets.add(send.host());
             rig.outcome(send, 0, Outcome.OK, new LoadReport(1, 1));
         }
-        assertEquals(1, targets.size(), "the first flagged one in a fixed order: " + targets);
+        assertEquals(1, targets.size(), "all diverted to the first flagged buddy in order: " + targets);
         assertTrue(targets.iterator().next().startsWith("a"));
     }
 
-    /** Reports over such a time that the running mean of what the head holds has come up to them. */
-    private static void loadHead(BalanceRig rig, String head, double held) {
+    /** Reports a load for as long as the running mean of the host's load needs to reach it. */
+    private static void reportLoad(BalanceRig rig, String head, double held) {
         for (int i = 0; i < 6; i++) {
             rig.advance(333_000).balance.probeCompleted(rig.now, head, Outcome.OK, 1_000, new LoadReport(held, held));
         }
@@ -62,18 +62,18 @@
         String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 1).host();
         rig.advance(1_000_000);
         for (int i = 0; i < 8; i++) {
-            loadHead(rig, "a" + i, 1);
+            reportLoad(rig, "a" + i, 1);
         }
-        loadHead(rig, head, 100);
+        reportLoad(rig, head, 100);
         Action first = rig.request(BalanceRig.RETRYABLE);
-        loadHead(rig, first.host(), 90);
+        reportLoad(rig, first.host(), 90);
         Action second = rig.request(BalanceRig.RETRYABLE);
         assertNotEquals(first.host(), second.host());
         assertNotEquals(head, second.host());
     }
 
     @Test
-    void ownSendsSinceTheReportCount() {
+    void ownSendsSinceTheLastReportCountAsLoad() {
         BalanceRig rig = new BalanceRig().fleet(8, 0);
         rig.requestAndAnswer(BalanceRig.RETRYABLE, 1);
         rig.advance(1_000_000);
@@ -81,7 +81,7 @@
         for (int i = 0; i < 400; i++) {
             used.add(String.valueOf(rig.request(BalanceRig.RETRYABLE).host()));
         }
-        assertTrue(used.size() > 3, "a burst of one balancer overflows before reports say so: " + used);
+        assertTrue(used.size() > 3, "a burst of one balancer diverts before any report: " + used);
     }
 
     @Test
@@ -94,9 +94,9 @@
         assertTrue(used.size() <= 15, "at most 15 servers met: " + used);
     }
 
-    /** A busy balancer refused what the fleet had room for: its twelve were full of its own requests. */
+    /** Guards against refusals at a busy balancer whose twelve buddies are full of its own requests. */
     @Test
-    void setPastItsThresholdByItsOwnSendsTakesInTheNextAndGivesThemUpAgain() {
+    void setGrowsUnderItsOwnLoadAndShrinksAgain() {
         BalanceRig rig = new BalanceRig().fleet(40, 0);
         rig.advance(1_000_000);
         List<Action> out = new ArrayList<>();
@@ -115,8 +115,8 @@
                         new LoadReport(held, held));
             }
         }
-        assertTrue(met.size() > 12, "more than twelve share what is too much for twelve: " + met);
-        assertTrue(rig.count("refuse") < 20, "of 2000 refused: " + rig.count("refuse"));
+        assertTrue(met.size() > 12, "the set grew beyond twelve: " + met);
+        assertTrue(rig.count("refuse") < 20, "refused of 2000: " + rig.count("refuse"));
         out.forEach(send -> rig.outcome(send, 0, Outcome.OK, new LoadReport(0, 0)));
         for (int i = 0; i < 40; i++) {
             Action held = rig.advance(3_000_000).request(BalanceRig.RETRYABLE);
@@ -124,7 +124,7 @@
             rig.outcome(held, 0, Outcome.OK, new LoadReport(0, 0));
         }
         for (int i = 0; i < 40; i++) {
-            loadHead(rig, "a" + i, 1_000);
+            reportLoad(rig, "a" + i, 1_000);
         }
         Set<String> used = new TreeSet<>();
         for (int i = 0; i < 60; i++) {
@@ -134,12 +134,12 @@
                 rig.outcome(send, 0, Outcome.REFUSED, new LoadReport(1_000, 1_000));
             }
         }
-        assertTrue(used.size() <= 15, "where others load the fleet, the set stays small: " + used);
+        assertTrue(used.size() <= 15, "the set stays small while others load the fleet: " + used);
     }
 
-    /** Each request met three refused connects, one after the other, in the zone that was lost. */
+    /** Guards against a request that tries one server after the other in a zone that is lost. */
     @Test
-    void aZoneWhereNobodyIsMetIsLeftAsAWholeAndTriedNowAndThen() {
+    void unreachableZoneIsAvoidedAsAWholeAndTriedOccasionally() {
         BalanceRig rig = new BalanceRig().fleet(20, 20);
         rig.advance(1_000_000);
         for (int i = 0; i < 6; i++) {
@@ -154,17 +154,17 @@
             Action next = rig.outcome(send, 0, gone ? Outcome.CONNECT_FAILED : Outcome.OK, null);
             assertTrue(!gone || next.host().startsWith("b"), "the second attempt leaves the zone");
         }
-        assertTrue(lost > 0 && lost <= 4, "one try each 667 ms at most: " + lost);
+        assertTrue(lost > 0 && lost <= 4, "attempts in the lost zone, at most one each 667 ms: " + lost);
         rig.delta(BalanceRig.host("a7", 0, HostState.READY, rig.now));
         int back = 0;
         for (int i = 0; i < 200; i++) {
             Action send = rig.advance(50_000).requestAndAnswer(BalanceRig.RETRYABLE, 0);
             back += send.host().startsWith("a") ? 1 : 0;
         }
-        assertTrue(back > 150, "home again once it answers: " + back);
+        assertTrue(back > 150, "requests in the own zone once it answers: " + back);
     }
 
-    /** One failure of many answers was taken for a failing server, and left out a tenth of the fleet. */
+    /** Guards against avoiding a server for a single failure, which took a tenth of the fleet out of use. */
     @Test
     void oneFailureLeavesAServerInUse() {
         for (Outcome failure : List.of(Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)) {
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void failingHeadIsPassedOverAndTriedAgainByRepeatableWorkFirst() {
+    void failingHeadIsAvoidedAndTriedAgainWithRetryableRequestsFirst() {
         BalanceRig rig = new BalanceRig().fleet(6, 0);
         Action send = rig.request(BalanceRig.RETRYABLE);
         String head = send.host();
@@ -185,13 +185,14 @@
         rig.outcome(rig.request(BalanceRig.RETRYABLE), Outcome.ERROR);
         assertNotEquals(head, rig.request(BalanceRig.FRAGILE).host());
         rig.advance(2_500_000);
-        assertNotEquals(head, rig.request(BalanceRig.FRAGILE).host(), "unsafe work does not try a suspect");
-        assertEquals(head, rig.request(BalanceRig.RETRYABLE).host(), "repeatable work does");
+        assertNotEquals(head, rig.request(BalanceRig.FRAGILE).host(),
+                "a fragile request does not try a suspected server");
+        assertEquals(head, rig.request(BalanceRig.RETRYABLE).host(), "a retryable request tries it");
         assertNotEquals(head, rig.request(BalanceRig.RETRYABLE).host(), "one at a time");
     }
 
     @Test
-    void fastFailureWithAnEmptyQueueDrawsNoLoad() {
+    void serverThatFailsFastWithAnEmptyQueueAttractsNoLoad() {
         BalanceRig rig = new BalanceRig().fleet(6, 0);
         String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 1).host();
         int toHead = 0;
@@ -204,7 +205,7 @@
                 rig.outcome(send, 0, Outcome.OK, new LoadReport(2, 2));
             }
         }
-        assertTrue(toHead <= 3, "sends to a server that fails all: " + toHead);
+        assertTrue(toHead <= 3, "sends to a server that fails each: " + toHead);
     }
 
     @Test
@@ -218,9 +219,9 @@
         assertEquals("send", rig.request(BalanceRig.FRAGILE).kind());
     }
 
-    /** Where everything fails now and then, suspects were made of all servers, and all stood idle. */
+    /** Guards against avoiding all servers where each fails at times. */
     @Test
-    void noMoreThanHalfOfTheServersArePassedOver() {
+    void atMostHalfOfTheServersAreAvoided() {
         BalanceRig rig = new BalanceRig().fleet(8, 0);
         for (int i = 0; i < 8; i++) {
             for (int failures = 0; failures < 4; failures++) {
@@ -235,12 +236,12 @@
     }
 
     @Test
-    void oneLoadedHeadDoesNotCondemnItsZone() {
+    void oneLoadedHeadDoesNotDivertOutOfItsZone() {
         BalanceRig rig = new BalanceRig().fleet(6, 6);
         String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 1).host();
         rig.advance(1_000_000);
         for (int i = 0; i < 20; i++) {
-            loadHead(rig, head, 200);
+            reportLoad(rig, head, 200);
             Action send = rig.advance(50_000).request(BalanceRig.RETRYABLE);
             assertTrue(send.host().startsWith("a"), "crossed to " + send.host());
             rig.outcome(send, 0, Outcome.OK, new LoadReport(1, 1));
@@ -252,21 +253,21 @@
         BalanceRig rig = new BalanceRig().fleet(2, 6);
         rig.requestAndAnswer(BalanceRig.RETRYABLE, 1);
         rig.advance(1_000_000);
-        loadHead(rig, "a0", 200);
-        loadHead(rig, "a1", 200);
+        reportLoad(rig, "a0", 200);
+        reportLoad(rig, "a1", 200);
         Action send = rig.request(BalanceRig.RETRYABLE);
         assertTrue(String.valueOf(send.host()).startsWith("b"), "sent to " + send.host());
     }
 
     @Test
-    void zoneCrossingThatCostsMoreThanARequestIsRefusedInstead() {
+    void requestIsRefusedWhereCrossingZonesCostsMoreThanItIsWorth() {
         BalanceRig.Setup setup = new BalanceRig.Setup();
-        setup.crossPrice = 2;
+        setup.crossZonePrice = 2;
         BalanceRig rig = new BalanceRig(setup).fleet(2, 6);
         rig.requestAndAnswer(BalanceRig.RETRYABLE, 1);
         for (int i = 0; i < 200; i++) {
-            loadHead(rig, "a0", 200);
-            loadHead(rig, "a1", 200);
+            reportLoad(rig, "a0", 200);
+            reportLoad(rig, "a1", 200);
             Action send = rig.advance(100_000).request(BalanceRig.RETRYABLE);
             assertTrue(send.host() == null || send.host().startsWith("a"));
             if (send.host() != null) {
@@ -285,8 +286,8 @@
         rig.requestAndAnswer(BalanceRig.RETRYABLE, 1);
         int[] refused = new int[2];
         for (int i = 0; i < 300; i++) {
-            loadHead(rig, "a0", 50);
-            loadHead(rig, "a1", 50);
+            reportLoad(rig, "a0", 50);
+            reportLoad(rig, "a1", 50);
             int tenant = i % 10 == 0 ? 1 : 0;
             Action done = rig.advance(20_000).request(BalanceRig.RETRYABLE, BalanceRig.LEFT_US, tenant);
             if (done.host() == null) {
@@ -300,14 +301,14 @@
     }
 
     @Test
-    void zoneThatTurnsMostAttemptsAwayIsNotCrossedInto() {
+    void zoneThatRefusesAttemptsIsNotCrossedIntoAgainAndAgain() {
         BalanceRig rig = new BalanceRig().fleet(2, 6);
         rig.requestAndAnswer(BalanceRig.RETRYABLE, 1);
         int crossed = 0;
         for (int i = 0; i < 200; i++) {
             if (i % 50 == 0) {
-                loadHead(rig, "a0", 200);
-                loadHead(rig, "a1", 200);
+                reportLoad(rig, "a0", 200);
+                reportLoad(rig, "a1", 200);
             }
             Action done = rig.advance(50_000).request(BalanceRig.FRAGILE);
             for (int attempt = 0; done != null && done.host() != null; attempt++) {
@@ -323,8 +324,8 @@
     }
 
     /**
-     * One class's aim was taken for all: a request of a class that takes long, on a sound host, was cut as if the host
-     * had fallen silent, and the host passed over.
+     * Guards against measuring silence by one class's aim for all: a request of a slow class was then cancelled, and
+     * its sound host avoided.
      */
     @Test
     void silenceIsMeasuredByWhatAClassUsuallyTakes() {
@@ -337,13 +338,13 @@
             }
             rig.request(BalanceRig.RETRYABLE);
             rig.advance(500_000).balance.timerFired(rig.now, 1);
-            assertEquals(1 - slow, rig.count("cancel"), "usual time of " + slow);
+            assertEquals(1 - slow, rig.count("cancel"), "slow class: " + slow);
         }
     }
 
-    /** A few long answers among short ones are no sign that hosts are slow: idle ones were turned away from. */
+    /** Guards against refusals at idle hosts after a few long answers among short ones. */
     @Test
-    void aFewLongAnswersDoNotCloseTheRoomAtIdleServers() {
+    void fewLongAnswersDoNotMakeAnIdleServerLookFull() {
         BalanceRig rig = new BalanceRig().fleet(1, 0);
         for (int i = 0; i < 100; i++) {
             long took = i < 96 ? 40_000 : 400_000;
@@ -352,13 +353,13 @@
                     new LoadReport(0, 0));
         }
         for (int i = 0; i < 4; i++) {
-            assertEquals("send", rig.advance(100).request(BalanceRig.RETRYABLE).kind(), "at once beside " + i);
+            assertEquals("send", rig.advance(100).request(BalanceRig.RETRYABLE).kind(), "with in flight: " + i);
         }
     }
 
-    /** Reports that tell no count: each of many took a host for its own, and all together drowned it. */
+    /** Guards against many balancers that overload a host together, each as if alone, as reports tell no load. */
     @Test
-    void whereNoCountIsToldTheRoomIsSharedByAllSenders() {
+    void withoutReportedLoadRoomIsDividedAmongTheBalancers() {
         int[] taken = new int[2];
         for (int many = 0; many < 2; many++) {
             BalanceRig.Setup setup = new BalanceRig.Setup();
@@ -371,12 +372,13 @@
                 taken[many]++;
             }
         }
-        assertTrue(taken[1] >= 1 && taken[0] >= 6 * taken[1], taken[0] + " alone, " + taken[1] + " of eight");
+        assertTrue(taken[1] >= 1 && taken[0] >= 6 * taken[1],
+                taken[0] + " sent by the only balancer, " + taken[1] + " by one of eight");
     }
 
-    /** All classes wait in one queue: what a long aim would bear, the shortest would not, nor the server. */
+    /** All classes wait in one queue, so that the shortest aim limits it for all. */
     @Test
-    void noServerIsGivenMoreThanTheShortestAimCanWaitFor() {
+    void noServerGetsMoreThanItServesWithinTheShortestAim() {
         BalanceRig rig = new BalanceRig();
         rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(sized("a0", 1), sized("a1", 3)));
         for (int i = 0; i < 200; i++) {
@@ -391,12 +393,12 @@
                 sent.merge(send.host(), 1, Integer::sum);
             }
         }
-        assertEquals(Map.of("a0", 8, "a1", 24), sent, "0.8 of 400 ms at 40 ms each, on one core and on three");
+        assertEquals(Map.of("a0", 8, "a1", 24), sent, "0.8 x 400 ms / 40 ms, at weights 1 and 3");
     }
 
-    /** Hosts that remember keys did all the work anew, as every balancer turned to a head of its own. */
+    /** Guards against lost warm state: each balancer sent a key to a head of its own. */
     @Test
-    void aRememberedKeyGoesToTheSameServerFromEveryBalancer() {
+    void keyGoesToTheSameServerFromEveryBalancer() {
         Map<String, Integer> keysAt = new TreeMap<>();
         for (int key = 0; key < 60; key++) {
             Set<String> met = new TreeSet<>();
@@ -405,13 +407,13 @@
             }
             assertEquals(1, met.size(), "key " + key + " at " + met);
             String left = withKeys(0, 5, 0).request(BalanceRig.RETRYABLE, "key" + key).host();
-            assertTrue(met.contains("a5") || met.contains(left), "a server that goes moves its own keys alone");
+            assertTrue(met.contains("a5") || met.contains(left), "a server that is removed moves only its own keys");
             keysAt.merge(met.iterator().next(), 1, Integer::sum);
         }
-        assertEquals(6, keysAt.size(), "all have their part: " + keysAt);
+        assertEquals(6, keysAt.size(), "each server has some keys: " + keysAt);
     }
 
-    /** Half of the keys crossed zones at the dearest price there is, in a fleet that had nothing to do. */
+    /** Guards against keys that cross zones, at the highest price, in an idle fleet. */
     @Test
     void keysStayInTheOwnZoneWhileTheFleetIsIdle() {
         for (double held : new double[] {0, 1}) {
@@ -426,7 +428,8 @@
                 own += send.host().startsWith("a") ? 1 : 0;
                 rig.outcome(send, 0, Outcome.OK, new LoadReport(held + 1, held + 1));
             }
-            assertTrue(held == 0 ? own > 290 : own > 160 && own < 230, "held " + held + ", stay: " + own);
+            assertTrue(held == 0 ? own > 290 : own > 160 && own < 230,
+                    "with " + held + " in flight, in the own zone of 300: " + own);
         }
     }
 
@@ -438,12 +441,12 @@
     }
 
     @Test
-    void aKeyWhoseServerIsFullGoesToTheNextInItsOrder() {
+    void keyWhoseServerIsFullGoesToTheNextInItsOrder() {
         BalanceRig rig = withKeys(0, 6, 0);
         String home = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
         String first = rig.request(BalanceRig.RETRYABLE, "k").host();
         rig.advance(1_000_000);
-        loadHead(rig, first, 3);
+        reportLoad(rig, first, 3);
         String second = rig.request(BalanceRig.RETRYABLE, "k").host();
         assertNotEquals(first, second);
         for (int i = 0; i < 60; i++) {
@@ -455,13 +458,13 @@
             used.add(send.host());
             rig.balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.CANCELLED, 0, true, null);
         }
-        assertTrue(used.size() >= 4, "past TH_v everywhere, not all to one least figure: " + used + home);
+        assertTrue(used.size() >= 4, "past TH_v everywhere, keys are spread over servers: " + used + home);
     }
 
-    /** What the reports of a host that refreshes them at once told was averaged over seconds. */
+    /** Guards against averaging over seconds the reports of a host that refreshes them at once. */
     @Test
-    void freshReportsCountSoonerThanReportsThatStayTheSameForLong() {
-        int[] until = new int[2];
+    void reportsThatChangeOftenTakeEffectSoonerThanReportsThatChangeRarely() {
+        int[] reportsUntilSent = new int[2];
         for (int slow = 0; slow < 2; slow++) {
             BalanceRig rig = new BalanceRig().fleet(2, 0);
             for (int i = 0; i < 80; i++) {
@@ -470,17 +473,17 @@
                         new LoadReport(held, held));
             }
             while (rig.request(BalanceRig.RETRYABLE).host() == null) {
-                rig.balance.probeCompleted(rig.advance(20_000).now, "a" + until[slow]++ % 2, Outcome.OK, 1_000,
-                        new LoadReport(0, 0));
+                rig.balance.probeCompleted(rig.advance(20_000).now, "a" + reportsUntilSent[slow]++ % 2, Outcome.OK,
+                        1_000, new LoadReport(0, 0));
             }
         }
-        assertTrue(until[1] > 3 * until[0], "reports until it is believed that they are idle: " + until[0] + " "
-                + until[1]);
+        assertTrue(reportsUntilSent[1] > 3 * reportsUntilSent[0], "reports until the servers count as idle: "
+                + reportsUntilSent[0] + " " + reportsUntilSent[1]);
     }
 
-    /** Attempts at a machine that vanished were waited for until their clients left; and it was left out for long. */
+    /** Guards against waiting until the clients leave for attempts at a machine that is lost. */
     @Test
-    void attemptsAtASilentServerGoElsewhereAndOneAttemptTriesItAgain() {
+    void attemptsAtASilentServerAreMovedAndOneLaterAttemptTriesIt() {
         BalanceRig rig = new BalanceRig();
         rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(sized("a0", 4), sized("a1", 4), sized("a2", 4)));
         String gone = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
@@ -488,7 +491,7 @@
         Action second = rig.request(BalanceRig.RETRYABLE);
         assertEquals(List.of(gone, gone), List.of(first.host(), second.host()));
         rig.advance(BalanceRig.AIM_US / 4).balance.timerFired(rig.now, 1);
-        assertEquals(0, rig.count("cancel"), "not yet");
+        assertEquals(0, rig.count("cancel"), "too early to count as silent");
         rig.advance(BalanceRig.AIM_US / 2 + 20_000).balance.timerFired(rig.now, 1);
         assertEquals(2, rig.count("cancel"));
         Action again = rig.outcome(first, Outcome.CANCELLED);
@@ -502,7 +505,7 @@
         assertEquals(gone, rig.request(BalanceRig.RETRYABLE).host(), "in use again at once");
     }
 
-    /** With no pace known all figures were 0, and the head got the whole first burst. */
+    /** Guards against load figures of 0 while no pace is known: the head got the whole first burst. */
     @Test
     void firstBurstIsSpreadBeforeAnyAnswer() {
         BalanceRig rig = new BalanceRig().fleet(9, 0);
@@ -513,9 +516,9 @@
         assertTrue(Collections.max(sent.values()) <= 10, "sends by server: " + sent);
     }
 
-    /** Slow answers of the first second, with the process still cold, kept a deployment refusing for good. */
+    /** Guards against refusing for good after slow answers in the first second of a deployment. */
     @Test
-    void refusalsEndByAskingAServerThatNothingIsHeardOf() {
+    void refusalsEndWithARequestToAServerLongUnheardOf() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         for (int i = 0; i < 20; i++) {
             rig.balance.probeCompleted(rig.advance(100_000).now, "a" + i % 2, Outcome.OK, 1_000,
@@ -523,13 +526,13 @@
         }
         assertEquals("refuse", rig.request(BalanceRig.RETRYABLE).kind());
         assertEquals("send", rig.advance(1_400_000).request(BalanceRig.RETRYABLE).kind());
-        assertEquals("send", rig.request(BalanceRig.RETRYABLE).kind(), "the other one");
-        assertEquals("refuse", rig.request(BalanceRig.RETRYABLE).kind(), "but each with one request alone");
+        assertEquals("send", rig.request(BalanceRig.RETRYABLE).kind(), "to the other server");
+        assertEquals("refuse", rig.request(BalanceRig.RETRYABLE).kind(), "each gets one request only");
     }
 
-    /** A server whose one slow answer is long past was left out for good, as no new answer could mend it. */
+    /** Guards against avoiding a server for good after one slow answer, as no new answer can correct it. */
     @Test
-    void slowAnswerLongPastNoLongerKeepsSendsAway() {
+    void oldSlowAnswerDoesNotKeepRequestsAway() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         Action slow = rig.request(BalanceRig.RETRYABLE);
         rig.balance.outcome(rig.now, slow.id(), 0, slow.host(), Outcome.OK, 4 * BalanceRig.AIM_US, true,
@@ -545,9 +548,9 @@
         assertTrue(again);
     }
 
-    /** Replaced servers come under new ids for good; what is kept of the gone ones fills the memory. */
+    /** Guards against a memory leak: replaced servers come back under new ids. */
     @Test
-    void goneServersAreForgotten() {
+    void removedServersAreForgotten() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         for (int i = 0; i < 1_000; i++) {
             rig.delta(BalanceRig.host("new" + i, 0),
@@ -556,12 +559,12 @@
         assertEquals(3, rig.balance.set.servers.size());
     }
 
-    /** With a mean by count, a server that was sent little after a bad spell stayed refused for long. */
+    /** Guards against a mean by number of reports: a server with few of them stayed full for long after an overload. */
     @Test
-    void fewReportsAfterABadSpellClearAServersName() {
+    void fewReportsAfterAnOverloadReopenAServer() {
         BalanceRig rig = new BalanceRig().fleet(1, 0);
         rig.requestAndAnswer(BalanceRig.RETRYABLE, 1);
-        loadHead(rig, "a0", 200);
+        reportLoad(rig, "a0", 200);
         assertEquals("refuse", rig.request(BalanceRig.RETRYABLE).kind());
         for (int i = 0; i < 12; i++) {
             rig.balance.probeCompleted(rig.advance(1_000_000).now, "a0", Outcome.OK, 1_000, new LoadReport(1, 1));
@@ -586,7 +589,7 @@
     }
 
     @Test
-    void restartedHostIsJudgedAnew() {
+    void restartedHostHasNoFailureHistory() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         Action send = rig.request(BalanceRig.RETRYABLE);
         rig.outcome(send, Outcome.ERROR);
@@ -595,7 +598,7 @@
     }
 
     @Test
-    void absurdReportsAndWeightsAreSurvived() {
+    void absurdReportsAndWeightsDoNoLastingHarm() {
         BalanceRig rig = new BalanceRig();
         rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(new FleetEntry("x", 0, 0, HostState.READY, 0, 0),
                 new FleetEntry("y", 0, 0, HostState.READY, 0, 0)));
--- a/core/src/test/java/dapplequay/ManyInstancesTest.java
+++ b/core/src/test/java/dapplequay/ManyInstancesTest.java
@@ -29,14 +29,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What many instances do together: each is a module of its own, and they share nothing but these counters. */
+/** What many instances do together that share nothing. */
 class ManyInstancesTest {
     private static final long STEP_US = 5_000;
     private static final long SERVICE_US = 40_000;
-    /** As the settings of the tests say. */
-    private static final double COLDEST = 0.15;
+    /** Share of its capacity that a host has at its start, as in the settings of {@link BalanceRig}. */
+    private static final double START_WARMTH = 0.15;
 
-    private record Out(BalanceRig at, Action send, long sentAt, long endsAt) { }
+    private record InFlight(BalanceRig at, Action send, long sentAt, long endsAt) { }
 
     private static List<BalanceRig> instances(int count) {
         List<BalanceRig> all = new ArrayList<>();
@@ -49,7 +49,7 @@
         return all;
     }
 
-    /** Hosts a0, a2 ... in zone 0 and b1, b3 ... in zone 1; every second one of each started at {@code coldSince}. */
+    /** Returns hosts a0, a2 ... in zone 0, b1, b3 ... in zone 1. Half of each zone started at {@code coldSince}. */
     private static List<FleetEntry> hosts(int count, long coldSince) {
         List<FleetEntry> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -62,23 +62,23 @@
         return Integer.parseInt(host.substring(1)) % 4 >= 2;
     }
 
-    /** All that each sends while half of the hosts are cold and the others loaded, for 3 s. */
+    /** Counts all sends to cold hosts for 3 s, while half of the hosts are cold and the others loaded. */
     @ParameterizedTest
     @CsvSource({"14, 60", "100, 60", "14, 100", "100, 400"})
     void coldHostsGetLessThanTheirBudgetFromAllTogether(int instances, int hosts) {
         List<BalanceRig> all = instances(instances);
         long start = all.get(0).now;
         all.forEach(rig -> rig.balance.fleet(start, ListKind.RESTORED, hosts(hosts, start)));
-        Map<String, Integer> cold = new TreeMap<>();
-        PriorityQueue<Out> out = new PriorityQueue<>(Comparator.comparingLong(Out::endsAt));
+        Map<String, Integer> sendsToCold = new TreeMap<>();
+        PriorityQueue<InFlight> out = new PriorityQueue<>(Comparator.comparingLong(InFlight::endsAt));
         Map<String, Long> freeAt = new HashMap<>();
-        Map<String, Integer> holds = new HashMap<>();
+        Map<String, Integer> inFlightByHost = new HashMap<>();
         for (long t = 0; t < 3_000_000; t += STEP_US) {
             long now = start + t;
             while (!out.isEmpty() && out.peek().endsAt() <= now) {
-                Out ended = out.remove();
+                InFlight ended = out.remove();
                 String host = ended.send().host();
-                int held = holds.merge(host, -1, Integer::sum) + 1;
+                int held = inFlightByHost.merge(host, -1, Integer::sum) + 1;
                 ended.at().now = now;
                 ended.at().balance.outcome(now, ended.send().id(), 0, host, Outcome.OK, now - ended.sentAt(), true,
                         new LoadReport(held, held));
@@ -89,26 +89,26 @@
                 if (send.host() == null) {
                     continue;
                 }
-                long service = isCold(send.host()) ? (long) (SERVICE_US / COLDEST) : SERVICE_US;
+                long service = isCold(send.host()) ? (long) (SERVICE_US / START_WARMTH) : SERVICE_US;
                 long endsAt = Math.max(now, freeAt.getOrDefault(send.host(), 0L)) + service;
                 freeAt.put(send.host(), endsAt);
-                holds.merge(send.host(), 1, Integer::sum);
-                out.add(new Out(rig, send, now, endsAt));
+                inFlightByHost.merge(send.host(), 1, Integer::sum);
+                out.add(new InFlight(rig, send, now, endsAt));
                 if (isCold(send.host())) {
-                    cold.merge(send.host(), 1, Integer::sum);
+                    sendsToCold.merge(send.host(), 1, Integer::sum);
                 }
             }
         }
-        // 3 times what it can do meanwhile: its capacity grows over 20 s from the coldest on, evenly.
-        double warmth = COLDEST + (1 - COLDEST) * 1.5 / 20;
+        // 3 times what a cold host can serve in these 3 s: its capacity grows evenly over 20 s.
+        double warmth = START_WARMTH + (1 - START_WARMTH) * 1.5 / 20;
         double budget = 3 * warmth * 3_000_000 / SERVICE_US;
-        assertThat(cold).as("they are used").isNotEmpty();
-        assertThat(cold.values()).allSatisfy(sends -> assertThat((double) sends).isLessThan(budget));
+        assertThat(sendsToCold).as("cold hosts get requests").isNotEmpty();
+        assertThat(sendsToCold.values()).allSatisfy(sends -> assertThat((double) sends).isLessThan(budget));
     }
 
     @ParameterizedTest
     @CsvSource({"14, 60", "100, 60", "100, 400"})
-    void firstChoicesAreSpreadOverTheHomeZone(int instances, int hosts) {
+    void headsAreSpreadOverTheOwnZone(int instances, int hosts) {
         Set<String> heads = new HashSet<>();
         for (BalanceRig rig : instances(instances)) {
             rig.balance.fleet(rig.now, ListKind.RESTORED, hosts(hosts, 0));
@@ -117,18 +117,18 @@
         assertThat(heads).hasSizeGreaterThanOrEqualTo(Math.min(instances, hosts / 2) * 3 / 5);
     }
 
-    /** After a mass restart, and again when the first questions of all have failed. */
+    /** After a restart of all instances, and again when the first call of each has failed. */
     @ParameterizedTest
     @CsvSource({"14", "100", "1000"})
-    void questionsToDiscoveryAreSpread(int instances) {
+    void callsToDiscoveryAreSpread(int instances) {
         int[] first = new int[51];
         int[] second = new int[80];
         for (int i = 0; i < instances; i++) {
-            ListCallBackoff pace = new ListCallBackoff(new Discovery(true, 10_000_000, 2_500_000),
+            ListCallBackoff backoff = new ListCallBackoff(new Discovery(true, 10_000_000, 2_500_000),
                     PseudoRandom.evenlySpread(i), new SplittableRandom(i));
-            long asked = pace.firstUs();
-            first[(int) (asked / 100_000)]++;
-            second[(int) ((asked + pace.failedUs()) / 100_000)]++;
+            long firstCallUs = backoff.firstUs();
+            first[(int) (firstCallUs / 100_000)]++;
+            second[(int) ((firstCallUs + backoff.failedUs()) / 100_000)]++;
         }
         int even = instances / 50 + 1;
         assertThat(first).satisfies(counts -> assertThat(max(counts)).isLessThanOrEqualTo(even + 1));
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void pauseOfAColdHostGrowsWithItsSendersAndEndsWithItsAge() {
+    void pauseBetweenSendsToAColdHostGrowsWithTheNumberOfSenders() {
         ColdBudget budget = new ColdBudget(new ColdStart(0.25, 8_000_000, 3, 3_000_000));
         assertThat(budget.warmth(5, 0)).isEqualTo(1);
         assertThat(budget.warmth(1_000, 1_000)).isEqualTo(0.25);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aZoneIsLostByFourInARowAndBackByOneAnswer() {
+    void zoneIsLostAfterFourFailuresAndBackAfterOneAnswer() {
         ZoneLoss loss = new ZoneLoss(2, 500_000);
         for (int i = 0; i < 3; i++) {
             assertThat(loss.attemptEnded(1, true)).isFalse();
--- a/core/src/test/java/dapplequay/NoOtherZoneTest.java
+++ b/core/src/test/java/dapplequay/NoOtherZoneTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A zone is left for another one. Where there is none, failures in a row are single hosts' failures. */
+/** A zone is lost only if there is another to use; otherwise failures in a row count against single hosts. */
 class NoOtherZoneTest {
     private static BalanceRig fleet(int zones) {
         BalanceRig.Setup setup = new BalanceRig.Setup();
@@ -27,7 +27,10 @@
         }
     }
 
-    /** The only zone was lost by four failures, and all went to one host; settings may name zones that have no hosts. */
+    /**
+     * Guards against losing the only zone after four failures, when one host got all requests. The settings may name
+     * further zones that have no hosts.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 5})
     void theOnlyZoneWithHostsIsNotLost(int zones) {
@@ -44,9 +47,9 @@
         assertThat(rig.logLines).noneMatch(line -> line.startsWith("zone lost") || line.startsWith("zone back"));
     }
 
-    /** Whoever came back in it was taken for cold, and got next to nothing for as long as a start takes. */
+    /** Guards against taking hosts of the only zone for cold when they answer again: they got few requests for long. */
     @Test
-    void noHostIsTakenForColdAsOthersFailed() {
+    void noHostCountsAsColdBecauseOthersFailed() {
         BalanceRig rig = fleet(1);
         failInARow(rig, 6);
         for (int i = 0; i < 20; i++) {
@@ -57,7 +60,7 @@
     }
 
     @Test
-    void whereAllZonesFailNoneCountsAsLostAndTheFirstToAnswerIsNotTakenForCold() {
+    void ifAllZonesFailNoneIsLostAndTheFirstHostToAnswerIsNotCold() {
         BalanceRig rig = new BalanceRig().fleet(6, 6);
         for (int i = 0; i < 40; i++) {
             rig.advance(20_000);
@@ -80,9 +83,9 @@
                 .anySatisfy(s -> assertThat(s.warmth(rig.now)).isEqualTo(1));
     }
 
-    /** As before: with another zone there, a lost one is left, and what is back is taken for cold. */
+    /** With another zone to use, a lost zone is avoided. */
     @Test
-    void aZoneIsStillLeftForAnother() {
+    void lostZoneIsAvoidedIfThereIsAnother() {
         BalanceRig rig = new BalanceRig().fleet(6, 6);
         failInARow(rig, 5);
         assertThat(rig.balance.set.zoneLoss.isLost(0)).isTrue();
--- a/core/src/test/java/dapplequay/RulesTest.java
+++ b/core/src/test/java/dapplequay/RulesTest.java
@@ -21,14 +21,17 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The four rules, one by one. */
+/**
+ * The four rules of the product: one final answer for each request, no effect twice, no new work for draining servers,
+ * no more for cold servers than they can bear.
+ */
 class RulesTest {
 
     // ---- rule 1: one final answer ----
 
     @ParameterizedTest
     @EnumSource(Outcome.class)
-    void everyOutcomeLeadsToAnAnswerInTheEnd(Outcome outcome) {
+    void everyOutcomeLeadsToOneFinalAnswer(Outcome outcome) {
         for (int type = BalanceRig.RETRYABLE; type <= BalanceRig.DEDUP_CELL; type++) {
             BalanceRig rig = new BalanceRig().fleet(6, 0);
             Action send = rig.request(type);
@@ -61,7 +64,7 @@
     }
 
     @Test
-    void timeOutOwesAnAnswerAndNothingGoesOutAfterIt() {
+    void timeoutIsAnsweredAndNoAttemptFollowsTheAnswer() {
         BalanceRig rig = new BalanceRig().fleet(3, 0);
         Action send = rig.request(BalanceRig.FRAGILE);
         rig.advance(BalanceRig.AIM_US);
@@ -70,7 +73,7 @@
     }
 
     @Test
-    void goneClientIsOwedNothing() {
+    void clientThatLeftGetsNoAnswer() {
         BalanceRig rig = new BalanceRig().fleet(3, 0);
         Action send = rig.request(BalanceRig.RETRYABLE);
         rig.balance.clientLeft(rig.now, send.id());
@@ -79,15 +82,15 @@
     }
 
     @Test
-    void workPastItsAimIsRefusedAndNotSent() {
+    void requestPastItsAimIsRefusedAndNotSent() {
         BalanceRig rig = new BalanceRig().fleet(3, 0);
         assertEquals("send", rig.request(BalanceRig.RETRYABLE, BalanceRig.LEFT_US).kind());
-        // Less time than clients grant a try: 600 ms of the deadline of 1 s are gone, and the aim is 400 ms.
+        // A retry, as its time left is less than before: 600 ms of the deadline of 1 s are over, and the aim is 400 ms.
         assertEquals("refuse", rig.request(BalanceRig.RETRYABLE, 400_000).kind());
     }
 
     @Test
-    void lateAnswerOfSomeWorthIsStillSoughtAfterTheAim() {
+    void requestPastItsAimIsSentIfLateAnswersHaveWorth() {
         BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.lateWorth = 0.2;
         BalanceRig rig = new BalanceRig(setup).fleet(3, 0);
@@ -97,7 +100,7 @@
     }
 
     @Test
-    void tryThatCanOnlyBeLateGetsNoRoomBesideWorkThatCanBeInTime() {
+    void requestThatCanOnlyBeLateIsRefusedWhereOthersAreStillSent() {
         BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.lateWorth = 0.2;
         BalanceRig rig = new BalanceRig(setup).fleet(2, 0);
@@ -115,7 +118,7 @@
     // ---- rule 2: no effect twice ----
 
     @Test
-    void unsafeMayFollowOnlyWhatNeverRan() {
+    void fragileRequestIsSentAgainOnlyAfterAnAttemptThatNeverRan() {
         for (Outcome outcome : Outcome.values()) {
             if (outcome == Outcome.OK) {
                 continue;
@@ -128,7 +131,7 @@
     }
 
     @Test
-    void unsafeThatRanOnTheSecondAttemptFails() {
+    void fragileRequestThatMayHaveRunOnItsSecondAttemptFails() {
         BalanceRig rig = new BalanceRig().fleet(4, 0);
         Action first = rig.request(BalanceRig.FRAGILE);
         rig.advance(1_000);
@@ -139,16 +142,17 @@
     }
 
     @Test
-    void keyedOfAZoneStaysInItsZoneAndIsNeverRefusedOnceItMayHaveRun() {
+    void zoneDedupRequestStaysInItsZoneAndIsNotRefusedOnceItMayHaveRun() {
         BalanceRig rig = new BalanceRig().fleet(1, 4);
         Action send = rig.request(BalanceRig.DEDUP_ZONE);
         assertEquals("a0", send.host());
         rig.advance(1_000);
-        assertEquals("fail", rig.outcome(send, Outcome.ERROR).kind(), "no other host of its zone, so no further try");
+        assertEquals("fail", rig.outcome(send, Outcome.ERROR).kind(),
+                "no other host in its zone, so no further attempt");
     }
 
     @Test
-    void keyedOfAZoneMayLeaveItsZoneBeforeItRan() {
+    void zoneDedupRequestMayLeaveItsZoneIfItNeverRan() {
         BalanceRig rig = new BalanceRig().fleet(1, 4);
         Action send = rig.request(BalanceRig.DEDUP_ZONE);
         rig.advance(1_000);
@@ -156,7 +160,7 @@
     }
 
     @Test
-    void keyedOfAllGoesAnywhereWithinItsWindowAndIsNeverRefusedOnceItMayHaveRun() {
+    void dedupRequestOfAllGoesAnywhereWithinItsWindowAndIsNotRefusedOnceItMayHaveRun() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         Action send = rig.request(BalanceRig.DEDUP_ALL);
         rig.advance(1_000);
@@ -166,12 +170,12 @@
         setup.lateWorth = 0.5;
         BalanceRig late = new BalanceRig(setup).fleet(2, 0);
         Action first = late.request(BalanceRig.DEDUP_ALL);
-        late.advance(500_001);     // the window is 500 ms from the first send that may have run
+        late.advance(500_001);     // past the window of 500 ms from the first send that may have run
         assertEquals("fail", late.outcome(first, Outcome.RESET).kind());
     }
 
     @Test
-    void keyedWorkIsRefusedOnlyWhereEachOfItsAttemptsProvedThatItNeverRan() {
+    void dedupRequestIsRefusedOnlyIfNoAttemptMayHaveRun() {
         for (int type = BalanceRig.DEDUP_ALL; type <= BalanceRig.DEDUP_CELL; type++) {
             for (Outcome outcome : Outcome.values()) {
                 if (outcome != Outcome.OK) {
@@ -185,10 +189,10 @@
         }
     }
 
-    /** It was failed at once, though its time was not over and another host could still serve it. */
+    /** Guards against failing such a request at once though it has time left and another host could serve it. */
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"RESET", "ERROR", "CANCELLED"})
-    void whatCanNotBeRefusedAnyMoreGoesOnAlsoWhereNobodyHasRoom(Outcome outcome) {
+    void requestThatCanNotBeRefusedIsSentAgainEvenIfNoServerHasRoom(Outcome outcome) {
         for (int type = BalanceRig.DEDUP_ALL; type <= BalanceRig.DEDUP_CELL; type++) {
             BalanceRig rig = new BalanceRig().fleet(2, 0);
             Action send = rig.request(type);
@@ -198,34 +202,34 @@
                             new LoadReport(200, 200));
                 }
             }
-            assertEquals("refuse", rig.request(type).kind(), "nobody has room");
+            assertEquals("refuse", rig.request(type).kind(), "no server has room");
             Action second = rig.outcome(send, outcome);
             assertEquals("send", second.kind(), type + " after " + outcome);
             assertNotEquals(send.host(), second.host());
         }
     }
 
-    /** The window of 500 ms counts from the first send that may have run, however long the network takes to begin. */
+    /** The window of 500 ms counts from the first send that may have run, and 20 ms of it are kept for delivery. */
     @Test
-    void repeatOfKeyedWorkHasToBeginWithinItsWindowAndTheWayToTheServer() {
+    void repeatOfDedupRequestMustBeginWithinItsWindowLessDelivery() {
         BalanceRig rig = new BalanceRig().fleet(4, 0);
         Action first = rig.request(BalanceRig.DEDUP_ALL);
-        assertEquals(Long.MAX_VALUE, rig.lastBeginBy, "nothing ran before it");
+        assertEquals(Long.MAX_VALUE, rig.lastSendBeginBy, "no attempt ran before the first");
         rig.advance(100_000);
         Action second = rig.outcome(first, Outcome.CONNECT_FAILED);
         long ran = rig.now;
-        assertEquals(Long.MAX_VALUE, rig.lastBeginBy, "nor before this one");
+        assertEquals(Long.MAX_VALUE, rig.lastSendBeginBy, "no attempt ran before the second");
         rig.advance(100_000);
         Action third = rig.outcome(second, 1, Outcome.RESET, null);
         assertEquals("send", third.kind());
-        assertEquals(ran + 480_000, rig.lastBeginBy);
+        assertEquals(ran + 480_000, rig.lastSendBeginBy);
         rig.advance(50_000);
         assertEquals("send", rig.outcome(third, 2, Outcome.NOT_SENT, null).kind());
-        assertEquals(ran + 480_000, rig.lastBeginBy, "what was stopped before its first byte opens no window");
+        assertEquals(ran + 480_000, rig.lastSendBeginBy, "an attempt that was not sent opens no window");
     }
 
     @Test
-    void keyedWorkIsNotSentAgainWhereItsWindowIsAsGoodAsOver() {
+    void dedupRequestIsNotSentAgainAtTheEndOfItsWindow() {
         for (long after : new long[] {479_999, 480_000}) {
             BalanceRig.Setup setup = new BalanceRig.Setup();
             setup.lateWorth = 0.5;
@@ -236,10 +240,10 @@
         }
     }
 
-    /** Who dropped the first attempt's key is where it went; the list may move that host, or start it anew, since. */
+    /** The first attempt's zone and cell count, even if the list has moved or restarted its host since. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void repeatOfKeyedWorkStaysWhereTheFirstAttemptWent(boolean startedAnew) {
+    void repeatOfDedupRequestStaysWhereTheFirstAttemptWent(boolean isRestarted) {
         for (int others = 0; others < 2; others++) {
             for (int type : new int[] {BalanceRig.DEDUP_CELL, BalanceRig.DEDUP_ZONE}) {
                 BalanceRig rig = new BalanceRig();
@@ -251,7 +255,7 @@
                 Action first = rig.request(type);
                 assertTrue(first.host().startsWith("a"));
                 rig.advance(1_000);
-                long started = startedAnew ? rig.now : 0;
+                long started = isRestarted ? rig.now : 0;
                 rig.delta(new FleetEntry(first.host(), type == BalanceRig.DEDUP_ZONE ? 1 : 0, 6, HostState.READY, 1,
                         started));
                 Action next = rig.advance(1_000).outcome(first, Outcome.RESET);
@@ -266,12 +270,12 @@
     }
 
     @Test
-    void whatMayBeRepeatedAtAnyTimeMayBeginAtAnyTime() {
+    void repeatOfRetryableRequestMayBeginAtAnyTime() {
         BalanceRig rig = new BalanceRig().fleet(4, 0);
         Action send = rig.request(BalanceRig.RETRYABLE);
         rig.advance(100_000);
         assertEquals("send", rig.outcome(send, Outcome.RESET).kind());
-        assertEquals(Long.MAX_VALUE, rig.lastBeginBy);
+        assertEquals(Long.MAX_VALUE, rig.lastSendBeginBy);
     }
 
     @Test
@@ -287,7 +291,7 @@
     // ---- rule 3: drains ----
 
     @Test
-    void drainingHostGetsNothingFromTheEventThatNamesIt() {
+    void drainingHostGetsNoRequestsOnceItIsListedAsDraining() {
         BalanceRig rig = new BalanceRig().fleet(3, 0);
         String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
         rig.delta(BalanceRig.host(head, 0, HostState.DRAINING, 0));
@@ -297,7 +301,7 @@
     }
 
     @Test
-    void hostMissingFromAFullListIsGoneAndItsWorkInFlightFinishes() {
+    void hostMissingFromAFullListIsRemovedAndItsAttemptsInFlightFinish() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         Action send = rig.request(BalanceRig.RETRYABLE);
         String other = send.host().equals("a0") ? "a1" : "a0";
@@ -307,7 +311,7 @@
     }
 
     @Test
-    void furtherAttemptAvoidsAHostThatDrainsMeanwhile() {
+    void nextAttemptAvoidsAHostThatDrainsMeanwhile() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         Action send = rig.request(BalanceRig.RETRYABLE);
         String other = send.host().equals("a0") ? "a1" : "a0";
@@ -316,7 +320,7 @@
         assertEquals("refuse", rig.outcome(send, Outcome.REFUSED).kind());
     }
 
-    /** Taken for a whole list, it would be an empty one. */
+    /** Guards against taking a failed call for an empty list. */
     @Test
     void listThatFailedToComeChangesNothing() {
         BalanceRig rig = new BalanceRig().fleet(1, 0);
@@ -325,36 +329,36 @@
     }
 
     @Test
-    void hostSeenOnlyAsRemovedIsNoError() {
+    void unknownHostThatIsRemovedIsIgnored() {
         BalanceRig rig = new BalanceRig().fleet(1, 0);
         rig.delta(BalanceRig.host("never-met", -1, HostState.REMOVED, 0));
         assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host());
     }
 
     @Test
-    void askedDiscoveryIsAskedWithinItsTimeSpreadOutAndAgainAfterFailure() {
+    void discoveryIsCalledInTimeSpreadOverInstancesAndAgainAfterFailure() {
         List<Long> first = new ArrayList<>();
         for (int position = 0; position < 10; position++) {
             BalanceRig.Setup setup = new BalanceRig.Setup();
             setup.position = position;
             setup.onRequest = true;
             BalanceRig rig = new BalanceRig(setup);
-            ListSubscription asking = new ListSubscription(setup.settings(), 1, rig);
-            asking.listReceived(ListKind.RESTORED);
+            ListSubscription subscription = new ListSubscription(setup.settings(), 1, rig);
+            subscription.listReceived(ListKind.RESTORED);
             Action timer = rig.actions.get(0);
             assertEquals("timer", timer.kind());
             assertTrue(timer.argument() <= 5_000_000, "well within ask_within");
             first.add(timer.argument());
-            assertTrue(asking.timerFired(timer.id()));
+            assertTrue(subscription.timerFired(timer.id()));
             assertEquals(1, rig.count("watch"));
-            asking.listReceived(ListKind.FAILED);
+            subscription.listReceived(ListKind.FAILED);
             Action again = rig.actions.get(rig.actions.size() - 1);
             assertEquals("timer", again.kind());
-            assertTrue(asking.timerFired(again.id()));
+            assertTrue(subscription.timerFired(again.id()));
             assertEquals(2, rig.count("watch"));
-            asking.listReceived(ListKind.DELTA);
-            asking.timerFired(again.id());
-            assertEquals(2, rig.count("watch"), "a subscriber asks no more");
+            subscription.listReceived(ListKind.DELTA);
+            subscription.timerFired(again.id());
+            assertEquals(2, rig.count("watch"), "a subscribed instance does not subscribe again");
         }
         assertEquals(10, first.stream().distinct().count());
     }
@@ -366,7 +370,7 @@
         BalanceRig rig = new BalanceRig().fleet(4, 0);
         String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
         rig.delta(BalanceRig.host(head, 0, HostState.READY, rig.now));
-        assertTrue(sends(rig, head, 100) < 35, "others are far quicker");
+        assertTrue(sends(rig, head, 100) < 35, "sends to the cold head of 100");
         rig.advance(20_000_000);
         assertEquals(100, sends(rig, head, 100));
     }
@@ -384,11 +388,11 @@
     }
 
     @Test
-    void coldHostHoldsOneRequestOfABalancerAtMost() {
+    void coldHostHoldsAtMostOneRequestOfABalancer() {
         BalanceRig rig = new BalanceRig().fleet(3, 0);
         String head = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
         rig.delta(BalanceRig.host(head, 0, HostState.READY, rig.now));
-        int out = 0;                      // of many who hear of it at once, each begins at a moment of its own
+        int out = 0;      // the first send comes after a random time, as many balancers hear of the start at once
         for (int i = 0; i < 500; i++) {
             if (head.equals(rig.advance(10_000).request(BalanceRig.RETRYABLE).host())) {
                 out++;
@@ -398,7 +402,7 @@
     }
 
     @Test
-    void fleetThatIsColdAsAWholeIsServedWithoutDeadlock() {
+    void requestsAreServedIfAllHostsAreCold() {
         BalanceRig rig = new BalanceRig();
         List<FleetEntry> all = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -417,10 +421,10 @@
     }
 
     @Test
-    void unknownStartTimeCountsAsLongAgo() {
+    void hostWithUnknownStartTimeCountsAsWarm() {
         BalanceRig rig = new BalanceRig().fleet(1, 0);
         assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host());
-        assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host(), "no cold limit of one at a time");
+        assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host(), "a cold host would get only one at a time");
     }
 
     @Test
--- a/core/src/test/java/dapplequay/SourceLimitsTest.java
+++ b/core/src/test/java/dapplequay/SourceLimitsTest.java
@@ -14,36 +14,36 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The module has to stay readable in one sitting at night. */
+/** Limits on the size and the dependencies of the decision module, so that one can read it in a short time. */
 class SourceLimitsTest {
     private static final Path SOURCES = Path.of("core/src/main/java/dapplequay");
     private static final int FILE_LINES = 500;
     private static final int LINE_LENGTH = 120;
 
-    /** The files that the deployment's description names as the module's. */
+    /** Returns the files that the deploy file names as those of the module. */
     private static List<Path> module() throws IOException {
         String description = Files.readString(Path.of("deploy/balancer.toml"));
         Matcher list = Pattern.compile("(?m)^policy = \\[([^]]*)]").matcher(description);
-        assertTrue(list.find(), "policy is named");
+        assertTrue(list.find(), "the deploy file has a policy list");
         return Pattern.compile("\"([^\"]+)\"").matcher(list.group(1)).results().map(m -> Path.of(m.group(1))).toList();
     }
 
     @Test
-    void moduleFilesStayWithinTheirLines() throws IOException {
+    void moduleFilesStayWithinTheirLineLimit() throws IOException {
         int sum = 0;
         for (Path file : module()) {
             long filled = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
             assertTrue(filled < FILE_LINES, file + " has " + filled + " lines that are not blank");
             sum += (int) filled;
         }
-        assertTrue(sum > 500, "the module is where this check looks for it");
+        assertTrue(sum > 500, "the policy list names the files of the module");
         String first = Files.readAllLines(SOURCES.resolve("Balance.java")).get(0);
         assertTrue(first.contains("BalancerApi.java"), "its first comment names the interface file");
     }
 
-    /** A helper that decides with the module counts with it: none of core may be used and not be named. */
+    /** A class of core that the module uses counts as part of the module, and has to be listed. */
     @Test
-    void everyClassThatTheModuleUsesIsNamed() throws IOException {
+    void everyClassThatTheModuleUsesIsListed() throws IOException {
         List<Path> module = module();
         List<Path> others;
         try (Stream<Path> tree = Files.walk(SOURCES)) {
--- a/core/src/test/java/dapplequay/UnreportedLoadTest.java
+++ b/core/src/test/java/dapplequay/UnreportedLoadTest.java
@@ -10,25 +10,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Hosts whose answers tell no load: nothing but what requests of one's own take shows how fast they are. */
+/** Hosts that report no load: only the answer times of own requests show how fast they are. */
 class UnreportedLoadTest {
     /**
-     * Four hosts that answer in 20 ms, one after the other: five out at each are a third of the aim of 300 ms. The
-     * tenant is alone, beyond its share, and nobody else wants what they can do.
+     * Four hosts answer in 20 ms, one request after the other: five in flight at each take a third of the aim of
+     * 300 ms. The tenant is over its share, but no other tenant sends requests.
      */
     @Test
-    void whatSuchHostsAreSeenToDoIsUsed() {
+    void capacityShownByAnswerTimesIsUsed() {
         assertThat(sentAtOnceAfter(20_000)).isGreaterThanOrEqualTo(4 * 5);
     }
 
-    /** An answer may take long as it waits for others, and not for a queue: that alone makes no host full. */
+    /** An answer may take long without a queue, as the host waits for others: that alone makes no host full. */
     @Test
-    void whatTakesLongIsNoQueue() {
+    void longAnswerTimesAloneAreNoQueue() {
         assertThat(sentAtOnceAfter(150_000)).isGreaterThanOrEqualTo(4 * 4);
     }
 
-    /** How many requests are sent at once before one is refused, after many that took so long, one after the other. */
-    private static int sentAtOnceAfter(long takesUs) {
+    /** Returns how many requests are sent before one is refused, after many that took this long, one at a time. */
+    private static int sentAtOnceAfter(long tookUs) {
         BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.balancers = 1;
         setup.classes = List.of(new ServiceClass("quote", 300_000, 0, 1_000_000, 0, 1, Semantics.RETRYABLE, Group.ALL,
@@ -38,7 +38,7 @@
         for (int i = 0; i < 300; i++) {
             BalanceRig.Action send = rig.request(0);
             assertThat(send.kind()).isEqualTo("send");
-            rig.advance(takesUs).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, takesUs, true, null);
+            rig.advance(tookUs).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, tookUs, true, null);
         }
         int sent = 0;
         while (rig.request(0).kind().equals("send")) {
