--- a/core/src/test/java/dapplequay/ColdFleet.java
+++ b/core/src/test/java/dapplequay/ColdFleet.java
@@ -26,18 +26,20 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet in passed-in time: instances of the module that share nothing, hosts that work through a queue and are slower
- * while they are cold, clients that come again. It counts what every cold host is sent against what the settings allow.
+ * A simulated fleet: balancers that share nothing, hosts that work through a queue and are slower while they are cold,
+ * clients that retry. It compares what each cold host is sent with what the settings allow.
  */
 final class ColdFleet {
-    /** What each send costs beside its work, in calls: a handshake at the most. */
-    private static final double HANDSHAKE = 0.02;
-    private static final double QUICK = 1.8;
-    private static final double SLOW = 0.9;
-    private static final long REPORT_US = 1_000_000;
-    private static final long NET_US = 200;
-    private static final int QUEUE = 250;
-    static final long T0 = 1_000_000_000L;
+    /** The cost of a handshake, in calls of mean work; each send is counted with one. */
+    private static final double HANDSHAKE_CALLS = 0.02;
+    /** Speed of every second host of a zone; at 1 a call of mean work takes {@code workUs}. */
+    private static final double FAST_SPEED = 1.8;
+    /** Speed of the other hosts. */
+    private static final double SLOW_SPEED = 0.9;
+    private static final long REPORT_INTERVAL_US = 1_000_000;
+    private static final long NETWORK_US = 200;
+    private static final int MAX_IN_FLIGHT = 250;
+    static final long START_US = 1_000_000_000L;
 
     double workUs = 110_000;
     long aimUs = 600_000;
@@ -46,33 +48,44 @@
     int balancers = 20;
     int hosts = 20;
     int zones = 2;
-    double homeShare = 0.5;                // of the instances that are in zone 0
-    double load = 1.3;                     // of what all hosts can do when warm
-    int favoured = 8;                      // so many times the others' traffic goes to the first instance
-    long burstAtUs = -1;                   // after the news: before it there is a twentieth of the load
-    double halfSpeed;                      // of those that start cold, this share of all hosts has half the mean speed
-    boolean tellsCount = true;             // what a host holds, with its answers
-    double warmErrors;                     // share of answers of the warm hosts that are errors, after the news
-    double coldErrors;
+    /** Share of the instances that are in zone 0. */
+    double zone0Share = 0.5;
+    /** Offered load as a share of what all hosts can serve when warm. */
+    double loadShare = 1.3;
+    /** Traffic of the first instance, in multiples of the mean traffic of another one. */
+    int firstInstanceTraffic = 8;
+    /** The full load begins this long after the news of the cold hosts, a twentieth of it before; -1: at once. */
+    long burstAfterNewsUs = -1;
+    /** Among the hosts that start cold, as many as this share of all hosts have half the mean speed. */
+    double halfSpeedShare;
+    /** True if hosts report their requests in flight with their answers. */
+    boolean reportsLoad = true;
+    /** Share of the answers of warm hosts that are errors, after the news. */
+    double warmErrorShare;
+    /** Share of the answers of cold hosts that are errors. */
+    double coldErrorShare;
 
     final class Host {
         final String name;
         final int zone;
         double speed;
-        long startedUs;                    // 0: long ago
+        /** 0: long ago. */
+        long startedUs;
         boolean silent;
         private long freeAt;
-        private int holds;
+        private int inFlight;
         private LoadReport report = new LoadReport(0, 0);
         private long reportedAt;
-        final Deque<Long> got = new ArrayDeque<>();
-        double worst;                      // of what it got in any window, against its bound
-        double used;                       // in the first window after the news, against its budget
+        final Deque<Long> arrivals = new ArrayDeque<>();
+        /** The most calls in any window, as a share of the bound for chance. */
+        double worstBoundRatio;
+        /** The calls in the first window after the news, as a share of the budget. */
+        double usedBudgetShare;
 
         Host(int number) {
             zone = number % zones;
             name = "h" + number;
-            speed = number / zones % 2 == 0 ? QUICK : SLOW;
+            speed = number / zones % 2 == 0 ? FAST_SPEED : SLOW_SPEED;
         }
 
         double warmth(long at) {
@@ -80,42 +93,43 @@
             return Math.min(1, cold.from() + (1 - cold.from()) * age);
         }
 
-        /** Calls of mean work that the settings allow it in the window that ends now. */
+        /** Returns how many calls of mean work the settings allow in the window that ends now. */
         double budget(long at) {
             return cold.tipMultiple() * warmth(at - cold.tipAfterUs() / 2) * cold.tipAfterUs() * speed / workUs;
         }
 
-        /** Takes a call; when its answer is there, or never. */
-        long take(boolean counts) {
-            if (counts) {
-                got.add(now);
-                while (got.peek() <= now - cold.tipAfterUs()) {
-                    got.remove();
+        /** Takes a call; returns when its answer comes, Long.MAX_VALUE: never. */
+        long handleCall(boolean isCounted) {
+            if (isCounted) {
+                arrivals.add(now);
+                while (arrivals.peek() <= now - cold.tipAfterUs()) {
+                    arrivals.remove();
                 }
-                double n = budget(now);
-                worst = Math.max(worst, got.size() * (1 + HANDSHAKE) / (n + 2 * Math.sqrt(n) + 2));
-                if (now - newsAt <= cold.tipAfterUs()) {
-                    used = got.size() / n;
+                double allowedCalls = budget(now);
+                worstBoundRatio = Math.max(worstBoundRatio,
+                        arrivals.size() * (1 + HANDSHAKE_CALLS) / (allowedCalls + 2 * Math.sqrt(allowedCalls) + 2));
+                if (now - newsAtUs <= cold.tipAfterUs()) {
+                    usedBudgetShare = arrivals.size() / allowedCalls;
                 }
             }
             if (silent) {
                 return Long.MAX_VALUE;
             }
-            if (holds >= QUEUE) {
-                return now + NET_US;
+            if (inFlight >= MAX_IN_FLIGHT) {
+                return now + NETWORK_US;
             }
-            holds++;
+            inFlight++;
             double work = -Math.log(1 - random.nextDouble()) * workUs;
             freeAt = Math.max(now, freeAt) + (long) (work / speed / warmth(now));
-            long life = startedUs;
-            at(freeAt, () -> holds -= life == startedUs ? 1 : 0);
-            return freeAt + NET_US;
+            long ownStartUs = startedUs;
+            at(freeAt, () -> inFlight -= ownStartUs == startedUs ? 1 : 0);
+            return freeAt + NETWORK_US;
         }
 
         LoadReport report() {
-            if (now - reportedAt > REPORT_US) {
+            if (now - reportedAt > REPORT_INTERVAL_US) {
                 reportedAt = now;
-                double told = tellsCount ? holds : Double.NaN;
+                double told = reportsLoad ? inFlight : Double.NaN;
                 report = new LoadReport(told, told);
             }
             return report;
@@ -123,26 +137,26 @@
     }
 
     /** One request of a client at an instance. */
-    private final class Try {
-        final int triesLeft;
+    private final class ClientRequest {
+        final int retriesLeft;
         int attempts;
-        boolean over;
-        boolean out;
+        boolean isOver;
+        boolean attemptIsInFlight;
         String host;
         long sentAt;
 
-        Try(int triesLeft) {
-            this.triesLeft = triesLeft;
+        ClientRequest(int retriesLeft) {
+            this.retriesLeft = retriesLeft;
         }
     }
 
     final class Instance implements BalancerApi.Actions {
         private final Balance balance;
-        private final Map<Long, Try> open = new HashMap<>();
+        private final Map<Long, ClientRequest> pendingRequests = new HashMap<>();
         private boolean ended;
 
         Instance(int position, long seed) {
-            int zone = zones == 1 || position < homeShare * balancers ? 0 : 1 + position % (zones - 1);
+            int zone = zones == 1 || position < zone0Share * balancers ? 0 : 1 + position % (zones - 1);
             List<String> names = new ArrayList<>();
             for (int z = 0; z < zones; z++) {
                 names.add("zone" + z);
@@ -162,76 +176,78 @@
             balance.fleet(now, kind, entries);
         }
 
-        void request(int triesLeft) {
+        void request(int retriesLeft) {
             if (ended) {
                 return;
             }
             long id = nextId++;
-            asked++;
-            open.put(id, new Try(triesLeft));
+            requestCount++;
+            pendingRequests.put(id, new ClientRequest(retriesLeft));
             balance.request(now, new Request(id, 0, -1, null, deadlineUs, 0, false));
         }
 
         @Override
         public void send(long id, String name, long timeoutUs, long beginBy) {
-            Try t = open.get(id);
-            Host host = all.get(name);
-            int attempt = t.attempts++;
-            t.host = name;
-            t.out = true;
-            t.sentAt = now;
-            boolean full = host.holds >= QUEUE;
-            // Only what is sent by those that know of the start: who does not can't do better.
-            Server known = balance.set.servers.get(name);
-            long answer = host.take(host.startedUs > 0 && host.warmth(now) < 1 && known.warmth(now) < 1);
-            double errors = host.startedUs > 0 ? coldErrors : now >= newsAt ? warmErrors : 0;
+            ClientRequest clientRequest = pendingRequests.get(id);
+            Host host = hostsByName.get(name);
+            int attempt = clientRequest.attempts++;
+            clientRequest.host = name;
+            clientRequest.attemptIsInFlight = true;
+            clientRequest.sentAt = now;
+            boolean full = host.inFlight >= MAX_IN_FLIGHT;
+            // Counts only sends of instances that know of the start: the others can't limit themselves.
+            Server knownServer = balance.set.servers.get(name);
+            long answer = host.handleCall(host.startedUs > 0 && host.warmth(now) < 1 && knownServer.warmth(now) < 1);
+            double errors = host.startedUs > 0 ? coldErrorShare : now >= newsAtUs ? warmErrorShare : 0;
             boolean error = errors > 0 && random.nextDouble() < errors;
             Outcome outcome = full ? Outcome.REFUSED : error ? Outcome.ERROR : Outcome.OK;
-            long answerAt = error ? now + 10 * NET_US : answer;
+            long answerAt = error ? now + 10 * NETWORK_US : answer;
             if (answerAt > now + timeoutUs) {
-                at(now + timeoutUs, () -> ended(id, t, attempt, host, Outcome.TIMEOUT));
+                at(now + timeoutUs, () -> ended(id, clientRequest, attempt, host, Outcome.TIMEOUT));
             } else {
-                at(answerAt, () -> ended(id, t, attempt, host, outcome));
+                at(answerAt, () -> ended(id, clientRequest, attempt, host, outcome));
             }
         }
 
-        private void ended(long id, Try t, int attempt, Host host, Outcome outcome) {
-            if (ended || t.over || !t.out || attempt != t.attempts - 1) {
+        private void ended(long id, ClientRequest clientRequest, int attempt, Host host, Outcome outcome) {
+            if (ended || clientRequest.isOver || !clientRequest.attemptIsInFlight
+                    || attempt != clientRequest.attempts - 1) {
                 return;
             }
-            t.out = false;
+            clientRequest.attemptIsInFlight = false;
             boolean served = outcome == Outcome.OK;
-            t.over = served;
+            clientRequest.isOver = served;
             if (served) {
-                open.remove(id);
-                ok++;
+                pendingRequests.remove(id);
+                servedCount++;
             }
-            boolean heard = served || outcome == Outcome.REFUSED || outcome == Outcome.ERROR;
-            balance.outcome(now, id, attempt, host.name, outcome, now - t.sentAt, served, heard ? host.report() : null);
+            boolean hasReport = served || outcome == Outcome.REFUSED || outcome == Outcome.ERROR;
+            balance.outcome(now, id, attempt, host.name, outcome, now - clientRequest.sentAt, served,
+                    hasReport ? host.report() : null);
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            Try t = open.get(id);
-            at(now, () -> ended(id, t, attempt, all.get(t.host), Outcome.CANCELLED));
+            ClientRequest clientRequest = pendingRequests.get(id);
+            at(now, () -> ended(id, clientRequest, attempt, hostsByName.get(clientRequest.host), Outcome.CANCELLED));
         }
 
-        private void again(long id) {
-            Try t = open.remove(id);
-            t.over = true;
-            if (t.triesLeft > 0) {
-                at(now + 21_000 + random.nextLong(139_000), () -> request(t.triesLeft - 1));
+        private void retry(long id) {
+            ClientRequest clientRequest = pendingRequests.remove(id);
+            clientRequest.isOver = true;
+            if (clientRequest.retriesLeft > 0) {
+                at(now + 21_000 + random.nextLong(139_000), () -> request(clientRequest.retriesLeft - 1));
             }
         }
 
         @Override
         public void refuse(long id, long pauseUs) {
-            again(id);
+            retry(id);
         }
 
         @Override
         public void fail(long id) {
-            again(id);
+            retry(id);
         }
 
         @Override
@@ -251,7 +267,7 @@
 
         @Override
         public void probe(String host) {
-            throw new IllegalStateException("none is expected");
+            throw new IllegalStateException("no probe is expected");
         }
 
         @Override
@@ -272,11 +288,11 @@
     private final SplittableRandom random;
     private long nextId;
     private final long seed;
-    long now = T0;
-    long newsAt = Long.MAX_VALUE;
-    int asked;
-    int ok;
-    final Map<String, Host> all = new LinkedHashMap<>();
+    long now = START_US;
+    long newsAtUs = Long.MAX_VALUE;
+    int requestCount;
+    int servedCount;
+    final Map<String, Host> hostsByName = new LinkedHashMap<>();
     final List<Instance> instances = new ArrayList<>();
 
     ColdFleet(long seed) {
@@ -284,18 +300,18 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Builds what the fields say; every instance has all hosts in its list. */
+    /** Creates hosts and instances by the fields; each instance has all hosts in its list. */
     ColdFleet begin() {
         for (int i = 0; i < hosts; i++) {
             Host host = new Host(i);
-            all.put(host.name, host);
+            hostsByName.put(host.name, host);
         }
         restartInstances();
-        double rate = load * all.values().stream().mapToDouble(h -> h.speed).sum() / workUs;
+        double rate = loadShare * hostsByName.values().stream().mapToDouble(h -> h.speed).sum() / workUs;
         double[] weights = new double[balancers];
         double sum = 0;
         for (int i = 0; i < balancers; i++) {
-            weights[i] = i == 0 ? favoured : 0.3 - Math.log(1 - random.nextDouble());
+            weights[i] = i == 0 ? firstInstanceTraffic : 0.3 - Math.log(1 - random.nextDouble());
             sum += weights[i];
         }
         for (int i = 0; i < balancers; i++) {
@@ -305,9 +321,9 @@
     }
 
     private void traffic(int instance, double rate) {
-        boolean waits = burstAtUs >= 0 && now < newsAt + burstAtUs;
+        boolean waits = burstAfterNewsUs >= 0 && now < newsAtUs + burstAfterNewsUs;
         long gap = (long) (-Math.log(1 - random.nextDouble()) / (waits ? rate / 20 : rate));
-        long burst = newsAt == Long.MAX_VALUE ? Long.MAX_VALUE : newsAt + burstAtUs;
+        long burst = newsAtUs == Long.MAX_VALUE ? Long.MAX_VALUE : newsAtUs + burstAfterNewsUs;
         if (waits && now + gap > burst) {
             at(burst, () -> traffic(instance, rate));
             return;
@@ -318,44 +334,45 @@
         });
     }
 
-    /** New processes, each with the list as it is. */
+    /** Replaces all instances by new ones that begin with the present list. */
     void restartInstances() {
         instances.forEach(Instance::end);
         instances.clear();
         for (int i = 0; i < balancers; i++) {
             instances.add(new Instance(i, seed * 1_000 + i + order));
         }
-        instances.forEach(i -> i.list(ListKind.RESTORED, all.values().stream().map(this::entry).toList()));
+        instances.forEach(i -> i.list(ListKind.RESTORED, hostsByName.values().stream().map(this::entry).toList()));
     }
 
     FleetEntry entry(Host h) {
         return new FleetEntry(h.name, h.zone, 0, HostState.READY, 1, h.startedUs);
     }
 
-    void tell(List<Host> changed) {
+    void listChanges(List<Host> changed) {
         instances.forEach(i -> i.list(ListKind.DELTA, changed.stream().map(this::entry).toList()));
     }
 
-    /** They start anew now; until they are told of, nobody knows. */
+    /** Restarts these hosts now; instances don't know of it until they get the news. */
     void startCold(List<Host> some) {
         for (Host h : some) {
             h.startedUs = now;
             h.freeAt = now;
-            h.holds = 0;
+            h.inFlight = 0;
             h.silent = false;
-            boolean slow = halfSpeed > 0 && some.indexOf(h) < Math.max(1, (int) (hosts * halfSpeed));
-            h.speed = slow ? (QUICK + SLOW) / 4 : h.speed;
+            boolean slow = halfSpeedShare > 0 && some.indexOf(h) < Math.max(1, (int) (hosts * halfSpeedShare));
+            h.speed = slow ? (FAST_SPEED + SLOW_SPEED) / 4 : h.speed;
         }
     }
 
-    /** The most that any host got in any window, against its bound. */
-    double worst() {
-        return all.values().stream().mapToDouble(h -> h.worst).max().orElse(0);
+    /** Returns the most calls of any host in any window, as a share of its bound. */
+    double worstBoundRatio() {
+        return hostsByName.values().stream().mapToDouble(h -> h.worstBoundRatio).max().orElse(0);
     }
 
-    /** What the cold hosts got in the first window after the news, as a share of their budget. */
-    double used() {
-        return all.values().stream().filter(h -> h.startedUs > 0).mapToDouble(h -> h.used).average().orElse(0);
+    /** Returns the mean share of its budget that a cold host got in the first window after the news. */
+    double usedBudgetShare() {
+        return hostsByName.values().stream().filter(h -> h.startedUs > 0).mapToDouble(h -> h.usedBudgetShare).average()
+                .orElse(0);
     }
 
     void at(long when, Runnable what) {
--- a/core/src/test/java/dapplequay/ColdRampTest.java
+++ b/core/src/test/java/dapplequay/ColdRampTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What a whole fleet sends to cold hosts. Of the N calls that the settings allow one in their time, all instances
- * together may go past N by 2 root N + 2, which is put down to chance, in no window and at no host.
+ * What a whole fleet sends to cold hosts. Where the settings allow a host N calls in their window, all instances
+ * together may send N + 2 sqrt(N) + 2, the excess being chance, in every window and to every host.
  */
 class ColdRampTest {
     private static final int SEEDS = 40;
     private static final long BEFORE_US = 3_000_000;
     private static final long AFTER_US = 6_000_000;
 
-    /** How the instances learn of the start: from the list, as new processes, or as a lost zone answers again. */
+    /** How instances learn that hosts are cold: from the list, at their own start, or as a lost zone answers again. */
     enum News { LISTED, INSTANCES_RESTARTED, ZONE_BACK }
 
     record Case(String name, int balancers, int hosts, double coldShare, News news, Consumer<ColdFleet> setup) {
@@ -40,23 +40,23 @@
         }
     }
 
-    private static void halfSpeed(ColdFleet f) {
-        f.halfSpeed = 0.25;
+    private static void halfSpeed(ColdFleet fleet) {
+        fleet.halfSpeedShare = 0.25;
     }
 
-    private static void errors(ColdFleet f) {
-        f.halfSpeed = 0.25;
-        f.coldErrors = 0.3;
+    private static void errors(ColdFleet fleet) {
+        fleet.halfSpeedShare = 0.25;
+        fleet.coldErrorShare = 0.3;
     }
 
-    private static void burst(ColdFleet f) {
-        f.halfSpeed = 0.25;
-        f.burstAtUs = 2_500_000;
+    private static void burst(ColdFleet fleet) {
+        fleet.halfSpeedShare = 0.25;
+        fleet.burstAfterNewsUs = 2_500_000;
     }
 
-    private static void overloaded(ColdFleet f) {
-        f.load = 4;
-        f.favoured = 1;
+    private static void overloaded(ColdFleet fleet) {
+        fleet.loadShare = 4;
+        fleet.firstInstanceTraffic = 1;
     }
 
     static Stream<Case> cases() {
@@ -77,35 +77,35 @@
                 new Case("zone back", size[0], size[1], 0.5, News.ZONE_BACK, ColdRampTest::halfSpeed)));
     }
 
-    private static void allHalfSpeed(ColdFleet f) {
-        f.halfSpeed = 1;
+    private static void allHalfSpeed(ColdFleet fleet) {
+        fleet.halfSpeedShare = 1;
     }
 
-    private static void allHalfSpeedOverloaded(ColdFleet f) {
-        f.halfSpeed = 1;
-        overloaded(f);
+    private static void allHalfSpeedOverloaded(ColdFleet fleet) {
+        fleet.halfSpeedShare = 1;
+        overloaded(fleet);
     }
 
-    private static void noCount(ColdFleet f) {
-        f.tellsCount = false;
+    private static void noCount(ColdFleet fleet) {
+        fleet.reportsLoad = false;
     }
 
-    private static void noCountHalfSpeed(ColdFleet f) {
-        f.tellsCount = false;
-        f.halfSpeed = 1;
+    private static void noCountHalfSpeed(ColdFleet fleet) {
+        fleet.reportsLoad = false;
+        fleet.halfSpeedShare = 1;
     }
 
-    /** All that are cold work half as fast as thought; nothing but their answers tells. */
+    /** All cold hosts have half the mean speed, which only their answers show. */
     static Stream<Case> casesOfAllAtHalfSpeed() {
         return Stream.of(new int[] {6, 10}, new int[] {20, 20}, new int[] {30, 12}).flatMap(size -> Stream.of(
                 new Case("all cold", size[0], size[1], 1, News.LISTED, ColdRampTest::allHalfSpeed),
-                new Case("errors", size[0], size[1], 1, News.LISTED, f -> {
-                    errors(f);
-                    f.halfSpeed = 1;
+                new Case("errors", size[0], size[1], 1, News.LISTED, fleet -> {
+                    errors(fleet);
+                    fleet.halfSpeedShare = 1;
                 }),
-                new Case("late burst", size[0], size[1], 1, News.LISTED, f -> {
-                    burst(f);
-                    f.halfSpeed = 1;
+                new Case("late burst", size[0], size[1], 1, News.LISTED, fleet -> {
+                    burst(fleet);
+                    fleet.halfSpeedShare = 1;
                 }),
                 new Case("overloaded", size[0], size[1], 1, News.LISTED, ColdRampTest::allHalfSpeedOverloaded),
                 new Case("instances new", size[0], size[1], 1, News.INSTANCES_RESTARTED, ColdRampTest::allHalfSpeed),
@@ -118,57 +118,57 @@
                         ColdRampTest::allHalfSpeedOverloaded)));
     }
 
-    private static ColdFleet play(long seed, Case c) {
-        ColdFleet f = new ColdFleet(seed);
-        f.balancers = c.balancers();
-        f.hosts = c.hosts();
-        c.setup().accept(f);
-        f.begin();
-        f.runUntil(ColdFleet.T0 + BEFORE_US);
-        List<ColdFleet.Host> all = new ArrayList<>(f.all.values());
-        List<ColdFleet.Host> cold = c.news() == News.ZONE_BACK ? all.stream().filter(h -> h.zone == 1).toList()
-                : all.subList(0, Math.max(1, (int) (c.coldShare() * all.size())));
-        if (c.news() == News.ZONE_BACK) {
+    private static ColdFleet play(long seed, Case testCase) {
+        ColdFleet fleet = new ColdFleet(seed);
+        fleet.balancers = testCase.balancers();
+        fleet.hosts = testCase.hosts();
+        testCase.setup().accept(fleet);
+        fleet.begin();
+        fleet.runUntil(ColdFleet.START_US + BEFORE_US);
+        List<ColdFleet.Host> all = new ArrayList<>(fleet.hostsByName.values());
+        List<ColdFleet.Host> cold = testCase.news() == News.ZONE_BACK ? all.stream().filter(h -> h.zone == 1).toList()
+                : all.subList(0, Math.max(1, (int) (testCase.coldShare() * all.size())));
+        if (testCase.news() == News.ZONE_BACK) {
             cold.forEach(h -> h.silent = true);
-            f.runUntil(f.now + 4_000_000);
+            fleet.runUntil(fleet.now + 4_000_000);
         }
-        f.startCold(cold);
-        f.newsAt = f.now;
-        switch (c.news()) {
-            case LISTED -> f.tell(cold);
-            case INSTANCES_RESTARTED -> f.restartInstances();
-            case ZONE_BACK -> f.at(f.now + 3_000_000, () -> f.tell(cold));
+        fleet.startCold(cold);
+        fleet.newsAtUs = fleet.now;
+        switch (testCase.news()) {
+            case LISTED -> fleet.listChanges(cold);
+            case INSTANCES_RESTARTED -> fleet.restartInstances();
+            case ZONE_BACK -> fleet.at(fleet.now + 3_000_000, () -> fleet.listChanges(cold));
         }
-        f.runUntil(f.now + AFTER_US);
-        return f;
+        fleet.runUntil(fleet.now + AFTER_US);
+        return fleet;
     }
 
     @ParameterizedTest
     @MethodSource({"cases", "casesOfAllAtHalfSpeed"})
-    void allInstancesTogetherKeepWithinTheBudget(Case c) {
-        List<String> over = new ArrayList<>();
+    void allInstancesTogetherKeepWithinTheBudget(Case testCase) {
+        List<String> seedsOverBound = new ArrayList<>();
         for (long seed = 1; seed <= SEEDS; seed++) {
-            double worst = play(seed, c).worst();
+            double worst = play(seed, testCase).worstBoundRatio();
             if (worst > 1) {
-                over.add(String.format(Locale.ROOT, "seed %d: %.2f of the bound", seed, worst));
+                seedsOverBound.add(String.format(Locale.ROOT, "seed %d: %.2f of the bound", seed, worst));
             }
         }
-        assertThat(over).isEmpty();
+        assertThat(seedsOverBound).isEmpty();
     }
 
-    /** A cold host works off a third of its budget: less than half of it would leave it idle between requests. */
+    /** A cold host serves a third of its budget: a balancer that uses much less of it leaves the host idle. */
     @Test
-    void aFleetThatIsColdAsAWholeIsStillUsed() {
+    void coldFleetIsUsed() {
         double used = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            used += play(seed, new Case("all cold", 20, 20, 1, News.LISTED, f -> { })).used();
+            used += play(seed, new Case("all cold", 20, 20, 1, News.LISTED, fleet -> { })).usedBudgetShare();
         }
         assertThat(used / SEEDS).isGreaterThan(0.4);
     }
 
-    /** However long nobody wanted the host: what each may send alone does not pile up for the moment when all do. */
+    /** Guards against turns that pile up while no instance sends, and are then used by all at once. */
     @Test
-    void turnsThatNobodyTookLapse() {
+    void unusedTurnsLapse() {
         ColdBudget budget = new ColdBudget(new ColdStart(0.31, 8_800_000, 3, 3_000_000));
         long pause = budget.pauseUs(110_000, 30, 0.31);
         long atOnce = 0;
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void shortPausesLeaveNoTurnToLapse() {
+    void turnsDoNotLapseIfPausesAreShort() {
         ColdBudget budget = new ColdBudget(new ColdStart(0.31, 8_800_000, 3, 3_000_000));
         long pause = budget.pauseUs(110_000, 4, 0.31);
         assertThat(pause).isLessThan(1_500_000);
@@ -192,43 +192,43 @@
         }
     }
 
-    /** With one out of each it holds no more than there are instances, and takes as many more as it works off. */
+    /** With one request of each instance in flight, a host gets one for each instance and one for each it serves. */
     @Test
-    void oneOutOfEachIsBorneByAsManyAsTheBudgetLeavesRoomFor() {
+    void oneRequestInFlightOfEachInstanceIsAllowedWithinTheBudget() {
         ColdBudget budget = new ColdBudget(new ColdStart(0.31, 8_800_000, 3, 3_000_000));
         double calls = 3 * 0.31 * 3_000_000 / 110_000;
         assertThat(budget.bearsOneOfEach(budget.pauseUs(110_000, 0.66 * calls, 0.31))).isTrue();
         assertThat(budget.bearsOneOfEach(budget.pauseUs(110_000, 0.67 * calls, 0.31))).isFalse();
     }
 
-    private static BalanceRig coldAlone(long seed) {
-        BalanceRig rig = anInstance(seed);
+    private static BalanceRig instanceWithOneColdHost(long seed) {
+        BalanceRig rig = newInstance(seed);
         rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, rig.now)));
         return rig;
     }
 
-    private static BalanceRig anInstance(long seed) {
+    private static BalanceRig newInstance(long seed) {
         BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.position = (int) seed;
         setup.balancers = 30;
         return new BalanceRig(setup, seed);
     }
 
-    /** Where a zone answers again its hosts start cold, and the instances must not all turn to them in one moment. */
+    /** Guards against instances that all send to the cold hosts of a zone at once when it answers again. */
     @Test
-    void firstTurnsAtAZoneThatIsBackAreSpread() {
+    void firstTurnsInAZoneThatIsBackAreSpread() {
         int instances = 100;
-        int[] open = new int[20];      // of 100 ms each, in which a pause goes from 6.7 s to 4.3 s
+        int[] open = new int[20];      // turns in each 100 ms; a pause shrinks from 6.7 s to 4.3 s
         for (long seed = 1; seed <= instances; seed++) {
-            BalanceRig rig = anInstance(seed).fleet(1, 2);
+            BalanceRig rig = newInstance(seed).fleet(1, 2);
             for (int i = 0; i < 4; i++) {
                 rig.balance.set.zoneLoss.attemptEnded(1, true);
             }
-            Action asked = rig.request(BalanceRig.RETRYABLE);
-            assertThat(asked.host()).startsWith("b");
-            rig.advance(10_000).outcome(asked, Outcome.OK);
+            Action send = rig.request(BalanceRig.RETRYABLE);
+            assertThat(send.host()).startsWith("b");
+            rig.advance(10_000).outcome(send, Outcome.OK);
             assertThat(rig.balance.set.zoneLoss.isLost(1)).isFalse();
-            Server other = rig.balance.set.servers.get(asked.host().equals("b0") ? "b1" : "b0");
+            Server other = rig.balance.set.servers.get(send.host().equals("b0") ? "b1" : "b0");
             rig.balance.set.answerCount = 2;
             for (int i = 0; i < open.length; i++) {
                 open[i] += other.hasColdTurn(rig.now + i * 100_000, false) ? 1 : 0;
@@ -237,11 +237,11 @@
         assertThat(Arrays.stream(open).max().orElseThrow()).isBetween(1, instances * 3 / 10);
     }
 
-    /** A list that was written before the zone came back, or does not know of it, took its hosts for warm again. */
+    /** Guards against a list with older start times that makes the hosts of a zone that is back count as warm. */
     @ParameterizedTest
     @EnumSource(value = ListKind.class, names = {"DELTA", "FULL"})
-    void anOlderListMakesNoHostWarmer(ListKind kind) {
-        BalanceRig rig = anInstance(1).fleet(1, 2);
+    void listWithOlderStartTimesMakesNoHostWarmer(ListKind kind) {
+        BalanceRig rig = newInstance(1).fleet(1, 2);
         for (int i = 0; i < 4; i++) {
             rig.balance.set.zoneLoss.attemptEnded(1, true);
         }
@@ -254,18 +254,18 @@
             rig.balance.fleet(rig.now, kind,
                     List.of(BalanceRig.host("a0", 0), BalanceRig.host("b1", 1, HostState.READY, told)));
             assertThat(host.startedUs).isEqualTo(back);
-            assertThat(host.coldTurnsFrom).as("a turn is not begun anew").isEqualTo(turnsFrom);
+            assertThat(host.coldTurnsFrom).as("turns are not restarted").isEqualTo(turnsFrom);
         }
         rig.balance.fleet(rig.now, kind,
                 List.of(BalanceRig.host("a0", 0), BalanceRig.host("b1", 1, HostState.READY, rig.now)));
         assertThat(host.startedUs).as("a later start counts").isEqualTo(rig.now);
     }
 
-    /** With the pace a guess, all pauses are half as long again. */
+    /** While the pace is a guess, pauses are longer by half. */
     @ParameterizedTest
     @CsvSource({"1, 1.5", "2, 1"})
-    void aColdHostThatDidNotServeMissesATurn(int answers, double wary) {
-        BalanceRig rig = coldAlone(1);
+    void coldHostThatDidNotServeMissesATurn(int answers, double wary) {
+        BalanceRig rig = instanceWithOneColdHost(1);
         rig.balance.set.answerCount = answers;
         Action send = rig.request(BalanceRig.RETRYABLE);
         while (send.host() == null) {
@@ -282,9 +282,9 @@
         assertThat(rig.now - sentAt).isBetween(2 * pause - 10_000, 2 * pause + 20_000);
     }
 
-    /** A host's last answer may be from before it started: that says nothing of what it bears now. */
+    /** Guards against taking an answer from before the host's start for proof of what it can serve now. */
     @Test
-    void anAnswerToWhatWasSentBeforeTheStartOpensNoTurn() {
+    void answerFromBeforeTheStartGivesNoTurn() {
         BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.balancers = 2;
         BalanceRig rig = new BalanceRig(setup, 1);
@@ -294,13 +294,13 @@
         host.lastAnswerAt = rig.advance(1_000).now;
         assertThat(host.hasColdTurn(rig.now, true)).isFalse();
         host.coldTurnPhase = 0;
-        assertThat(host.hasColdTurn(rig.now, true)).as("an answer to a send since the start does").isTrue();
+        assertThat(host.hasColdTurn(rig.now, true)).as("an answer to a send since the start gives a turn").isTrue();
     }
 
-    /** Where answers tell no count the pace stays a guess, and cold hosts got nothing while any other was usable. */
+    /** Guards against cold hosts that get nothing where reports tell no load, as the pace stays a guess. */
     @Test
-    void coldHostsHaveTheirTurnsWhereNoCountIsTold() {
-        BalanceRig rig = anInstance(1);
+    void coldHostsHaveTurnsWithoutReportedLoad() {
+        BalanceRig rig = newInstance(1);
         rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, 0),
                 BalanceRig.host("a1", 0, HostState.READY, rig.now)));
         rig.advance(10_000).outcome(rig.request(BalanceRig.RETRYABLE), 0, Outcome.OK,
@@ -312,10 +312,10 @@
         assertThat(turns).isPositive();
     }
 
-    /** The first guess at what a request takes may be far off: a cold host gets nothing on it while others serve. */
+    /** Before the first answer the pace is a guess, which may be far off: a cold host gets nothing on it. */
     @Test
-    void nothingGoesToAColdHostBeforeTheFirstAnswer() {
-        BalanceRig rig = anInstance(1);
+    void coldHostGetsNothingBeforeTheFirstAnswer() {
+        BalanceRig rig = newInstance(1);
         rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, 0),
                 BalanceRig.host("a1", 0, HostState.READY, rig.now)));
         Server cold = rig.balance.set.servers.get("a1");
@@ -331,13 +331,13 @@
         assertThat(turns).isPositive();
     }
 
-    /** Each new process has a host's first turn at a moment of its own, also when the first list names the start. */
+    /** New instances have their first turns at different times, even if their first list names the start. */
     @Test
-    void firstTurnsAfterTheFleetsOwnRestartAreSpread() {
+    void firstTurnsAfterARestartOfAllInstancesAreSpread() {
         int seeds = 100;
         int sent = 0;
         for (long seed = 1; seed <= seeds; seed++) {
-            BalanceRig rig = coldAlone(seed);
+            BalanceRig rig = instanceWithOneColdHost(seed);
             for (int i = 0; i < 30; i++) {
                 sent += rig.advance(10_000).request(BalanceRig.RETRYABLE).host() == null ? 0 : 1;
             }
