--- a/core/src/test/java/dapplequay/ColdFleet.java
+++ b/core/src/test/java/dapplequay/ColdFleet.java
@@ -52,7 +52,7 @@
     double zone0Share = 0.5;
     /** Offered load as a share of what all hosts can serve when warm. */
     double loadShare = 1.3;
-    /** Traffic of the first instance, in multiples of the mean traffic of another one. */
+    /** Weight of the traffic of the first instance; that of another one is 1.3 on average. */
     int firstInstanceTraffic = 8;
     /** The full load begins this long after the news of the cold hosts, a twentieth of it before; -1: at once. */
     long burstAfterNewsUs = -1;
--- a/core/src/test/java/dapplequay/membership/ListCallTimingReturnTest.java
+++ b/core/src/test/java/dapplequay/membership/ListCallTimingReturnTest.java
@@ -15,23 +15,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The clock of the list against the operators' word on calls that failed: a change counts 6 s after discovery had it
- * and could be reached. Over all short runs of failures, and for a fleet that one discovery has to serve.
+ * {@link ListCallTiming} against the operators' rule on calls that failed: a change counts as told 6 s after discovery
+ * had it and could be reached. Played for all short runs of failures, and for a fleet that one discovery has to serve.
  */
 class ListCallTimingReturnTest {
-    private static final long S = 1_000_000;
-    private static final long COUNTS_US = 6 * S;
-    /** Kept free for taking it over. */
-    private static final long ROOM_US = 3 * S / 10;
-    private static final int DEPTH = 5;
-    private static final int MORE = 8;
+    private static final long SECOND_US = 1_000_000;
+    private static final long TOLD_US = 6 * SECOND_US;
+    /** The time that is kept free to apply the list. */
+    private static final long APPLY_US = 3 * SECOND_US / 10;
+    private static final int RUN_LENGTH = 5;
+    private static final int FURTHER_CALLS = 8;
 
-    /** What becomes of a call. NO_CONNECT: given up before its limit; LATE: an end just before the limit. */
+    /** How a call ends. NO_CONNECT: it is given up before its limit; LATE: it fails just before its limit. */
     private enum Fate { SILENT, NO_CONNECT, REFUSED, LATE, UNREADABLE, ANSWERED }
 
     private record Call(long beganUs, long waitUs, long limitUs, long endUs, Fate fate) {
-        /** Discovery may have come back as early as this, and the call failed all the same. */
-        long backUs() {
+        /** Returns the earliest time at which discovery may have come back although the call failed. */
+        long earliestReturnUs() {
             return waitUs > 1 ? endUs : beganUs;
         }
     }
@@ -40,44 +40,48 @@
         return new Discovery(askWithinUs > 0, askWithinUs, 250_000);
     }
 
-    /** What fleets are set to whose sidecars all ask one discovery: a grace in which more than one call fits. */
-    private static final Discovery FLEET = new Discovery(true, 10 * S, 2_500_000);
+    /** Settings of a fleet whose sidecars all ask one discovery: more than one call fits into the grace. */
+    private static final Discovery FLEET = new Discovery(true, 10 * SECOND_US, 2_500_000);
 
-    /** The calls of one instance, with one fate after the other and then silence; {@code moved}: at a new address. */
+    /**
+     * Returns the calls of one instance that end as given, and then stay silent.
+     *
+     * @param moved true if the first call is to a new address
+     */
     private static List<Call> play(Discovery discovery, List<Fate> fates, boolean moved) {
         SplittableRandom random = new SplittableRandom(fates.hashCode());
-        ListCallTiming clock = new ListCallTiming(() -> discovery, random);
-        ListCallBackoff pace = new ListCallBackoff(discovery, 0, random);
+        ListCallTiming timing = new ListCallTiming(() -> discovery, random);
+        ListCallBackoff backoff = new ListCallBackoff(discovery, 0, random);
         if (moved) {
-            clock.addressChanged();
+            timing.addressChanged();
         }
         List<Call> calls = new ArrayList<>();
-        long now = 100 * S;
-        boolean all = moved;
-        for (int i = 0; i < fates.size() + MORE; i++) {
+        long now = 100 * SECOND_US;
+        boolean whole = moved;
+        for (int i = 0; i < fates.size() + FURTHER_CALLS; i++) {
             Fate fate = i < fates.size() ? fates.get(i) : Fate.SILENT;
             long beganUs = now;
-            long waitUs = clock.callBegins(now, all);
-            long limitUs = clock.callLimitUs();
+            long waitUs = timing.callBegins(now, whole);
+            long limitUs = timing.callLimitUs();
             now = switch (fate) {
                 case SILENT -> limitUs;
-                case NO_CONNECT -> Math.min(limitUs, beganUs + S);
+                case NO_CONNECT -> Math.min(limitUs, beganUs + SECOND_US);
                 case LATE -> limitUs - 1;
-                default -> beganUs + Math.min(S / 100, (limitUs - beganUs) / 2);
+                default -> beganUs + Math.min(SECOND_US / 100, (limitUs - beganUs) / 2);
             };
             calls.add(new Call(beganUs, waitUs, limitUs, now, fate));
-            long paceUs = discovery.onRequest() ? Long.MAX_VALUE : pace.failedUs();
+            long pauseUs = discovery.onRequest() ? Long.MAX_VALUE : backoff.failedUs();
             if (fate == Fate.ANSWERED) {
-                clock.callSucceeded();
-                pace.answered();
-                all = false;
-                paceUs = 0;
+                timing.callSucceeded();
+                backoff.answered();
+                whole = false;
+                pauseUs = 0;
             } else if (fate == Fate.SILENT || fate == Fate.NO_CONNECT) {
-                paceUs = clock.callWasSilent() ? 0 : paceUs;
+                pauseUs = timing.callWasSilent() ? 0 : pauseUs;
             } else {
-                clock.callFailed(now, fate == Fate.UNREADABLE);
+                timing.callFailed(now, fate == Fate.UNREADABLE);
             }
-            now += Math.min(paceUs, clock.longestPauseUs(now));
+            now += Math.min(pauseUs, timing.longestPauseUs(now));
         }
         return calls;
     }
@@ -85,9 +89,9 @@
     private static List<List<Fate>> allOrders() {
         List<List<Fate>> orders = new ArrayList<>();
         int kinds = Fate.values().length;
-        for (int number = 0; number < Math.pow(kinds, DEPTH); number++) {
+        for (int number = 0; number < Math.pow(kinds, RUN_LENGTH); number++) {
             List<Fate> fates = new ArrayList<>();
-            for (int rest = number, i = 0; i < DEPTH; i++, rest /= kinds) {
+            for (int rest = number, i = 0; i < RUN_LENGTH; i++, rest /= kinds) {
                 fates.add(Fate.values()[rest % kinds]);
             }
             orders.add(fates);
@@ -95,55 +99,55 @@
         return orders;
     }
 
-    /** The longest from a return to the end of a call that began after it and had its time, over one run of calls. */
-    private static long worstUs(List<Call> calls, long callUs, int first, int last) {
-        long worst = 0;
+    /** Returns the longest time from a return of discovery to the end of a later call that had {@code callUs}. */
+    private static long longestReturnUs(List<Call> calls, long callUs, int first, int last) {
+        long longestUs = 0;
         for (int i = first; i < last; i++) {
             if (calls.get(i).fate() == Fate.ANSWERED) {
                 continue;
             }
             for (int j = i + 1; j < calls.size() && calls.get(j).fate() != Fate.ANSWERED; j++) {
                 if (calls.get(j).limitUs() - calls.get(j).beganUs() >= callUs) {
-                    worst = Math.max(worst, calls.get(j).beganUs() + callUs - calls.get(i).backUs());
+                    longestUs = Math.max(longestUs, calls.get(j).beganUs() + callUs - calls.get(i).earliestReturnUs());
                     break;
                 }
-                assertThat(j).as("some call has its time: %s", calls).isLessThan(calls.size() - 1);
+                assertThat(j).as("a call has its full time: %s", calls).isLessThan(calls.size() - 1);
             }
         }
-        return worst;
+        return longestUs;
     }
 
-    /** The call that a return left hanging, the pause, and the next one with its connect and its answer. */
+    /** Covers the call that a return left hanging, the pause, and the next call with its connect and its answer. */
     @ParameterizedTest
-    @ValueSource(longs = {0, 3 * S, 10 * S, 60 * S})
-    void fromAnyMomentOnACallIsWholeWithinTheBound(long askWithinUs) {
+    @ValueSource(longs = {0, 3 * SECOND_US, 10 * SECOND_US, 60 * SECOND_US})
+    void afterAReturnAtAnyTimeACallIsAnsweredWithinTheBound(long askWithinUs) {
         Discovery discovery = discovery(askWithinUs);
         long callUs = discovery.onRequest() ? ListCallTiming.MIN_CALL_US : ListCallTiming.MISSED_TOLD_US / 6;
-        long worst = 0;
+        long longestUs = 0;
         for (List<Fate> fates : allOrders()) {
-            worst = Math.max(worst, worstUs(play(discovery, fates, false), callUs, 0, DEPTH));
+            longestUs = Math.max(longestUs, longestReturnUs(play(discovery, fates, false), callUs, 0, RUN_LENGTH));
         }
-        assertThat(worst).isBetween(S, COUNTS_US - ROOM_US);
+        assertThat(longestUs).isBetween(SECOND_US, TOLD_US - APPLY_US);
     }
 
-    /** Whatever becomes of the first call to a new address: a second one is whole before what it has counts. */
+    /** However the first call to a new address ends, a second one is answered before changes there count as told. */
     @ParameterizedTest
-    @ValueSource(longs = {0, 10 * S})
-    void aNewAddressIsAskedTwiceBeforeWhatItHasCounts(long askWithinUs) {
+    @ValueSource(longs = {0, 10 * SECOND_US})
+    void newAddressIsCalledTwiceBeforeItsChangesCountAsTold(long askWithinUs) {
         Discovery discovery = discovery(askWithinUs);
         for (List<Fate> fates : allOrders()) {
             long callUs = discovery.onRequest() ? ListCallTiming.NEW_ADDRESS_CALL_US
                     : ListCallTiming.MISSED_TOLD_US / 6;
-            assertThat(worstUs(play(discovery, fates, true), callUs, 0, 1)).as("%s", fates)
-                    .isLessThan(ListCallTiming.NEW_ADDRESS_TOLD_US - S / 10);
+            assertThat(longestReturnUs(play(discovery, fates, true), callUs, 0, 1)).as("%s", fates)
+                    .isLessThan(ListCallTiming.NEW_ADDRESS_TOLD_US - SECOND_US / 10);
         }
     }
 
-    /** Until one succeeds no call waits, as one that may wait can't be told from one that hangs. */
+    /** A call that may wait can't be told from one that hangs. */
     @Test
-    void noCallWaitsUntilOneHasSucceeded() {
+    void afterAFailureNoCallWaitsUntilOneSucceeds() {
         for (List<Fate> fates : allOrders()) {
-            List<Call> calls = play(discovery(10 * S), fates, false);
+            List<Call> calls = play(discovery(10 * SECOND_US), fates, false);
             for (int i = 1; i < calls.size(); i++) {
                 assertThat(calls.get(i).waitUs() > 1).as("call %s of %s", i, calls)
                         .isEqualTo(calls.get(i - 1).fate() == Fate.ANSWERED);
@@ -152,171 +156,174 @@
     }
 
     @Test
-    void doubtHasWhatFailuresLeaveOfTheGrace() {
-        ListCallTiming clock = new ListCallTiming(() -> discovery(10 * S), new SplittableRandom(1));
-        clock.callBegins(0, false);
-        clock.callFailed(S, false);
-        clock.callBegins(2 * S, false);
-        clock.callFailed(20 * S, false);
-        assertThat(clock.graceLeftUs(25 * S)).as("not there until 20 s").isEqualTo(250_000);
-        clock.callFailed(21 * S, true);
-        clock.callFailed(30 * S, true);
-        assertThat(clock.graceLeftUs(26 * S + 100_000)).as("there, and not understood").isEqualTo(150_000);
-        clock.callSucceeded();
-        assertThat(clock.graceLeftUs(60 * S)).isEqualTo(250_000);
+    void graceLeftShrinksWithTheTimeSinceAFailedCallCounts() {
+        ListCallTiming timing = new ListCallTiming(() -> discovery(10 * SECOND_US), new SplittableRandom(1));
+        timing.callBegins(0, false);
+        timing.callFailed(SECOND_US, false);
+        timing.callBegins(2 * SECOND_US, false);
+        timing.callFailed(20 * SECOND_US, false);
+        assertThat(timing.graceLeftUs(25 * SECOND_US)).as("discovery could not be reached until 20 s")
+                .isEqualTo(250_000);
+        timing.callFailed(21 * SECOND_US, true);
+        timing.callFailed(30 * SECOND_US, true);
+        assertThat(timing.graceLeftUs(26 * SECOND_US + 100_000))
+                .as("discovery was reached, but its answers could not be used").isEqualTo(150_000);
+        timing.callSucceeded();
+        assertThat(timing.graceLeftUs(60 * SECOND_US)).isEqualTo(250_000);
     }
 
     /**
-     * One discovery that works through its calls in turn, drops what has waited for 3 s, and does not notice who has
-     * hung up. All watches were reset at one moment and refused for a while; then it is back.
+     * One discovery that serves its calls in turn, drops those that have waited for 3 s, and does not notice callers
+     * that have hung up. All watches were reset at the same time and calls were refused for a while; then it is back.
      */
-    private static final class Queue {
-        private static final long PATIENCE_US = 3 * S;
-        private static final long BACK_US = 8 * S;
+    private static final class QueueingDiscovery {
+        private static final long MAX_QUEUE_US = 3 * SECOND_US;
+        private static final long RETURN_US = 8 * SECOND_US;
         private final List<Sidecar> sidecars = new ArrayList<>();
         private final Deque<Waiting> waiting = new ArrayDeque<>();
         private final long workUs;
-        private int worked;
-        private int inVain;
-        private long heardUs;
+        private int servedCalls;
+        private int wastedCalls;
+        private long lastAnswerUs;
 
         private static final class Sidecar {
-            private ListCallTiming clock;
+            private ListCallTiming timing;
             private long nextUs;
-            private boolean calls;
-            private boolean heard;
-            private boolean watches;
+            private boolean isCalling;
+            private boolean wasAnswered;
+            private boolean isWatching;
             private long beganUs;
         }
 
-        private record Waiting(Sidecar who, long beganUs) {
-            boolean isThere() {
-                return who.calls && who.beganUs == beganUs;
+        private record Waiting(Sidecar caller, long beganUs) {
+            boolean isStillWaiting() {
+                return caller.isCalling && caller.beganUs == beganUs;
             }
         }
 
-        Queue(int fleet, double callsPerS) {
-            workUs = (long) (S / callsPerS);
-            for (int i = 0; i < fleet; i++) {
-                Sidecar one = new Sidecar();
-                one.clock = new ListCallTiming(() -> FLEET, new SplittableRandom(i));
-                one.clock.callBegins(0, false);
-                one.clock.callFailed(1, false);
-                one.nextUs = 1 + one.clock.longestPauseUs(1);
-                sidecars.add(one);
+        QueueingDiscovery(int sidecarCount, double callsPerS) {
+            workUs = (long) (SECOND_US / callsPerS);
+            for (int i = 0; i < sidecarCount; i++) {
+                Sidecar sidecar = new Sidecar();
+                sidecar.timing = new ListCallTiming(() -> FLEET, new SplittableRandom(i));
+                sidecar.timing.callBegins(0, false);
+                sidecar.timing.callFailed(1, false);
+                sidecar.nextUs = 1 + sidecar.timing.longestPauseUs(1);
+                sidecars.add(sidecar);
             }
         }
 
-        /** Runs until all have been heard and watch again. */
+        /** Runs until all sidecars have been answered and watch again. */
         void play() {
-            long freeUs = BACK_US;
-            for (long now = 0; sidecars.stream().anyMatch(one -> !one.watches); now += S / 1_000) {
-                assertThat(now).as("all watch again").isLessThan(120 * S);
-                for (Sidecar one : sidecars) {
-                    turn(one, now);
+            long freeUs = RETURN_US;
+            for (long now = 0; sidecars.stream().anyMatch(sidecar -> !sidecar.isWatching); now += SECOND_US / 1_000) {
+                assertThat(now).as("time until all watch again").isLessThan(120 * SECOND_US);
+                for (Sidecar sidecar : sidecars) {
+                    advance(sidecar, now);
                 }
                 while (freeUs <= now && !waiting.isEmpty()) {
                     Waiting call = waiting.poll();
-                    if (now - call.beganUs() > PATIENCE_US) {
-                        continue;       // its 503 costs nothing
+                    if (now - call.beganUs() > MAX_QUEUE_US) {
+                        continue;       // dropped with a 503 that costs no work
                     }
                     freeUs = now + workUs;
-                    worked++;
-                    if (call.isThere()) {
-                        answered(call.who(), freeUs);
+                    servedCalls++;
+                    if (call.isStillWaiting()) {
+                        answered(call.caller(), freeUs);
                     } else {
-                        inVain++;
+                        wastedCalls++;
                     }
                 }
             }
         }
 
-        private void turn(Sidecar one, long now) {
-            if (one.calls && now >= one.clock.callLimitUs()) {
-                one.calls = false;
-                one.nextUs = one.clock.callWasSilent() ? now : now + one.clock.longestPauseUs(now);
-            } else if (one.calls && now - one.beganUs > PATIENCE_US) {
-                one.calls = false;
-                one.clock.callFailed(now, false);
-                one.nextUs = now + one.clock.longestPauseUs(now);
-            } else if (!one.calls && !one.watches && now >= one.nextUs) {
-                one.beganUs = now;
-                one.clock.callBegins(now, false);
-                if (now < BACK_US) {
-                    one.clock.callFailed(now, false);
-                    one.nextUs = now + one.clock.longestPauseUs(now);
+        private void advance(Sidecar sidecar, long now) {
+            if (sidecar.isCalling && now >= sidecar.timing.callLimitUs()) {
+                sidecar.isCalling = false;
+                sidecar.nextUs = sidecar.timing.callWasSilent() ? now : now + sidecar.timing.longestPauseUs(now);
+            } else if (sidecar.isCalling && now - sidecar.beganUs > MAX_QUEUE_US) {
+                sidecar.isCalling = false;
+                sidecar.timing.callFailed(now, false);
+                sidecar.nextUs = now + sidecar.timing.longestPauseUs(now);
+            } else if (!sidecar.isCalling && !sidecar.isWatching && now >= sidecar.nextUs) {
+                sidecar.beganUs = now;
+                sidecar.timing.callBegins(now, false);
+                if (now < RETURN_US) {
+                    sidecar.timing.callFailed(now, false);
+                    sidecar.nextUs = now + sidecar.timing.longestPauseUs(now);
                 } else {
-                    one.calls = true;
-                    waiting.add(new Waiting(one, now));
+                    sidecar.isCalling = true;
+                    waiting.add(new Waiting(sidecar, now));
                 }
             }
         }
 
-        private void answered(Sidecar one, long now) {
-            one.calls = false;
-            one.nextUs = one.clock.watchFromUs(now);
-            one.clock.callSucceeded();
-            one.watches = one.heard;
-            if (!one.heard) {
-                one.heard = true;
-                heardUs = Math.max(heardUs, now - BACK_US);
+        private void answered(Sidecar sidecar, long now) {
+            sidecar.isCalling = false;
+            sidecar.nextUs = sidecar.timing.watchFromUs(now);
+            sidecar.timing.callSucceeded();
+            sidecar.isWatching = sidecar.wasAnswered;
+            if (!sidecar.wasAnswered) {
+                sidecar.wasAnswered = true;
+                lastAnswerUs = Math.max(lastAnswerUs, now - RETURN_US);
             }
         }
     }
 
     /**
-     * Each comes back with two calls, what there is and a watch. A fleet that discovery can answer once in 6 s is
-     * answered then; of a larger one it goes on with as many a second as it can, and with none in vain.
+     * Each sidecar comes back with two calls, one for the present list and a watch. A fleet that discovery can answer
+     * once in 6 s is answered in that time; a larger one at the rate that discovery can serve, with no wasted call.
      */
     @ParameterizedTest
     @CsvSource({"6, 4, 4", "6, 6, 4", "30, 4, 12", "30, 6, 6", "100, 4, 50", "100, 6, 34"})
-    void aFleetThatComesBackIsNoStampede(int fleet, double callsPerS, long withinS) {
-        Queue queue = new Queue(fleet, callsPerS);
-        queue.play();
-        assertThat(queue.heardUs).isLessThanOrEqualTo(withinS * S);
-        assertThat(queue.worked).isEqualTo(2 * fleet);
-        assertThat(queue.inVain).isZero();
+    void fleetThatCallsAgainDoesNotOverloadDiscovery(int sidecarCount, double callsPerS, long withinS) {
+        QueueingDiscovery discovery = new QueueingDiscovery(sidecarCount, callsPerS);
+        discovery.play();
+        assertThat(discovery.lastAnswerUs).isLessThanOrEqualTo(withinS * SECOND_US);
+        assertThat(discovery.servedCalls).isEqualTo(2 * sidecarCount);
+        assertThat(discovery.wastedCalls).isZero();
     }
 
     @Test
-    void theWatchAfterAFailureWaitsOnlyWhereOthersQueue() {
-        ListCallTiming clock = new ListCallTiming(() -> FLEET, new SplittableRandom(1));
-        clock.callBegins(0, false);
-        assertThat(clock.watchFromUs(5 * S)).as("no failure came before").isEqualTo(5 * S);
-        clock.callFailed(5 * S, false);
-        clock.callBegins(6 * S, false);
-        assertThat(clock.watchFromUs(6 * S + S / 4)).isEqualTo(6 * S + S / 4);
-        assertThat(clock.watchFromUs(8 * S)).isEqualTo(6 * S + ListCallTiming.RETRY_WITHIN_US);
+    void watchAfterAFailureIsDelayedOnlyIfOthersQueue() {
+        ListCallTiming timing = new ListCallTiming(() -> FLEET, new SplittableRandom(1));
+        timing.callBegins(0, false);
+        assertThat(timing.watchFromUs(5 * SECOND_US)).as("no failure before").isEqualTo(5 * SECOND_US);
+        timing.callFailed(5 * SECOND_US, false);
+        timing.callBegins(6 * SECOND_US, false);
+        assertThat(timing.watchFromUs(6 * SECOND_US + SECOND_US / 4)).isEqualTo(6 * SECOND_US + SECOND_US / 4);
+        assertThat(timing.watchFromUs(8 * SECOND_US)).isEqualTo(6 * SECOND_US + ListCallTiming.RETRY_WITHIN_US);
     }
 
-    /** A drain that discovery had just after the answer was met 2.7 s later, at a grace of 2.5 s. */
+    /** Guards against learning of a drain 2.7 s after discovery had it, just after an answer, at a grace of 2.5 s. */
     @ParameterizedTest
     @CsvSource({"510, 2500", "550, 2500", "750, 2500", "1000, 2500", "2350, 2500", "550, 700", "2000, 250"})
-    void theWatchAfterAFailureLeavesTheGraceItsCall(long answeredMs, long graceMs) {
-        ListCallTiming clock = new ListCallTiming(() -> new Discovery(true, 10 * S, graceMs * 1_000),
+    void pauseBeforeTheWatchAfterAFailureLeavesTimeForItsCall(long answeredMs, long graceMs) {
+        ListCallTiming timing = new ListCallTiming(() -> new Discovery(true, 10 * SECOND_US, graceMs * 1_000),
                 new SplittableRandom(1));
-        clock.callBegins(0, false);
-        clock.callFailed(5 * S, false);
-        clock.callBegins(6 * S, false);
-        long answeredUs = 6 * S + answeredMs * 1_000;
-        long pauseUs = clock.watchFromUs(answeredUs) - answeredUs;
-        assertThat(pauseUs).isBetween(0L, Math.max(0, graceMs * 1_000 - S / 2 - 150_000));
+        timing.callBegins(0, false);
+        timing.callFailed(5 * SECOND_US, false);
+        timing.callBegins(6 * SECOND_US, false);
+        long answeredUs = 6 * SECOND_US + answeredMs * 1_000;
+        long pauseUs = timing.watchFromUs(answeredUs) - answeredUs;
+        assertThat(pauseUs).isBetween(0L, Math.max(0, graceMs * 1_000 - SECOND_US / 2 - 150_000));
     }
 
-    /** One event resets all watches: the next calls are spread over all of the time that there is. */
+    /** After one event that resets all watches, the next calls are spread over the whole interval. */
     @Test
-    void watchesThatWereResetTogetherDoNotComeBackTogether() {
+    void callsAfterACommonResetAreSpread() {
         List<Long> pauses = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            ListCallTiming clock = new ListCallTiming(() -> discovery(10 * S), new SplittableRandom(i));
-            clock.callBegins(0, false);
-            clock.callFailed(S, false);
-            pauses.add(clock.longestPauseUs(S));
+            ListCallTiming timing = new ListCallTiming(() -> discovery(10 * SECOND_US), new SplittableRandom(i));
+            timing.callBegins(0, false);
+            timing.callFailed(SECOND_US, false);
+            pauses.add(timing.longestPauseUs(SECOND_US));
         }
         Collections.sort(pauses);
         assertThat(pauses.get(99)).isLessThanOrEqualTo(ListCallTiming.RETRY_WITHIN_US);
         for (int i = 0; i + 20 < 100; i++) {
-            assertThat(pauses.get(i + 20) - pauses.get(i)).as("twenty of a hundred").isGreaterThan(S / 4);
+            assertThat(pauses.get(i + 20) - pauses.get(i)).as("interval of twenty calls of a hundred")
+                    .isGreaterThan(SECOND_US / 4);
         }
     }
 }
