--- a/core/src/test/java/dapplequay/RulesTest.java
+++ b/core/src/test/java/dapplequay/RulesTest.java
@@ -240,7 +240,7 @@
         }
     }
 
-    /** The first attempt's zone and cell count, even if the list has moved or restarted its host since. */
+    /** A repeat stays in the first attempt's zone or cell, even if the list has moved or restarted its host since. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void repeatOfDedupRequestStaysWhereTheFirstAttemptWent(boolean isRestarted) {
