--- a/core/src/test/java/dapplequay/BalanceRig.java
+++ b/core/src/test/java/dapplequay/BalanceRig.java
@@ -79,7 +79,7 @@
 
     final List<Action> actions = new ArrayList<>();
     final List<String> logLines = new ArrayList<>();
-    final Balance balance;
+    final Balance module;
     long now = 1_000_000_000L;
     /** The time before which the first byte of the last send must go out. */
     long lastSendBeginBy;
@@ -94,7 +94,7 @@
     }
 
     BalanceRig(Setup setup, long seed) {
-        balance = new Balance(setup.settings(), seed, this);
+        module = new Balance(setup.settings(), seed, this);
     }
 
     static FleetEntry host(String name, int zone) {
@@ -114,12 +114,12 @@
         for (int i = 0; i < foreign; i++) {
             entries.add(host("b" + i, 1));
         }
-        balance.fleet(now, ListKind.RESTORED, entries);
+        module.fleet(now, ListKind.RESTORED, entries);
         return this;
     }
 
     void delta(FleetEntry... entries) {
-        balance.fleet(now, ListKind.DELTA, List.of(entries));
+        module.fleet(now, ListKind.DELTA, List.of(entries));
     }
 
     BalanceRig advance(long us) {
@@ -146,14 +146,14 @@
 
     private Action request(int serviceClass, long leftUs, int tenant, String key) {
         int before = actions.size();
-        balance.request(now, new Request(nextId++, serviceClass, tenant, key, leftUs, 0, false));
+        module.request(now, new Request(nextId++, serviceClass, tenant, key, leftUs, 0, false));
         return actions.size() == before ? null : actions.get(before);
     }
 
     /** Reports the outcome of a send and returns the first action that follows; null if there is none. */
     Action outcome(Action send, int attempt, Outcome outcome, LoadReport report) {
         int before = actions.size();
-        balance.outcome(now, send.id(), attempt, send.host(), outcome, 10_000, outcome == Outcome.OK, report);
+        module.outcome(now, send.id(), attempt, send.host(), outcome, 10_000, outcome == Outcome.OK, report);
         return actions.size() == before ? null : actions.get(before);
     }
 
--- a/core/src/test/java/dapplequay/ColdFleet.java
+++ b/core/src/test/java/dapplequay/ColdFleet.java
@@ -151,7 +151,7 @@
     }
 
     final class Instance implements BalancerApi.Actions {
-        private final Balance balance;
+        private final Balance module;
         private final Map<Long, ClientRequest> pendingRequests = new HashMap<>();
         private boolean ended;
 
@@ -161,7 +161,7 @@
             for (int z = 0; z < zones; z++) {
                 names.add("zone" + z);
             }
-            balance = new Balance(new Settings(position, balancers, zone, names,
+            module = new Balance(new Settings(position, balancers, zone, names,
                     List.of(new ServiceClass("order", aimUs, 0, deadlineUs, 0.25, 1, Semantics.RETRYABLE, Group.ALL,
                             4_000_000, false)), List.of(), 0, new Discovery(true, 10_000_000, 2_500_000),
                     new Limits(3, true, true, false, false, 2_000_000), cold, new Prices(0.03, 0.04, 0.05, 0.01, 0.02),
@@ -173,7 +173,7 @@
         }
 
         void list(ListKind kind, List<FleetEntry> entries) {
-            balance.fleet(now, kind, entries);
+            module.fleet(now, kind, entries);
         }
 
         void request(int retriesLeft) {
@@ -183,7 +183,7 @@
             long id = nextId++;
             requestCount++;
             pendingRequests.put(id, new ClientRequest(retriesLeft));
-            balance.request(now, new Request(id, 0, -1, null, deadlineUs, 0, false));
+            module.request(now, new Request(id, 0, -1, null, deadlineUs, 0, false));
         }
 
         @Override
@@ -196,7 +196,7 @@
             clientRequest.sentAt = now;
             boolean full = host.inFlight >= MAX_IN_FLIGHT;
             // Counts only sends of instances that know of the start: the others can't limit themselves.
-            Server knownServer = balance.set.servers.get(name);
+            Server knownServer = module.set.servers.get(name);
             long answer = host.handleCall(host.startedUs > 0 && host.warmth(now) < 1 && knownServer.warmth(now) < 1);
             double errors = host.startedUs > 0 ? coldErrorShare : now >= newsAtUs ? warmErrorShare : 0;
             boolean error = errors > 0 && random.nextDouble() < errors;
@@ -222,7 +222,7 @@
                 servedCount++;
             }
             boolean hasReport = served || outcome == Outcome.REFUSED || outcome == Outcome.ERROR;
-            balance.outcome(now, id, attempt, host.name, outcome, now - clientRequest.sentAt, served,
+            module.outcome(now, id, attempt, host.name, outcome, now - clientRequest.sentAt, served,
                     hasReport ? host.report() : null);
         }
 
@@ -254,7 +254,7 @@
         public void setTimer(long afterUs, long token) {
             at(now + afterUs, () -> {
                 if (!ended) {
-                    balance.timerFired(now, token);
+                    module.timerFired(now, token);
                 }
             });
         }
--- a/core/src/test/java/dapplequay/ColdRampTest.java
+++ b/core/src/test/java/dapplequay/ColdRampTest.java
@@ -203,7 +203,7 @@
 
     private static BalanceRig instanceWithOneColdHost(long seed) {
         BalanceRig rig = newInstance(seed);
-        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, rig.now)));
+        rig.module.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, rig.now)));
         return rig;
     }
 
@@ -222,14 +222,14 @@
         for (long seed = 1; seed <= instances; seed++) {
             BalanceRig rig = newInstance(seed).fleet(1, 2);
             for (int i = 0; i < 4; i++) {
-                rig.balance.set.zoneLoss.attemptEnded(1, true);
+                rig.module.set.zoneLoss.attemptEnded(1, true);
             }
             Action send = rig.request(BalanceRig.RETRYABLE);
             assertThat(send.host()).startsWith("b");
             rig.advance(10_000).outcome(send, Outcome.OK);
-            assertThat(rig.balance.set.zoneLoss.isLost(1)).isFalse();
-            Server other = rig.balance.set.servers.get(send.host().equals("b0") ? "b1" : "b0");
-            rig.balance.set.answerCount = 2;
+            assertThat(rig.module.set.zoneLoss.isLost(1)).isFalse();
+            Server other = rig.module.set.servers.get(send.host().equals("b0") ? "b1" : "b0");
+            rig.module.set.answerCount = 2;
             for (int i = 0; i < open.length; i++) {
                 open[i] += other.hasColdTurn(rig.now + i * 100_000, false) ? 1 : 0;
             }
@@ -243,20 +243,20 @@
     void listWithOlderStartTimesMakesNoHostWarmer(ListKind kind) {
         BalanceRig rig = newInstance(1).fleet(1, 2);
         for (int i = 0; i < 4; i++) {
-            rig.balance.set.zoneLoss.attemptEnded(1, true);
+            rig.module.set.zoneLoss.attemptEnded(1, true);
         }
         rig.advance(10_000).outcome(rig.request(BalanceRig.RETRYABLE), Outcome.OK);
-        Server host = rig.balance.set.servers.get("b1");
+        Server host = rig.module.set.servers.get("b1");
         long back = rig.now;
         assertThat(host.warmth(rig.advance(2_000_000).now)).isLessThan(1);
         long turnsFrom = host.coldTurnsFrom;
         for (long told : new long[] {0, 1, back - 500_000, back}) {
-            rig.balance.fleet(rig.now, kind,
+            rig.module.fleet(rig.now, kind,
                     List.of(BalanceRig.host("a0", 0), BalanceRig.host("b1", 1, HostState.READY, told)));
             assertThat(host.startedUs).isEqualTo(back);
             assertThat(host.coldTurnsFrom).as("turns are not restarted").isEqualTo(turnsFrom);
         }
-        rig.balance.fleet(rig.now, kind,
+        rig.module.fleet(rig.now, kind,
                 List.of(BalanceRig.host("a0", 0), BalanceRig.host("b1", 1, HostState.READY, rig.now)));
         assertThat(host.startedUs).as("a later start counts").isEqualTo(rig.now);
     }
@@ -266,19 +266,19 @@
     @CsvSource({"1, 1.5", "2, 1"})
     void coldHostThatDidNotServeMissesATurn(int answers, double wary) {
         BalanceRig rig = instanceWithOneColdHost(1);
-        rig.balance.set.answerCount = answers;
+        rig.module.set.answerCount = answers;
         Action send = rig.request(BalanceRig.RETRYABLE);
         while (send.host() == null) {
             send = rig.advance(10_000).request(BalanceRig.RETRYABLE);
         }
         long sentAt = rig.now;
         rig.advance(10_000).outcome(send, Outcome.TIMEOUT);
-        Server host = rig.balance.set.servers.get("a0");
+        Server host = rig.module.set.servers.get("a0");
         while (!host.hasColdTurn(rig.now, true)) {
             rig.advance(10_000);
         }
-        ColdBudget budget = rig.balance.set.coldBudget;
-        long pause = budget.pauseUs(wary * rig.balance.set.paceUs(), 30, host.warmth(rig.now));
+        ColdBudget budget = rig.module.set.coldBudget;
+        long pause = budget.pauseUs(wary * rig.module.set.paceUs(), 30, host.warmth(rig.now));
         assertThat(rig.now - sentAt).isBetween(2 * pause - 10_000, 2 * pause + 20_000);
     }
 
@@ -288,8 +288,8 @@
         BalanceRig.Setup setup = new BalanceRig.Setup();
         setup.balancers = 2;
         BalanceRig rig = new BalanceRig(setup, 1);
-        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, rig.now)));
-        Server host = rig.balance.set.servers.get("a0");
+        rig.module.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, rig.now)));
+        Server host = rig.module.set.servers.get("a0");
         host.coldTurnPhase = 0.1;
         host.lastAnswerAt = rig.advance(1_000).now;
         assertThat(host.hasColdTurn(rig.now, true)).isFalse();
@@ -301,13 +301,13 @@
     @Test
     void coldHostsHaveTurnsWithoutReportedLoad() {
         BalanceRig rig = newInstance(1);
-        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, 0),
+        rig.module.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, 0),
                 BalanceRig.host("a1", 0, HostState.READY, rig.now)));
         rig.advance(10_000).outcome(rig.request(BalanceRig.RETRYABLE), 0, Outcome.OK,
                 new LoadReport(Double.NaN, Double.NaN));
         int turns = 0;
         for (int i = 0; i < 100; i++) {
-            turns += rig.balance.set.servers.get("a1").hasColdTurn(rig.advance(100_000).now, false) ? 1 : 0;
+            turns += rig.module.set.servers.get("a1").hasColdTurn(rig.advance(100_000).now, false) ? 1 : 0;
         }
         assertThat(turns).isPositive();
     }
@@ -316,9 +316,9 @@
     @Test
     void coldHostGetsNothingBeforeTheFirstAnswer() {
         BalanceRig rig = newInstance(1);
-        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, 0),
+        rig.module.fleet(rig.now, ListKind.RESTORED, List.of(BalanceRig.host("a0", 0, HostState.READY, 0),
                 BalanceRig.host("a1", 0, HostState.READY, rig.now)));
-        Server cold = rig.balance.set.servers.get("a1");
+        Server cold = rig.module.set.servers.get("a1");
         for (int i = 0; i < 100; i++) {
             assertThat(cold.hasColdTurn(rig.advance(100_000).now, false)).isFalse();
         }
--- a/core/src/test/java/dapplequay/FailureDetectorTest.java
+++ b/core/src/test/java/dapplequay/FailureDetectorTest.java
@@ -23,7 +23,7 @@
         SplittableRandom random = new SplittableRandom(7);
         for (int i = 0; i < 4_000; i++) {
             Outcome outcome = random.nextInt(14) == 0 ? Outcome.RESET : Outcome.OK;
-            rig.advance(4_000).balance.outcome(rig.now, 0, 0, "a" + i % 8, outcome, 5_000, true, new LoadReport(1, 1));
+            rig.advance(4_000).module.outcome(rig.now, 0, 0, "a" + i % 8, outcome, 5_000, true, new LoadReport(1, 1));
         }
         long passedOver = rig.logLines.stream().filter(line -> line.startsWith("passed over")).count();
         assertThat(passedOver).isBetween(5L, 34L);
@@ -70,7 +70,7 @@
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         for (int i = 0; i < 200; i++) {
             BalanceRig.Action send = rig.request(BalanceRig.RETRYABLE);
-            rig.advance(5_000).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, 5_000, true,
+            rig.advance(5_000).module.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, 5_000, true,
                     new LoadReport(1, 1));
         }
         int[] sent = new int[2];
@@ -79,9 +79,9 @@
         }
         assertThat(sent).as("at each host").doesNotContain(0);
         assertThat(Math.max(sent[0], sent[1])).isGreaterThanOrEqualTo(8);
-        rig.advance(21_000).balance.timerFired(rig.now, 1);
+        rig.advance(21_000).module.timerFired(rig.now, 1);
         assertThat(rig.count("cancel")).isZero();
-        rig.advance(100_000).balance.timerFired(rig.now, 1);
+        rig.advance(100_000).module.timerFired(rig.now, 1);
         assertThat(rig.count("cancel")).as("nothing came for long").isPositive();
     }
 
@@ -95,10 +95,10 @@
             sent.add(rig.request(BalanceRig.RETRYABLE));
         }
         rig.advance(60_000);
-        sent.forEach(send -> rig.balance.attemptStarted(rig.now, send.id()));
-        rig.advance(9_000).balance.timerFired(rig.now, 1);
+        sent.forEach(send -> rig.module.attemptStarted(rig.now, send.id()));
+        rig.advance(9_000).module.timerFired(rig.now, 1);
         assertThat(rig.count("cancel")).isZero();
-        rig.advance(100_000).balance.timerFired(rig.now, 1);
+        rig.advance(100_000).module.timerFired(rig.now, 1);
         assertThat(rig.count("cancel")).as("nothing came for long").isPositive();
     }
 
@@ -106,17 +106,17 @@
     @Test
     void silenceCountsFromTheLastByteOfALongRequest() {
         BalanceRig rig = new BalanceRig();
-        rig.balance.fleet(rig.now, ListKind.RESTORED, Stream.of("a0", "a1", "a2")
+        rig.module.fleet(rig.now, ListKind.RESTORED, Stream.of("a0", "a1", "a2")
                 .map(name -> new FleetEntry(name, 0, 0, HostState.READY, 4, 0)).toList());
         requestAndAnswerMany(rig, BalanceRig.RETRYABLE, 5_000);
         BalanceRig.Action slower = rig.request(BalanceRig.DEDUP_ALL);
         BalanceRig.Action upload = rig.request(BalanceRig.RETRYABLE);
         assertThat(upload.host()).isEqualTo(slower.host());
-        rig.balance.bodyProgress(rig.now, upload.id(), BodyStage.ARRIVING);
-        rig.advance(300_000).balance.bodyProgress(rig.now, upload.id(), BodyStage.COMPLETE);
-        rig.advance(5_000).balance.timerFired(rig.now, 1);
+        rig.module.bodyProgress(rig.now, upload.id(), BodyStage.ARRIVING);
+        rig.advance(300_000).module.bodyProgress(rig.now, upload.id(), BodyStage.COMPLETE);
+        rig.advance(5_000).module.timerFired(rig.now, 1);
         assertThat(rig.logLines).noneMatch(line -> line.startsWith("passed over"));
-        rig.advance(200_000).balance.timerFired(rig.now, 1);
+        rig.advance(200_000).module.timerFired(rig.now, 1);
         assertThat(rig.logLines).as("nothing came for long")
                 .anyMatch(line -> line.startsWith("passed over for silence"));
     }
@@ -127,11 +127,11 @@
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         requestAndAnswerMany(rig, BalanceRig.RETRYABLE, 1_000);
         for (int i = 0; i < 16; i++) {
-            rig.balance.attemptStarted(rig.now, rig.request(BalanceRig.RETRYABLE).id());
+            rig.module.attemptStarted(rig.now, rig.request(BalanceRig.RETRYABLE).id());
         }
-        rig.advance(30_000).balance.timerFired(rig.now, 1);
+        rig.advance(30_000).module.timerFired(rig.now, 1);
         assertThat(rig.count("cancel")).isZero();
-        rig.advance(20_000).balance.timerFired(rig.now, 1);
+        rig.advance(20_000).module.timerFired(rig.now, 1);
         assertThat(rig.count("cancel")).as("nothing came for long").isPositive();
     }
 
@@ -144,14 +144,14 @@
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         for (int i = 0; i < 200; i++) {
             BalanceRig.Action send = rig.request(BalanceRig.RETRYABLE);
-            rig.balance.attemptStarted(rig.now, send.id());
-            rig.advance(40_000).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, 1_000, true,
+            rig.module.attemptStarted(rig.now, send.id());
+            rig.advance(40_000).module.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, 1_000, true,
                     new LoadReport(1, 1));
         }
-        rig.balance.attemptStarted(rig.now, rig.request(BalanceRig.RETRYABLE).id());
-        rig.advance(45_000).balance.timerFired(rig.now, 1);
+        rig.module.attemptStarted(rig.now, rig.request(BalanceRig.RETRYABLE).id());
+        rig.advance(45_000).module.timerFired(rig.now, 1);
         assertThat(rig.logLines).isEmpty();
-        rig.advance(700_000).balance.timerFired(rig.now, 1);
+        rig.advance(700_000).module.timerFired(rig.now, 1);
         assertThat(rig.logLines).as("nothing came for long").hasSize(1)
                 .allMatch(l -> l.startsWith("passed over for silence"));
     }
@@ -159,7 +159,7 @@
     private static void requestAndAnswerMany(BalanceRig rig, int type, long tookUs) {
         for (int i = 0; i < 200; i++) {
             BalanceRig.Action send = rig.request(type);
-            rig.advance(tookUs).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, tookUs, true,
+            rig.advance(tookUs).module.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, tookUs, true,
                     new LoadReport(1, 1));
         }
     }
--- a/core/src/test/java/dapplequay/LoadSharingTest.java
+++ b/core/src/test/java/dapplequay/LoadSharingTest.java
@@ -52,7 +52,7 @@
     /** Reports a load for as long as the running mean of the host's load needs to reach it. */
     private static void reportLoad(BalanceRig rig, String head, double held) {
         for (int i = 0; i < 6; i++) {
-            rig.advance(333_000).balance.probeCompleted(rig.now, head, Outcome.OK, 1_000, new LoadReport(held, held));
+            rig.advance(333_000).module.probeCompleted(rig.now, head, Outcome.OK, 1_000, new LoadReport(held, held));
         }
     }
 
@@ -111,7 +111,7 @@
             if (out.size() > 40) {
                 Action first = out.remove(0);
                 long held = 1 + out.stream().filter(o -> o.host().equals(first.host())).count();
-                rig.balance.outcome(rig.now, first.id(), 0, first.host(), Outcome.OK, 120_000, true,
+                rig.module.outcome(rig.now, first.id(), 0, first.host(), Outcome.OK, 120_000, true,
                         new LoadReport(held, held));
             }
         }
@@ -120,7 +120,7 @@
         out.forEach(send -> rig.outcome(send, 0, Outcome.OK, new LoadReport(0, 0)));
         for (int i = 0; i < 40; i++) {
             Action held = rig.advance(3_000_000).request(BalanceRig.RETRYABLE);
-            rig.balance.timerFired(rig.now, 1);
+            rig.module.timerFired(rig.now, 1);
             rig.outcome(held, 0, Outcome.OK, new LoadReport(0, 0));
         }
         for (int i = 0; i < 40; i++) {
@@ -185,8 +185,7 @@
         rig.outcome(rig.request(BalanceRig.RETRYABLE), Outcome.ERROR);
         assertNotEquals(head, rig.request(BalanceRig.FRAGILE).host());
         rig.advance(2_500_000);
-        assertNotEquals(head, rig.request(BalanceRig.FRAGILE).host(),
-                "a fragile request does not try a suspected server");
+        assertNotEquals(head, rig.request(BalanceRig.FRAGILE).host(), "fragile requests try no suspected server");
         assertEquals(head, rig.request(BalanceRig.RETRYABLE).host(), "a retryable request tries it");
         assertNotEquals(head, rig.request(BalanceRig.RETRYABLE).host(), "one at a time");
     }
@@ -225,7 +224,7 @@
         BalanceRig rig = new BalanceRig().fleet(8, 0);
         for (int i = 0; i < 8; i++) {
             for (int failures = 0; failures < 4; failures++) {
-                rig.balance.outcome(rig.now, 0, 0, "a" + i, Outcome.ERROR, 1_000, true, null);
+                rig.module.outcome(rig.now, 0, 0, "a" + i, Outcome.ERROR, 1_000, true, null);
             }
         }
         Set<String> used = new TreeSet<>();
@@ -271,8 +270,7 @@
             Action send = rig.advance(100_000).request(BalanceRig.RETRYABLE);
             assertTrue(send.host() == null || send.host().startsWith("a"));
             if (send.host() != null) {
-                rig.balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.TIMEOUT, BalanceRig.AIM_US, false,
-                        null);
+                rig.module.outcome(rig.now, send.id(), 0, send.host(), Outcome.TIMEOUT, BalanceRig.AIM_US, false, null);
             }
         }
         assertTrue(rig.count("refuse") > 50, "refused " + rig.count("refuse"));
@@ -293,7 +291,7 @@
             if (done.host() == null) {
                 refused[tenant]++;
             } else {
-                rig.balance.outcome(rig.now, done.id(), 0, done.host(), Outcome.CANCELLED, 0, true, null);
+                rig.module.outcome(rig.now, done.id(), 0, done.host(), Outcome.CANCELLED, 0, true, null);
             }
         }
         assertTrue(refused[0] > 200, "the tenant far over its share: " + refused[0] + " of 270");
@@ -323,21 +321,18 @@
         return new FleetEntry(name, 0, 0, HostState.READY, weight, 0);
     }
 
-    /**
-     * Guards against measuring silence by one class's aim for all: a request of a slow class was then cancelled, and
-     * its sound host avoided.
-     */
+    /** Guards against judging silence by one class's aim: slow requests were cancelled and sound hosts avoided. */
     @Test
     void silenceIsMeasuredByWhatAClassUsuallyTakes() {
         for (int slow = 0; slow < 2; slow++) {
             BalanceRig rig = new BalanceRig().fleet(2, 0);
             for (int i = 0; i < 200; i++) {
                 Action send = rig.request(BalanceRig.RETRYABLE);
-                rig.advance(slow * 200_000 + 10_000).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK,
+                rig.advance(slow * 200_000 + 10_000).module.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK,
                         slow * 200_000 + 10_000, true, new LoadReport(0, 0));
             }
             rig.request(BalanceRig.RETRYABLE);
-            rig.advance(500_000).balance.timerFired(rig.now, 1);
+            rig.advance(500_000).module.timerFired(rig.now, 1);
             assertEquals(1 - slow, rig.count("cancel"), "slow class: " + slow);
         }
     }
@@ -349,7 +344,7 @@
         for (int i = 0; i < 100; i++) {
             long took = i < 96 ? 40_000 : 400_000;
             Action send = rig.request(BalanceRig.RETRYABLE);
-            rig.advance(took).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, took, true,
+            rig.advance(took).module.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, took, true,
                     new LoadReport(0, 0));
         }
         for (int i = 0; i < 4; i++) {
@@ -366,24 +361,23 @@
             setup.balancers = many == 0 ? 1 : 8;
             BalanceRig rig = new BalanceRig(setup).fleet(1, 0);
             Action first = rig.request(BalanceRig.RETRYABLE);
-            rig.advance(40_000).balance.outcome(rig.now, first.id(), 0, first.host(), Outcome.OK, 40_000, true,
+            rig.advance(40_000).module.outcome(rig.now, first.id(), 0, first.host(), Outcome.OK, 40_000, true,
                     new LoadReport(Double.NaN, Double.NaN));
             while (rig.advance(100).request(BalanceRig.RETRYABLE).host() != null) {
                 taken[many]++;
             }
         }
-        assertTrue(taken[1] >= 1 && taken[0] >= 6 * taken[1],
-                taken[0] + " sent by the only balancer, " + taken[1] + " by one of eight");
+        assertTrue(taken[1] >= 1 && taken[0] >= 6 * taken[1], taken[0] + " alone, " + taken[1] + " as one of eight");
     }
 
     /** All classes wait in one queue, so that the shortest aim limits it for all. */
     @Test
     void noServerGetsMoreThanItServesWithinTheShortestAim() {
         BalanceRig rig = new BalanceRig();
-        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(sized("a0", 1), sized("a1", 3)));
+        rig.module.fleet(rig.now, ListKind.RESTORED, List.of(sized("a0", 1), sized("a1", 3)));
         for (int i = 0; i < 200; i++) {
             Action send = rig.request(BalanceRig.RETRYABLE);
-            rig.advance(40_000).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, 40_000, true,
+            rig.advance(40_000).module.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, 40_000, true,
                     new LoadReport(0, 0));
         }
         Map<String, Integer> sent = new TreeMap<>();
@@ -421,15 +415,14 @@
             int own = 0;
             for (int key = 0; key < 300; key++) {
                 for (int i = 0; i < 8; i++) {
-                    rig.balance.probeCompleted(rig.now, (i < 4 ? "a" : "b") + (i < 4 ? i : i - 4), Outcome.OK, 1_000,
+                    rig.module.probeCompleted(rig.now, (i < 4 ? "a" : "b") + (i < 4 ? i : i - 4), Outcome.OK, 1_000,
                             new LoadReport(held + 1, held + 1));
                 }
                 Action send = rig.advance(100_000).request(BalanceRig.RETRYABLE, "key" + key);
                 own += send.host().startsWith("a") ? 1 : 0;
                 rig.outcome(send, 0, Outcome.OK, new LoadReport(held + 1, held + 1));
             }
-            assertTrue(held == 0 ? own > 290 : own > 160 && own < 230,
-                    "with " + held + " in flight, in the own zone of 300: " + own);
+            assertTrue(held == 0 ? own > 290 : own > 160 && own < 230, "in flight " + held + ", own zone " + own);
         }
     }
 
@@ -450,13 +443,13 @@
         String second = rig.request(BalanceRig.RETRYABLE, "k").host();
         assertNotEquals(first, second);
         for (int i = 0; i < 60; i++) {
-            rig.balance.probeCompleted(rig.advance(50_000).now, "a" + i % 6, Outcome.OK, 1_000, new LoadReport(3, 3));
+            rig.module.probeCompleted(rig.advance(50_000).now, "a" + i % 6, Outcome.OK, 1_000, new LoadReport(3, 3));
         }
         Set<String> used = new TreeSet<>();
         for (int key = 0; key < 30; key++) {
             Action send = rig.request(BalanceRig.RETRYABLE, "k" + key);
             used.add(send.host());
-            rig.balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.CANCELLED, 0, true, null);
+            rig.module.outcome(rig.now, send.id(), 0, send.host(), Outcome.CANCELLED, 0, true, null);
         }
         assertTrue(used.size() >= 4, "past TH_v everywhere, keys are spread over servers: " + used + home);
     }
@@ -464,35 +457,34 @@
     /** Guards against averaging over seconds the reports of a host that refreshes them at once. */
     @Test
     void reportsThatChangeOftenTakeEffectSoonerThanReportsThatChangeRarely() {
-        int[] reportsUntilSent = new int[2];
+        int[] reports = new int[2];
         for (int slow = 0; slow < 2; slow++) {
             BalanceRig rig = new BalanceRig().fleet(2, 0);
             for (int i = 0; i < 80; i++) {
                 double held = 40 + i / (slow == 1 ? 40 : 2) % 2;
-                rig.balance.probeCompleted(rig.advance(20_000).now, "a" + i % 2, Outcome.OK, 1_000,
+                rig.module.probeCompleted(rig.advance(20_000).now, "a" + i % 2, Outcome.OK, 1_000,
                         new LoadReport(held, held));
             }
             while (rig.request(BalanceRig.RETRYABLE).host() == null) {
-                rig.balance.probeCompleted(rig.advance(20_000).now, "a" + reportsUntilSent[slow]++ % 2, Outcome.OK,
+                rig.module.probeCompleted(rig.advance(20_000).now, "a" + reports[slow]++ % 2, Outcome.OK,
                         1_000, new LoadReport(0, 0));
             }
         }
-        assertTrue(reportsUntilSent[1] > 3 * reportsUntilSent[0], "reports until the servers count as idle: "
-                + reportsUntilSent[0] + " " + reportsUntilSent[1]);
+        assertTrue(reports[1] > 3 * reports[0], "reports until idle: " + reports[0] + " " + reports[1]);
     }
 
     /** Guards against waiting until the clients leave for attempts at a machine that is lost. */
     @Test
     void attemptsAtASilentServerAreMovedAndOneLaterAttemptTriesIt() {
         BalanceRig rig = new BalanceRig();
-        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(sized("a0", 4), sized("a1", 4), sized("a2", 4)));
+        rig.module.fleet(rig.now, ListKind.RESTORED, List.of(sized("a0", 4), sized("a1", 4), sized("a2", 4)));
         String gone = rig.requestAndAnswer(BalanceRig.RETRYABLE, 0).host();
         Action first = rig.request(BalanceRig.RETRYABLE);
         Action second = rig.request(BalanceRig.RETRYABLE);
         assertEquals(List.of(gone, gone), List.of(first.host(), second.host()));
-        rig.advance(BalanceRig.AIM_US / 4).balance.timerFired(rig.now, 1);
+        rig.advance(BalanceRig.AIM_US / 4).module.timerFired(rig.now, 1);
         assertEquals(0, rig.count("cancel"), "too early to count as silent");
-        rig.advance(BalanceRig.AIM_US / 2 + 20_000).balance.timerFired(rig.now, 1);
+        rig.advance(BalanceRig.AIM_US / 2 + 20_000).module.timerFired(rig.now, 1);
         assertEquals(2, rig.count("cancel"));
         Action again = rig.outcome(first, Outcome.CANCELLED);
         assertNotEquals(gone, again.host());
@@ -521,8 +513,7 @@
     void refusalsEndWithARequestToAServerLongUnheardOf() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         for (int i = 0; i < 20; i++) {
-            rig.balance.probeCompleted(rig.advance(100_000).now, "a" + i % 2, Outcome.OK, 1_000,
-                    new LoadReport(50, 50));
+            rig.module.probeCompleted(rig.advance(100_000).now, "a" + i % 2, Outcome.OK, 1_000, new LoadReport(50, 50));
         }
         assertEquals("refuse", rig.request(BalanceRig.RETRYABLE).kind());
         assertEquals("send", rig.advance(1_400_000).request(BalanceRig.RETRYABLE).kind());
@@ -535,14 +526,14 @@
     void oldSlowAnswerDoesNotKeepRequestsAway() {
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         Action slow = rig.request(BalanceRig.RETRYABLE);
-        rig.balance.outcome(rig.now, slow.id(), 0, slow.host(), Outcome.OK, 4 * BalanceRig.AIM_US, true,
+        rig.module.outcome(rig.now, slow.id(), 0, slow.host(), Outcome.OK, 4 * BalanceRig.AIM_US, true,
                 new LoadReport(1, 1));
         boolean again = false;
         for (int i = 0; i < 300; i++) {
             Action send = rig.advance(100_000).request(BalanceRig.RETRYABLE);
             again |= slow.host().equals(send.host());
             if (send.host() != null) {
-                rig.balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, 5_000, true, new LoadReport(1, 1));
+                rig.module.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, 5_000, true, new LoadReport(1, 1));
             }
         }
         assertTrue(again);
@@ -556,7 +547,7 @@
             rig.delta(BalanceRig.host("new" + i, 0),
                     BalanceRig.host("new" + (i - 1), 0, BalancerApi.HostState.REMOVED, 0));
         }
-        assertEquals(3, rig.balance.set.servers.size());
+        assertEquals(3, rig.module.set.servers.size());
     }
 
     /** Guards against a mean by number of reports: a server with few of them stayed full for long after an overload. */
@@ -567,7 +558,7 @@
         reportLoad(rig, "a0", 200);
         assertEquals("refuse", rig.request(BalanceRig.RETRYABLE).kind());
         for (int i = 0; i < 12; i++) {
-            rig.balance.probeCompleted(rig.advance(1_000_000).now, "a0", Outcome.OK, 1_000, new LoadReport(1, 1));
+            rig.module.probeCompleted(rig.advance(1_000_000).now, "a0", Outcome.OK, 1_000, new LoadReport(1, 1));
         }
         assertEquals("send", rig.request(BalanceRig.RETRYABLE).kind());
     }
@@ -600,7 +591,7 @@
     @Test
     void absurdReportsAndWeightsDoNoLastingHarm() {
         BalanceRig rig = new BalanceRig();
-        rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(new FleetEntry("x", 0, 0, HostState.READY, 0, 0),
+        rig.module.fleet(rig.now, ListKind.RESTORED, List.of(new FleetEntry("x", 0, 0, HostState.READY, 0, 0),
                 new FleetEntry("y", 0, 0, HostState.READY, 0, 0)));
         double[] figures = {0, 1e18, Double.NaN, -5, Double.POSITIVE_INFINITY};
         for (double figure : figures) {
--- a/core/src/test/java/dapplequay/ManyInstancesTest.java
+++ b/core/src/test/java/dapplequay/ManyInstancesTest.java
@@ -68,7 +68,7 @@
     void coldHostsGetLessThanTheirBudgetFromAllTogether(int instances, int hosts) {
         List<BalanceRig> all = instances(instances);
         long start = all.get(0).now;
-        all.forEach(rig -> rig.balance.fleet(start, ListKind.RESTORED, hosts(hosts, start)));
+        all.forEach(rig -> rig.module.fleet(start, ListKind.RESTORED, hosts(hosts, start)));
         Map<String, Integer> sendsToCold = new TreeMap<>();
         PriorityQueue<InFlight> out = new PriorityQueue<>(Comparator.comparingLong(InFlight::endsAt));
         Map<String, Long> freeAt = new HashMap<>();
@@ -80,7 +80,7 @@
                 String host = ended.send().host();
                 int held = inFlightByHost.merge(host, -1, Integer::sum) + 1;
                 ended.at().now = now;
-                ended.at().balance.outcome(now, ended.send().id(), 0, host, Outcome.OK, now - ended.sentAt(), true,
+                ended.at().module.outcome(now, ended.send().id(), 0, host, Outcome.OK, now - ended.sentAt(), true,
                         new LoadReport(held, held));
             }
             for (BalanceRig rig : all) {
@@ -111,7 +111,7 @@
     void headsAreSpreadOverTheOwnZone(int instances, int hosts) {
         Set<String> heads = new HashSet<>();
         for (BalanceRig rig : instances(instances)) {
-            rig.balance.fleet(rig.now, ListKind.RESTORED, hosts(hosts, 0));
+            rig.module.fleet(rig.now, ListKind.RESTORED, hosts(hosts, 0));
             heads.add(rig.request(BalanceRig.RETRYABLE).host());
         }
         assertThat(heads).hasSizeGreaterThanOrEqualTo(Math.min(instances, hosts / 2) * 3 / 5);
@@ -142,13 +142,13 @@
     @Test
     void drainedHostsGetNothingMoreFromAnyInstance() {
         List<BalanceRig> all = instances(14);
-        all.forEach(rig -> rig.balance.fleet(rig.now, ListKind.RESTORED, hosts(60, 0)));
+        all.forEach(rig -> rig.module.fleet(rig.now, ListKind.RESTORED, hosts(60, 0)));
         for (BalanceRig rig : all) {
             List<FleetEntry> draining = new ArrayList<>();
             for (int i = 0; i < 60; i += 3) {
                 draining.add(BalanceRig.host(i % 2 == 0 ? "a" + i : "b" + i, i % 2, HostState.DRAINING, 0));
             }
-            rig.balance.fleet(rig.now, ListKind.DELTA, draining);
+            rig.module.fleet(rig.now, ListKind.DELTA, draining);
             for (int i = 0; i < 300; i++) {
                 Action send = rig.advance(2_000).request(BalanceRig.RETRYABLE);
                 if (send.host() != null) {
--- a/core/src/test/java/dapplequay/NoOtherZoneTest.java
+++ b/core/src/test/java/dapplequay/NoOtherZoneTest.java
@@ -56,7 +56,7 @@
             rig.advance(10_000);
             rig.requestAndAnswer(BalanceRig.RETRYABLE, 1);
         }
-        assertThat(rig.balance.set.servers.values()).allSatisfy(s -> assertThat(s.warmth(rig.now)).isEqualTo(1));
+        assertThat(rig.module.set.servers.values()).allSatisfy(s -> assertThat(s.warmth(rig.now)).isEqualTo(1));
     }
 
     @Test
@@ -70,7 +70,7 @@
                 send = rig.outcome(send, attempt, Outcome.CONNECT_FAILED, null);
             }
         }
-        assertThat(rig.balance.set.zoneLoss.isLost(0) && rig.balance.set.zoneLoss.isLost(1)).isFalse();
+        assertThat(rig.module.set.zoneLoss.isLost(0) && rig.module.set.zoneLoss.isLost(1)).isFalse();
         rig.advance(2_000_000);
         for (int i = 0; i < 30; i++) {
             rig.advance(50_000);
@@ -79,7 +79,7 @@
                 rig.outcome(send, 0, Outcome.OK, new LoadReport(1, 1));
             }
         }
-        assertThat(rig.balance.set.servers.values()).filteredOn(s -> s.lastAnswerAt > 0)
+        assertThat(rig.module.set.servers.values()).filteredOn(s -> s.lastAnswerAt > 0)
                 .anySatisfy(s -> assertThat(s.warmth(rig.now)).isEqualTo(1));
     }
 
@@ -88,7 +88,7 @@
     void lostZoneIsAvoidedIfThereIsAnother() {
         BalanceRig rig = new BalanceRig().fleet(6, 6);
         failInARow(rig, 5);
-        assertThat(rig.balance.set.zoneLoss.isLost(0)).isTrue();
+        assertThat(rig.module.set.zoneLoss.isLost(0)).isTrue();
         assertThat(rig.logLines).contains("zone lost: zone0");
         for (int i = 0; i < 5; i++) {
             rig.advance(10_000);
--- a/core/src/test/java/dapplequay/RulesTest.java
+++ b/core/src/test/java/dapplequay/RulesTest.java
@@ -43,7 +43,7 @@
             }
             long answers = rig.count("refuse") + rig.count("fail");
             assertEquals(outcome == Outcome.OK ? 0 : 1, answers, "class " + type);
-            rig.balance.outcome(rig.now, send.id(), 0, send.host(), outcome, 0, true, null);
+            rig.module.outcome(rig.now, send.id(), 0, send.host(), outcome, 0, true, null);
             assertEquals(answers, rig.count("refuse") + rig.count("fail"), "a late outcome must not answer again");
         }
     }
@@ -59,7 +59,7 @@
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         rig.delta(BalanceRig.host("a0", 0, HostState.REMOVED, 0), BalanceRig.host("a1", 0, HostState.DRAINING, 0));
         assertEquals("refuse", rig.request(BalanceRig.RETRYABLE).kind());
-        rig.balance.fleet(rig.now, ListKind.FULL, List.of(BalanceRig.host("a7", 0)));
+        rig.module.fleet(rig.now, ListKind.FULL, List.of(BalanceRig.host("a7", 0)));
         assertEquals("a7", rig.request(BalanceRig.RETRYABLE).host());
     }
 
@@ -76,8 +76,8 @@
     void clientThatLeftGetsNoAnswer() {
         BalanceRig rig = new BalanceRig().fleet(3, 0);
         Action send = rig.request(BalanceRig.RETRYABLE);
-        rig.balance.clientLeft(rig.now, send.id());
-        rig.balance.clientLeft(rig.now, send.id());
+        rig.module.clientLeft(rig.now, send.id());
+        rig.module.clientLeft(rig.now, send.id());
         assertNull(rig.outcome(send, Outcome.ERROR));
     }
 
@@ -108,7 +108,7 @@
             rig.advance(50_000).requestAndAnswer(BalanceRig.RETRYABLE, 1);
         }
         for (int i = 0; i < 100; i++) {
-            rig.advance(100_000).balance.probeCompleted(rig.now, "a" + i % 2, Outcome.OK, 1_000,
+            rig.advance(100_000).module.probeCompleted(rig.now, "a" + i % 2, Outcome.OK, 1_000,
                     new LoadReport(20, 20));
         }
         assertEquals("send", rig.request(BalanceRig.RETRYABLE, BalanceRig.LEFT_US).kind());
@@ -198,7 +198,7 @@
             Action send = rig.request(type);
             for (int i = 0; i < 6; i++) {
                 for (String host : List.of("a0", "a1")) {
-                    rig.balance.probeCompleted(rig.advance(20_000).now, host, Outcome.OK, 1_000,
+                    rig.module.probeCompleted(rig.advance(20_000).now, host, Outcome.OK, 1_000,
                             new LoadReport(200, 200));
                 }
             }
@@ -251,7 +251,7 @@
                 if (others == 1) {
                     all.addAll(List.of(place("a1", 0, 5), place("b1", 1, 6)));
                 }
-                rig.balance.fleet(rig.now, ListKind.RESTORED, all);
+                rig.module.fleet(rig.now, ListKind.RESTORED, all);
                 Action first = rig.request(type);
                 assertTrue(first.host().startsWith("a"));
                 rig.advance(1_000);
@@ -305,7 +305,7 @@
         BalanceRig rig = new BalanceRig().fleet(2, 0);
         Action send = rig.request(BalanceRig.RETRYABLE);
         String other = send.host().equals("a0") ? "a1" : "a0";
-        rig.balance.fleet(rig.now, ListKind.FULL, List.of(BalanceRig.host(other, 0)));
+        rig.module.fleet(rig.now, ListKind.FULL, List.of(BalanceRig.host(other, 0)));
         assertNull(rig.outcome(send, Outcome.OK));
         assertEquals(other, rig.request(BalanceRig.RETRYABLE).host());
     }
@@ -324,7 +324,7 @@
     @Test
     void listThatFailedToComeChangesNothing() {
         BalanceRig rig = new BalanceRig().fleet(1, 0);
-        rig.balance.fleet(rig.now, ListKind.FAILED, List.of());
+        rig.module.fleet(rig.now, ListKind.FAILED, List.of());
         assertEquals("a0", rig.request(BalanceRig.RETRYABLE).host());
     }
 
@@ -408,7 +408,7 @@
         for (int i = 0; i < 5; i++) {
             all.add(BalanceRig.host("a" + i, 0, HostState.READY, rig.now));
         }
-        rig.balance.fleet(rig.now, ListKind.RESTORED, all);
+        rig.module.fleet(rig.now, ListKind.RESTORED, all);
         int served = 0;
         for (int i = 0; i < 20; i++) {
             Action send = rig.request(BalanceRig.RETRYABLE);
@@ -435,7 +435,7 @@
             setup.position = position;
             setup.balancers = 200;
             BalanceRig rig = new BalanceRig(setup);
-            rig.balance.fleet(rig.now, ListKind.RESTORED, List.of(
+            rig.module.fleet(rig.now, ListKind.RESTORED, List.of(
                     new FleetEntry("s0", 0, 0, HostState.READY, 1, 0),
                     new FleetEntry("s1", 0, 0, HostState.READY, 1, 0),
                     new FleetEntry("s2", 0, 0, HostState.READY, 2, 0),
--- a/core/src/test/java/dapplequay/UnreportedLoadTest.java
+++ b/core/src/test/java/dapplequay/UnreportedLoadTest.java
@@ -38,7 +38,7 @@
         for (int i = 0; i < 300; i++) {
             BalanceRig.Action send = rig.request(0);
             assertThat(send.kind()).isEqualTo("send");
-            rig.advance(tookUs).balance.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, tookUs, true, null);
+            rig.advance(tookUs).module.outcome(rig.now, send.id(), 0, send.host(), Outcome.OK, tookUs, true, null);
         }
         int sent = 0;
         while (rig.request(0).kind().equals("send")) {
