--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -8,7 +8,7 @@
 import dapplequay.BalancerApi.ListKind;
 import dapplequay.BalancerApi.LoadReport;
 import dapplequay.BalancerApi.Request;
-import dapplequay.membership.Asking;
+import dapplequay.membership.ListSubscription;
 import dapplequay.settings.SettingsReader.Setup;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -43,7 +43,7 @@
     private final LongSupplier clock;
     private final Consumer<String> log;
     private final BalancerApi module;
-    private final Asking asking;
+    private final ListSubscription asking;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final List<AttemptCancellation> cancellations = new ArrayList<>();
     private final Queue<String> logLines = new ConcurrentLinkedQueue<>();
@@ -86,7 +86,7 @@
         this.log = log;
         ModuleActions actions = new ModuleActions();
         this.module = module.apply(actions);
-        asking = new Asking(setup.settings(), seed, actions);
+        asking = new ListSubscription(setup.settings(), seed, actions);
         listWanted = isPushed(setup);
     }
 
@@ -114,8 +114,8 @@
         beginCall(0, 0);
         // The module knows classes and tenants by index, so both sides have to switch together.
         setup = next;
-        runGuarded(() -> module.retune(clock.getAsLong(), next.settings()));
-        asking.use(next.settings());
+        runGuarded(() -> module.reconfigure(clock.getAsLong(), next.settings()));
+        asking.configure(next.settings());
         if (isPushed(next)) {
             requestListNow();
         }
@@ -135,7 +135,7 @@
             module.request(now, new Request(id, serviceClass, tenant, request.key(), request.remainingUs(),
                     request.costHintUs(), request.clientRetry()));
             if (request.streamsBody() && currentDecision instanceof Decision.Send) {
-                module.body(now, id, BodyStage.COMING);
+                module.bodyProgress(now, id, BodyStage.ARRIVING);
             }
         });
         return succeeded ? currentDecision : abandon(now, id, false);
@@ -144,7 +144,7 @@
     /** Ends a request that the module failed to decide: no further attempt is sent. */
     private Decision abandon(long now, long id, boolean clientDone) {
         beginCall(0, 0);
-        runGuarded(() -> module.gone(now, id));
+        runGuarded(() -> module.clientLeft(now, id));
         return clientDone ? new Decision.NoAction() : new Decision.Fail();
     }
 
@@ -180,7 +180,7 @@
     /** Records that the last byte of a streamed request was sent; its processing time starts now. */
     public synchronized void requestBodySent(long id) {
         beginCall(0, 0);
-        runGuarded(() -> module.body(clock.getAsLong(), id, BodyStage.WHOLE));
+        runGuarded(() -> module.bodyProgress(clock.getAsLong(), id, BodyStage.COMPLETE));
     }
 
     /**
@@ -198,12 +198,12 @@
         boolean answered = clientDone || end == AttemptEnd.SERVED;
         boolean succeeded = runGuarded(() -> {
             if (bodyState == RequestBodyState.STREAMING_UNREPLAYABLE) {
-                module.body(now, id, BodyStage.PASSED_ON);
+                module.bodyProgress(now, id, BodyStage.BUFFER_EXCEEDED);
             }
             module.outcome(now, id, attempt, host, end.outcome, tookUs, answered,
                     load == null ? null : new LoadReport(load.queue(), load.inFlight()));
             if (bodyState == RequestBodyState.STREAMING_REPLAYABLE && currentDecision instanceof Decision.Send) {
-                module.body(now, id, BodyStage.COMING);
+                module.bodyProgress(now, id, BodyStage.ARRIVING);
             }
         });
         return succeeded ? currentDecision : abandon(now, id, answered);
@@ -218,13 +218,13 @@
     /** Records that the client disconnected; a pending attempt is still reported when it ends. */
     public synchronized void clientGone(long id) {
         beginCall(0, 0);
-        runGuarded(() -> module.gone(clock.getAsLong(), id));
+        runGuarded(() -> module.clientLeft(clock.getAsLong(), id));
     }
 
     /** Returns how many listed hosts get no regular traffic now; 0 if the module throws. */
     public synchronized int hostsOutOfRotation() {
         int[] count = new int[1];
-        runGuarded(() -> count[0] = module.passedOver());
+        runGuarded(() -> count[0] = module.outOfRotationCount());
         return count[0];
     }
 
@@ -262,7 +262,7 @@
         if (kind != ListKind.FAILED && !runGuarded(() -> module.fleet(clock.getAsLong(), kind, fleetEntries))) {
             throw new IllegalStateException("the list could not be taken over");
         }
-        asking.heard(kind);
+        asking.listReceived(kind);
     }
 
     /** Delivers the timers that are due and writes pending log lines; returns the attempts to abandon now. */
@@ -281,7 +281,7 @@
         while (!timers.isEmpty() && timers.peek().atUs() <= now) {
             beginCall(0, 0);
             long token = timers.poll().token();
-            if (!asking.timer(token) && !runGuarded(() -> module.timer(now, token))) {
+            if (!asking.timerFired(token) && !runGuarded(() -> module.timerFired(now, token))) {
                 timers.add(new Timer(now + TIMER_RETRY_US, timersCreated++, token));
             }
         }
@@ -343,7 +343,7 @@
         }
 
         @Override
-        public void timer(long afterUs, long token) {
+        public void setTimer(long afterUs, long token) {
             timers.add(new Timer(clock.getAsLong() + afterUs, timersCreated++, token));
         }
 
@@ -385,8 +385,8 @@
         }
 
         @Override
-        public void tell(int position, byte[] note) {
-            throw new UnsupportedOperationException("tell");
+        public void sendToPeer(int position, byte[] note) {
+            throw new UnsupportedOperationException("sendToPeer");
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/benchlink/InstanceDispatcher.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/InstanceDispatcher.java
@@ -1,21 +1,21 @@
 package dapplequay.benchlink;
 
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 import dapplequay.Balance;
+import dapplequay.BalancerApi;
 import dapplequay.BalancerApi.FleetEntry;
 import dapplequay.BalancerApi.HostState;
 import dapplequay.BalancerApi.ListKind;
 import dapplequay.BalancerApi.LoadReport;
 import dapplequay.BalancerApi.Outcome;
 import dapplequay.BalancerApi.Request;
-import dapplequay.BalancerApi;
-import dapplequay.membership.Asking;
+import dapplequay.membership.ListSubscription;
 import dapplequay.settings.SettingsReader;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 
 /** Holds the balancer instances, passes each event to its instance and writes the resulting actions. */
 final class InstanceDispatcher {
@@ -28,7 +28,8 @@
     private final Sheet[] sheets = new Sheet[MAX_SHEETS];
     private long turn;
 
-    private record Instance(BalancerApi module, Asking asking, SettingsReader.Setup setup, WireActions actions) { }
+    private record Instance(BalancerApi module, ListSubscription asking, SettingsReader.Setup setup,
+            WireActions actions) { }
 
     /** A fleet list as read, and as translated for the zones of the instances that used it last. */
     private static final class Sheet {
@@ -124,7 +125,7 @@
         long seed = require(event.seed, "seed", event);
         WireActions actions = new WireActions(out, name);
         runGuarded(name, () -> instances.put(name, new Instance(new Balance(setup.settings(), seed, actions),
-                new Asking(setup.settings(), seed, actions), setup, actions)));
+                new ListSubscription(setup.settings(), seed, actions), setup, actions)));
     }
 
     private void applyFleetList(long nowUs, Event event) {
@@ -154,7 +155,7 @@
             if (kind != ListKind.FAILED) {
                 instance.module().fleet(nowUs, kind, fleet);
             }
-            instance.asking().heard(kind);
+            instance.asking().listReceived(kind);
         });
     }
 
@@ -214,13 +215,13 @@
             }
             case "VANISHED" -> {
                 long requestId = require(event.request, "req", event);
-                return () -> module.gone(nowUs, requestId);
+                return () -> module.clientLeft(nowUs, requestId);
             }
             case "TIMEOUT_FIRED" -> {
                 long timerToken = require(event.timerToken, "cookie", event);
                 return () -> {
-                    if (!instance.asking().timer(timerToken)) {
-                        module.timer(nowUs, timerToken);
+                    if (!instance.asking().timerFired(timerToken)) {
+                        module.timerFired(nowUs, timerToken);
                     }
                 };
             }
@@ -229,7 +230,7 @@
                 Outcome outcome = toOutcome(event);
                 long tookUs = event.tookUs == null ? 0 : event.tookUs;
                 LoadReport report = toLoadReport(event);
-                return () -> module.probed(nowUs, host, outcome, tookUs, report);
+                return () -> module.probeCompleted(nowUs, host, outcome, tookUs, report);
             }
             default -> {
                 // NOTE_FROM: balancers share nothing, so a peer's message is ignored.
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -8,7 +8,7 @@
 import dapplequay.management.ManagementServer;
 import dapplequay.management.MetricsText;
 import dapplequay.management.RequestCounts;
-import dapplequay.membership.ListClock;
+import dapplequay.membership.ListCallTiming;
 import dapplequay.settings.SettingsReader.Setup;
 import dapplequay.time.DeadlineQueue;
 import dapplequay.time.ProcessCpuTime;
@@ -161,7 +161,8 @@
         conductor = new Conductor(facade, upstreams);
         upstreams.conductor(conductor);
         upstreams.onThreadShortage(threads::shortage);
-        ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(plan.seed()));
+        ListCallTiming listClock = new ListCallTiming(() -> setup.settings().discovery(),
+                new SplittableRandom(plan.seed()));
         discovery = new DiscoveryClient(plan.discovery(), table, facade, upstreams, memory, listClock, clock, figures);
     }
 
@@ -265,7 +266,7 @@
      * and takes a restart.
      */
     public List<String> retune(Plan next) {
-        facade.updateSettings(next.setup());    // before the clients' side: no class is let in that is not known
+        facade.updateSettings(next.setup());            // before the clients' side: no class is let in that is not known
         counts.addClasses(next.setup().classes().keySet());
         setup = next.setup();
         discovery.moveTo(next.discovery());
