--- a/sidecar/src/main/java/dapplequay/net/Attempt.java
+++ b/sidecar/src/main/java/dapplequay/net/Attempt.java
@@ -9,27 +9,27 @@
 /** One attempt at an upstream. It ends once: the first counts of an answer, a cut and a break. */
 final class Attempt {
     final Exchange exchange;
-    final Decision.Send order;
+    final Decision.Send decision;
     private long startUs;
-    private long untilUs;
+    private long expiresAtUs;
     /** Of a long request: its last piece has not been announced, so that it can't have run. */
     private boolean uploading;
-    private boolean open;
+    private boolean readyForBody;
     /** What it rested for is lost. */
-    private boolean restEnded;
-    private long idleUs = -1;
+    private boolean settleWaitCancelled;
+    private long connectionIdleUs = -1;
     private AttemptEnd end;
     private boolean writing = true;      // until told otherwise: what is not known is not "never ran"
-    private long headUs;
+    private long headReceivedUs;
     private long writtenAtUs = -1;       // -1: not written whole
     private UpstreamConnection connection;
-    private Deadlines.Deadline deadline;
+    private Deadlines.Deadline timeout;
 
-    Attempt(Exchange exchange, Decision.Send order, long startUs) {
+    Attempt(Exchange exchange, Decision.Send decision, long startUs) {
         this.exchange = exchange;
-        this.order = order;
+        this.decision = decision;
         this.startUs = startUs;
-        untilUs = startUs + order.timeoutUs();
+        expiresAtUs = startUs + decision.timeoutUs();
         uploading = exchange.request.isLong();
     }
 
@@ -40,44 +40,44 @@
 
     /** Whether its first byte may go out at that time, microseconds. */
     synchronized boolean mayBeginAt(long timeUs) {
-        return timeUs < order.beginByUs() && (uploading || timeUs < untilUs);
+        return timeUs < decision.beginByUs() && (uploading || timeUs < expiresAtUs);
     }
 
     /**
      * Waits until then, microseconds, or until it is cut or {@link #stopResting} says that it waits in vain. The wait
      * is this side's own doing: the attempt's time is counted from its end, and what it may take at most is not.
      */
-    synchronized void rest(long overUs, LongSupplier clock) {
+    synchronized void awaitSettled(long settledAtUs, LongSupplier clock) {
         try {
-            for (long now = clock.getAsLong(); now < overUs && end == null && !restEnded; now = clock.getAsLong()) {
-                Waits.atMost(this, (overUs - now + 999) / 1000);
+            for (long now = clock.getAsLong(); now < settledAtUs && end == null && !settleWaitCancelled; now = clock.getAsLong()) {
+                Waits.atMost(this, (settledAtUs - now + 999) / 1000);
             }
         } catch (InterruptedIOException e) {
             // It looks anew what there is for it.
         }
-        restEnded = false;
+        settleWaitCancelled = false;
         startUs = clock.getAsLong();
     }
 
-    synchronized void stopResting() {
-        restEnded = true;
+    synchronized void cancelSettleWait() {
+        settleWaitCancelled = true;
         notifyAll();
     }
 
-    synchronized long untilUs() {
-        return untilUs;
+    synchronized long expiresAtUs() {
+        return expiresAtUs;
     }
 
     /** A connection has taken what is held of a long request, or is for its client's thread to begin. */
-    void takenUp() {
+    void markReadyForBody() {
         synchronized (this) {
-            open = true;
+            readyForBody = true;
         }
-        exchange.attemptOpened();
+        exchange.attemptReady();
     }
 
-    synchronized boolean isOpen() {
-        return open;
+    synchronized boolean isReadyForBody() {
+        return readyForBody;
     }
 
     synchronized UpstreamConnection connection() {
@@ -88,34 +88,34 @@
      * The last piece of a long request is about to be written: from here on it may have run. False where the attempt
      * has ended, and the piece must not go out. Its time begins now.
      */
-    synchronized boolean lastPiece(Deadlines.Deadline itsDeadline, long until) {
+    synchronized boolean beginFinalWrite(Deadlines.Deadline timer, long newExpiryUs) {
         if (end != null || !writing) {
             return false;
         }
         uploading = false;
-        untilUs = until;
-        deadline = itsDeadline;
+        expiresAtUs = newExpiryUs;
+        timeout = timer;
         return true;
     }
 
     /** The deadline that cuts it; null while a long request is still coming. */
-    synchronized void endsWith(Deadlines.Deadline itsDeadline) {
-        deadline = itsDeadline;
+    synchronized void setTimeout(Deadlines.Deadline timer) {
+        timeout = timer;
     }
 
     /** Its connection from now on, which was idle for so long before; -1: it is new. */
-    synchronized void on(UpstreamConnection itsConnection, long itsIdleUs) {
-        connection = itsConnection;
-        idleUs = itsIdleUs;
+    synchronized void setConnection(UpstreamConnection newConnection, long newIdleUs) {
+        connection = newConnection;
+        connectionIdleUs = newIdleUs;
     }
 
     /** -1: the connection is new. */
-    synchronized long idleUs() {
-        return idleUs;
+    synchronized long connectionIdleUs() {
+        return connectionIdleUs;
     }
 
-    synchronized Deadlines.Deadline deadline() {
-        return deadline;
+    synchronized Deadlines.Deadline timeout() {
+        return timeout;
     }
 
     /** The last byte is with the system, or the write has failed before it. */
@@ -138,13 +138,13 @@
      * Ends the wait from outside by closing the connection, so that a late answer reaches nobody. The
      * connection's own thread reports the attempt.
      */
-    void cut(AttemptEnd why) {
+    void abort(AttemptEnd reason) {
         UpstreamConnection toClose;
         synchronized (this) {
             if (end != null) {
                 return;
             }
-            end = why;
+            end = reason;
             toClose = connection;
             notifyAll();
         }
@@ -157,14 +157,14 @@
      * How long the attempt has taken, microseconds. Of an answer only what came after the write: what this process
      * needs to begin an attempt, much in its first second, says nothing of the host's pace.
      */
-    synchronized long tookUs(AttemptEnd how, long nowUs) {
-        boolean served = how == AttemptEnd.SERVED;
-        return (served && headUs > 0 ? headUs : nowUs) - (served && isWritten() ? writtenAtUs : startUs);
+    synchronized long durationUs(AttemptEnd attemptEnd, long nowUs) {
+        boolean served = attemptEnd == AttemptEnd.SERVED;
+        return (served && headReceivedUs > 0 ? headReceivedUs : nowUs) - (served && isWritten() ? writtenAtUs : startUs);
     }
 
     /** The head of its answer is here: how long the body takes is its length's doing, and its readers'. */
-    synchronized void headCame(long nowUs) {
-        headUs = nowUs;
+    synchronized void headReceived(long nowUs) {
+        headReceivedUs = nowUs;
     }
 
     private boolean isWritten() {
@@ -180,21 +180,21 @@
         return writing;
     }
 
-    synchronized boolean isCut() {
+    synchronized boolean hasEnded() {
         return end != null;
     }
 
     /** The whole answer is here: false if the attempt was cut before. */
-    synchronized boolean answered(AttemptEnd how) {
+    synchronized boolean tryEnd(AttemptEnd attemptEnd) {
         if (end != null) {
             return false;
         }
-        end = how;
+        end = attemptEnd;
         return true;
     }
 
     /** How it ended, as nothing of it went out, for no fault of its host's. */
-    synchronized AttemptEnd neverSent() {
+    synchronized AttemptEnd endUnsent() {
         end = end == AttemptEnd.GIVEN_UP ? end : AttemptEnd.NOT_SENT;
         return end;
     }
@@ -203,7 +203,7 @@
      * How the attempt ended, its connection being broken. What was not written whole never ran; while another
      * thread still writes it, that is not known yet, and taking it for not run could run it twice.
      */
-    synchronized AttemptEnd broken() {
+    synchronized AttemptEnd endBroken() {
         if (uploading) {
             writing = false;        // the last piece was not written, and never will be
         }
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -101,7 +101,7 @@
         } finally {
             if (current != null) {
                 LOG.fine(() -> "client of " + current.id + " is gone, " + state
-                        + (current.isOver() ? "" : ", unanswered"));
+                        + (current.isClaimed() ? "" : ", unanswered"));
                 side.conductor().clientLeft(current);
             }
             bodies.over();
@@ -215,7 +215,7 @@
             if (current == null) {
                 answer(Answers.plain(500, "failed"));
             } else if (current.claim()) {
-                current.ended(End.FAULTED);
+                current.recordEnd(End.FAULTED);
                 answer(Answers.plain(500, "failed"));
             }
         } finally {
@@ -244,17 +244,17 @@
             if (bodies.isWaiting()) {
                 requestIsLate();
             } else {
-                side.conductor().cutStuck(exchange);
+                side.conductor().abortStalledUpload(exchange);
             }
         })) {
             Attempt attempt = null;
-            while (uploading && !exchange.isOver()) {
+            while (uploading && !exchange.isClaimed()) {
                 int read = Math.max(0, bodies.read(body, piece, Chunks.ROOM, Pieces.SIZE));
                 boolean last = body.isWhole();
                 uploading = !last;
                 // From the first piece on that is not held, no other attempt can follow: asked for once it is here.
                 while (attempt == null || !exchange.commit(attempt)) {
-                    attempt = exchange.awaitOpen();
+                    attempt = exchange.awaitReadyAttempt();
                     if (attempt == null) {
                         return;
                     }
@@ -265,7 +265,7 @@
                 }
                 if (last) {
                     input.expect(reader, true);     // it may have left while this thread was elsewhere
-                    if (!side.conductor().lastPiece(attempt)) {
+                    if (!side.conductor().beginFinalWrite(attempt)) {
                         return;
                     }
                 }
@@ -281,13 +281,13 @@
                 Pieces.gather(read, body, side.pauseMs());
             }
         } catch (BadMessage e) {
-            side.conductor().spoilt(exchange, Answers.plain(e.status, e.getMessage()));
+            side.conductor().rejectUpload(exchange, Answers.plain(e.status, e.getMessage()));
         } catch (EOFException e) {
             if (!late) {
                 side.conductor().clientLeft(exchange);
                 throw e;
             }
-            side.conductor().spoilt(exchange, Answers.tooLate());
+            side.conductor().rejectUpload(exchange, Answers.tooLate());
         } catch (IOException e) {
             side.conductor().clientLeft(exchange);
             throw e;
@@ -318,11 +318,11 @@
             asked = true;
         }
         Exchange exchange = new Exchange(side.nextId(), this, request, side.counts());
-        exchange.dueBy(receivedUs + request.budgetUs());
+        exchange.setDeadline(receivedUs + request.budgetUs());
         LOG.fine(() -> "request " + Long.toHexString(callId) + " is " + exchange.id);
         current = exchange;
         if (side.isOver() && exchange.claim()) {
-            exchange.ended(End.THROTTLED);         // it never ran, and there is no time for it to
+            exchange.recordEnd(End.THROTTLED);         // it never ran, and there is no time for it to
             answer(Answers.refusal(0));
             return;
         }
@@ -449,14 +449,14 @@
     /** Whether a request is in hand whose answer nobody has taken on. */
     boolean holds() {
         Exchange held = current;
-        return held != null && !held.isOver();
+        return held != null && !held.isClaimed();
     }
 
     /** There is no time left to wait for the answer to the request in hand: it fails, better told than cut off. */
     void failHeld() {
         Exchange held = current;
         if (held != null) {
-            side.conductor().spoilt(held, Answers.failure(504));
+            side.conductor().rejectUpload(held, Answers.failure(504));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientSide.java
@@ -41,7 +41,7 @@
 
     private final Supplier<Setup> setup;
     private final Facade facade;
-    private final Conductor conductor;
+    private final RequestDispatcher conductor;
     private final Deadlines deadlines;
     private final int most;
     private final int crowd;
@@ -62,7 +62,7 @@
     /** How many there may be at present: fewer than {@link #most} after threads were short. Under the lock. */
     private int bound;
 
-    ClientSide(Door door, Supplier<Setup> setup, Facade facade, Conductor conductor,
+    ClientSide(Door door, Supplier<Setup> setup, Facade facade, RequestDispatcher conductor,
                  Deadlines deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int most,
                  int crowd, int mostUploads, ThreadReserve threads) {
         this.mostUploads = mostUploads;
@@ -100,7 +100,7 @@
         return facade.nextId();
     }
 
-    Conductor conductor() {
+    RequestDispatcher conductor() {
         return conductor;
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -6,70 +6,70 @@
 /** One request of the client's, until its one answer. Whoever claims it first answers it, or drops it. */
 class Exchange {
     final long id;
-    final ClientConnection from;
+    final ClientConnection client;
     final ClientRequest request;
     private final Counts counts;
-    private boolean over;
+    private boolean claimed;
     private boolean timedOut;
     private Attempt attempt;
     private boolean committed;
-    private boolean taken;
-    private volatile long dueUs;
+    private boolean received;
+    private volatile long deadlineUs;
 
     /** Counts as taken from here on; a long one, once its last byte has come. */
-    Exchange(long id, ClientConnection from, ClientRequest request, Counts counts) {
+    Exchange(long id, ClientConnection client, ClientRequest request, Counts counts) {
         this.id = id;
-        this.from = from;
+        this.client = client;
         this.request = request;
         this.counts = counts;
         if (!request.isLong()) {
-            taken();
+            markReceived();
         }
     }
 
     /** Has its client looked for where that may have left unseen: asked right before an attempt's first byte. */
-    void lookForClient() {
-        from.lookFor(this);
+    void checkClientPresence() {
+        client.lookFor(this);
     }
 
     /** It is here whole. */
-    synchronized void taken() {
-        if (!taken) {
-            taken = true;
+    synchronized void markReceived() {
+        if (!received) {
+            received = true;
             counts.taken();
         }
     }
 
     /** When its time ends, us; told again where a long one has become whole. */
-    void dueBy(long us) {
-        dueUs = us;
+    void setDeadline(long newDeadlineUs) {
+        deadlineUs = newDeadlineUs;
     }
 
-    long dueUs() {
-        return dueUs;
+    long deadlineUs() {
+        return deadlineUs;
     }
 
     /** Only who claimed it calls this, once. */
-    void ended(Counts.End how) {
-        taken();
-        counts.ended(request.className(), how);
+    void recordEnd(Counts.End end) {
+        markReceived();
+        counts.ended(request.className(), end);
     }
 
     /** True for one caller alone: that one answers. */
     synchronized boolean claim() {
-        boolean first = !over;
-        over = true;
+        boolean first = !claimed;
+        claimed = true;
         notifyAll();
         return first;
     }
 
-    synchronized boolean isOver() {
-        return over;
+    synchronized boolean isClaimed() {
+        return claimed;
     }
 
     /** The attempt that is out from now on; false if the client has left meanwhile, and nothing may go out. */
     synchronized boolean attach(Attempt next) {
-        if (over) {
+        if (claimed) {
             return false;
         }
         attempt = next;
@@ -77,19 +77,19 @@
     }
 
     /** Waits for the attempt that takes the rest of a long request; null once the exchange is over. */
-    synchronized Attempt awaitOpen() {
-        Waits.whileTrue(this, () -> !over && (attempt == null || !attempt.isOpen()));
-        return over ? null : attempt;
+    synchronized Attempt awaitReadyAttempt() {
+        Waits.whileTrue(this, () -> !claimed && (attempt == null || !attempt.isReadyForBody()));
+        return claimed ? null : attempt;
     }
 
     /** More than is held goes to this attempt, and no other can follow; false where it has ended meanwhile. */
     synchronized boolean commit(Attempt to) {
-        committed |= !over && attempt == to;
-        return !over && attempt == to;
+        committed |= !claimed && attempt == to;
+        return !claimed && attempt == to;
     }
 
     /** The attempt has ended; how far a long request was passed on by then. */
-    synchronized Upload attemptOver(Attempt ended) {
+    synchronized Upload detach(Attempt ended) {
         if (attempt == ended) {
             attempt = null;
         }
@@ -97,7 +97,7 @@
     }
 
     /** Has those look again who wait for an attempt. */
-    synchronized void attemptOpened() {
+    synchronized void attemptReady() {
         notifyAll();
     }
 
@@ -107,8 +107,8 @@
     }
 
     /** What a failed answer says: that time ran out, or that the upstreams failed. */
-    synchronized void lastAttemptTimedOut(boolean so) {
-        timedOut = so;
+    synchronized void lastAttemptTimedOut(boolean isTimeout) {
+        timedOut = isTimeout;
     }
 
     synchronized int failureStatus() {
--- a/sidecar/src/main/java/dapplequay/net/Presence.java
+++ b/sidecar/src/main/java/dapplequay/net/Presence.java
@@ -88,7 +88,7 @@
 
     private synchronized void awaitThread(Exchange exchange) {
         try {
-            while (awaySinceUs >= 0 && side.deadlines().now() - awaySinceUs > KNOWN_US && !exchange.isOver()) {
+            while (awaySinceUs >= 0 && side.deadlines().now() - awaySinceUs > KNOWN_US && !exchange.isClaimed()) {
                 Waits.atMost(this, AHEAD_MS);
             }
         } catch (InterruptedIOException e) {
--- a/sidecar/src/main/java/dapplequay/net/Conductor.java
+++ b/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
@@ -16,27 +16,27 @@
 import java.util.logging.Logger;
 
 /** Carries out what the facade decides: attempts to the upstream side, answers to the client side. */
-class Conductor {
-    private static final Logger LOG = Logger.getLogger(Conductor.class.getName());
+class RequestDispatcher {
+    private static final Logger LOG = Logger.getLogger(RequestDispatcher.class.getName());
 
     private final Facade facade;
     private final UpstreamSide upstreams;
     /** The attempts that are out, by their exchange's number. */
-    private final Map<Long, Attempt> out = new ConcurrentHashMap<>();
+    private final Map<Long, Attempt> activeAttempts = new ConcurrentHashMap<>();
 
-    Conductor(Facade facade, UpstreamSide upstreams) {
+    RequestDispatcher(Facade facade, UpstreamSide upstreams) {
         this.facade = facade;
         this.upstreams = upstreams;
     }
 
     void begin(Exchange exchange, Call call) {
-        guarded(exchange, () -> carryOut(exchange, facade.pick(exchange.id, call)));
+        runGuarded(exchange, () -> execute(exchange, facade.pick(exchange.id, call)));
     }
 
-    private void carryOut(Exchange exchange, Decision decision) {
+    private void execute(Exchange exchange, Decision decision) {
         if (decision instanceof Decision.Send send) {
             Attempt attempt = new Attempt(exchange, send, upstreams.now());
-            out.put(exchange.id, attempt);
+            activeAttempts.put(exchange.id, attempt);
             upstreams.send(attempt);
         } else if (decision instanceof Decision.Refuse refuse && exchange.claim()) {
             LOG.fine(() -> "refused " + exchange.id);
@@ -48,9 +48,9 @@
     }
 
     /** The one answer, by who claimed it; it is counted before the client can see it. */
-    private static void finish(Exchange exchange, End how, Answers.Answer answer) {
-        exchange.ended(how);
-        exchange.from.answer(answer);
+    private static void finish(Exchange exchange, End end, Answers.Answer answer) {
+        exchange.recordEnd(end);
+        exchange.client.answer(answer);
     }
 
     /** An attempt is held back no longer: it is connected for or written from now on. */
@@ -61,26 +61,26 @@
     /** An attempt has ended; {@code load}, {@code head} and {@code body} are there only if it was answered. */
     void attemptEnded(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
         Exchange exchange = attempt.exchange;
-        out.remove(exchange.id, attempt);
-        Upload upload = exchange.attemptOver(attempt);
+        activeAttempts.remove(exchange.id, attempt);
+        Upload upload = exchange.detach(attempt);
         if (LOG.isLoggable(Level.FINE)) {       // once an attempt: nothing is put together for nobody
-            LOG.fine("attempt " + attempt.order.host() + ' ' + end + ' ' + (upstreams.now() - attempt.startUs()) + ' '
-                    + attempt.idleUs() + ' ' + exchange.id);
+            LOG.fine("attempt " + attempt.decision.host() + ' ' + end + ' ' + (upstreams.now() - attempt.startUs()) + ' '
+                    + attempt.connectionIdleUs() + ' ' + exchange.id);
         }
-        guarded(exchange, () -> {
+        runGuarded(exchange, () -> {
             // What the request itself is at fault for, another host would find too.
-            boolean serves = (end == AttemptEnd.SERVED || end == AttemptEnd.NOT_ACCEPTED) && exchange.claim();
+            boolean answersClient = (end == AttemptEnd.SERVED || end == AttemptEnd.NOT_ACCEPTED) && exchange.claim();
             exchange.lastAttemptTimedOut(end == AttemptEnd.TIMED_OUT);
-            Decision next = facade.report(exchange.id, attempt.order.attempt(), attempt.order.host(), end,
-                    attempt.tookUs(end, upstreams.now()), exchange.isOver(), load, upload);
-            if (serves) {
+            Decision next = facade.report(exchange.id, attempt.decision.attempt(), attempt.decision.host(), end,
+                    attempt.durationUs(end, upstreams.now()), exchange.isClaimed(), load, upload);
+            if (answersClient) {
                 if (end == AttemptEnd.SERVED) {
                     finish(exchange, End.FULFILLED, Answers.served(head, body));
                 } else {
                     finish(exchange, End.FAULTED, Answers.plain(400, "not accepted"));
                 }
             } else {
-                carryOut(exchange, next);
+                execute(exchange, next);
             }
         });
     }
@@ -91,19 +91,19 @@
      */
     boolean relay(Attempt attempt, HostLoad load, Head head, Body body, byte[] start) {
         Exchange exchange = attempt.exchange;
-        out.remove(exchange.id, attempt);
-        Upload upload = exchange.attemptOver(attempt);
-        boolean goesOn = exchange.claim();
-        facade.report(exchange.id, attempt.order.attempt(), attempt.order.host(), AttemptEnd.SERVED,
-                attempt.tookUs(AttemptEnd.SERVED, upstreams.now()), true, load, upload);
-        if (!goesOn) {
+        activeAttempts.remove(exchange.id, attempt);
+        Upload upload = exchange.detach(attempt);
+        boolean claimed = exchange.claim();
+        facade.report(exchange.id, attempt.decision.attempt(), attempt.decision.host(), AttemptEnd.SERVED,
+                attempt.durationUs(AttemptEnd.SERVED, upstreams.now()), true, load, upload);
+        if (!claimed) {
             return false;
         }
         boolean whole = false;
         try {
-            whole = exchange.from.relay(head, body, start, exchange.dueUs());
+            whole = exchange.client.relay(head, body, start, exchange.deadlineUs());
         } finally {
-            exchange.ended(whole ? End.FULFILLED : End.FAULTED);
+            exchange.recordEnd(whole ? End.FULFILLED : End.FAULTED);
         }
         return whole;
     }
@@ -111,42 +111,42 @@
     /**
      * The last byte of a long request has come and is about to go out: its time begins. False: its attempt has ended.
      */
-    boolean lastPiece(Attempt attempt) {
-        if (!upstreams.lastPiece(attempt, attempt.exchange.request.budgetUs())) {
+    boolean beginFinalWrite(Attempt attempt) {
+        if (!upstreams.beginFinalWrite(attempt, attempt.exchange.request.budgetUs())) {
             return false;
         }
-        attempt.exchange.taken();
-        attempt.exchange.dueBy(attempt.untilUs());
+        attempt.exchange.markReceived();
+        attempt.exchange.setDeadline(attempt.expiresAtUs());
         facade.uploaded(attempt.exchange.id);
         return true;
     }
 
     /** The host takes nothing more of a long request. */
-    void cutStuck(Exchange exchange) {
+    void abortStalledUpload(Exchange exchange) {
         Attempt attempt = exchange.attempt();
         if (attempt != null) {
-            attempt.cut(AttemptEnd.TIMED_OUT);
+            attempt.abort(AttemptEnd.TIMED_OUT);
         }
     }
 
     /** The client is at fault for a long request that can't go on: it is told so, and the attempt is given up. */
-    void spoilt(Exchange exchange, Answers.Answer answer) {
+    void rejectUpload(Exchange exchange, Answers.Answer answer) {
         giveUp(exchange, () -> finish(exchange, End.FAULTED, answer));
     }
 
     /** Ends the wait for these attempts; each is reported by its connection's own thread. */
-    void cut(List<Facade.Cut> cuts) {
+    void abort(List<Facade.Cut> cuts) {
         for (Facade.Cut cut : cuts) {
-            Attempt attempt = out.get(cut.id());
-            if (attempt != null && attempt.order.attempt() == cut.attempt()) {
-                attempt.cut(AttemptEnd.SILENT);
+            Attempt attempt = activeAttempts.get(cut.id());
+            if (attempt != null && attempt.decision.attempt() == cut.attempt()) {
+                attempt.abort(AttemptEnd.SILENT);
             }
         }
     }
 
     /** The client is gone: nothing is owed, and the attempt that is out is given up. */
     void clientLeft(Exchange exchange) {
-        giveUp(exchange, () -> exchange.ended(End.FAULTED));
+        giveUp(exchange, () -> exchange.recordEnd(End.FAULTED));
     }
 
     private void giveUp(Exchange exchange, Runnable end) {
@@ -155,13 +155,13 @@
             facade.clientGone(exchange.id);
             Attempt attempt = exchange.attempt();
             if (attempt != null) {
-                attempt.cut(AttemptEnd.GIVEN_UP);
+                attempt.abort(AttemptEnd.GIVEN_UP);
             }
         }
     }
 
     /** A fault in here must not leave the client without its answer, nor end the thread that met it. */
-    private void guarded(Exchange exchange, Runnable step) {
+    private void runGuarded(Exchange exchange, Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -51,7 +51,7 @@
     private final Deadlines deadlines;
     private final Facade facade;
     private final Plan plan;
-    private final Conductor conductor;
+    private final RequestDispatcher conductor;
     private final Endpoints table;
     private final DiscoveryClient discovery;
     private final DiscoveryFigures figures = new DiscoveryFigures();
@@ -158,8 +158,8 @@
         counts.know(setup.classes().keySet());
         table = restored(plan, facade, memory.binds());
         upstreams = new UpstreamSide(table, deadlines, () -> setup, plan.mostUpstreams(), counts, figures);
-        conductor = new Conductor(facade, upstreams);
-        upstreams.conductor(conductor);
+        conductor = new RequestDispatcher(facade, upstreams);
+        upstreams.setDispatcher(conductor);
         upstreams.onThreadShortage(threads::shortage);
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(plan.seed()));
         discovery = new DiscoveryClient(plan.discovery(), table, facade, upstreams, memory, listClock, clock, figures);
@@ -292,7 +292,7 @@
     private void keepTime() {
         for (long turn = 0; ; turn++) {
             try {
-                conductor.cut(facade.tick());
+                conductor.abort(facade.tick());
                 deadlines.sweep();
                 discovery.turn(deadlines.now());
                 threads.turn();
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -117,9 +117,9 @@
      * Writes the attempt, or the beginning of a long one, where it may still go out and the connection is fit for it.
      */
     Begin write(Attempt now) {
-        now.exchange.lookForClient();       // first, as it may take its time
+        now.exchange.checkClientPresence();       // first, as it may take its time
         ClientRequest request = now.exchange.request;
-        byte[] message = request.bytesFor(endpoint.address(), now.untilUs() - side.now());
+        byte[] message = request.bytesFor(endpoint.address(), now.expiresAtUs() - side.now());
         if (!side.mayBegin(now, endpoint)) {
             return Begin.STOPPED;
         }
@@ -136,7 +136,7 @@
             LOG.log(Level.FINE, "attempt could not be written to {0}: {1}", new Object[] {endpoint.address(), e});
         } finally {
             if (begins) {
-                now.takenUp();
+                now.markReadyForBody();
             } else {
                 writeEnded(now, whole);
             }
@@ -214,7 +214,7 @@
     boolean carry(Attempt now, byte[] piece, Chunks.Span span, boolean last) {
         boolean written = false;
         try {
-            if (!now.isCut()) {
+            if (!now.hasEnded()) {
                 socket.getOutputStream().write(piece, span.from(), span.length());
                 written = true;
             }
@@ -288,19 +288,19 @@
         Attempt first = owed();
         Begin begin = Begin.UNFIT;
         try {
-            if (first.isCut()) {
+            if (first.hasEnded()) {
                 return false;
             }
             // A repeat is not waited for beyond its window: nothing of it could go out any more.
             long waitUs = Math.min(side.connectTimeoutUs(),
-                    Math.min(first.untilUs(), first.order.beginByUs()) - side.now());
+                    Math.min(first.expiresAtUs(), first.decision.beginByUs()) - side.now());
             socket.setTcpNoDelay(true);
             // With the socket's own time-out: to close a socket that connects does not everywhere wake its thread.
             socket.connect(endpoint.address(), (int) Math.max(1, (waitUs + 999) / 1000));
             begin = write(first);
         } catch (SocketTimeoutException e) {
-            if (side.now() >= first.order.beginByUs()) {
-                first.answered(AttemptEnd.NOT_SENT);        // cut short by this side: it tells nothing of the host
+            if (side.now() >= first.decision.beginByUs()) {
+                first.tryEnd(AttemptEnd.NOT_SENT);        // cut short by this side: it tells nothing of the host
             }
             throw e;
         } finally {
@@ -338,7 +338,7 @@
         }
         try {
             Head head = reader.response();
-            served.headCame(side.now());
+            served.headReceived(side.now());
             AttemptEnd end = end(head);
             Body body = reader.bodyOf(head);
             if (end == AttemptEnd.SERVED && served.isUploading()) {
@@ -354,7 +354,7 @@
             if (isPassedOn) {
                 socket.setSoTimeout(LongAnswer.LOOK_MS);
             }
-            if (!served.answered(end)) {
+            if (!served.tryEnd(end)) {
                 return false;       // cut while the answer came; the end of the connection reports it
             }
             boolean wasWriting = served.isWriting();
@@ -366,14 +366,14 @@
                 if (open) {
                     socket.setSoTimeout(0);
                     rest();
-                    side.free(this, served.order.host());
+                    side.free(this, served.decision.host());
                 }
                 return open;
             }
             boolean open = body.isWhole() && isOpenAfter(head, body, reader) && !wasWriting;
             if (open) {
                 rest();
-                side.free(this, served.order.host());
+                side.free(this, served.decision.host());
             } else {
                 close();
             }
@@ -381,7 +381,7 @@
             return open;
         } catch (BadMessage e) {
             LOG.log(Level.WARNING, "rubbish from {0}: {1}", new Object[] {endpoint.address(), e.getMessage()});
-            served.answered(AttemptEnd.ERROR);
+            served.tryEnd(AttemptEnd.ERROR);
             return false;
         }
     }
--- a/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
@@ -66,7 +66,7 @@
     private final SendPace pace = new SendPace();
     private int open;
     private boolean isClosing;
-    private Conductor conductor;
+    private RequestDispatcher dispatcher;
     private volatile Runnable threadShortage = () -> { };
 
     UpstreamSide(Endpoints table, Deadlines deadlines, Supplier<Setup> setup, int most, Counts counts,
@@ -88,8 +88,8 @@
     }
 
     /** Who hears of the attempts' ends; set once, before the first attempt. */
-    void conductor(Conductor theConductor) {
-        conductor = theConductor;
+    void setDispatcher(RequestDispatcher newDispatcher) {
+        dispatcher = newDispatcher;
     }
 
     /** What is done where a thread could not be started. */
@@ -115,21 +115,21 @@
 
     /** Starts an attempt. Its end is told to the conductor, by this thread if nothing went out at all. */
     void send(Attempt attempt) {
-        Endpoints.Endpoint endpoint = table.endpointOf(attempt.order.host());
+        Endpoints.Endpoint endpoint = table.endpointOf(attempt.decision.host());
         if (endpoint == null) {
             figures.stopped(stoppedBy(attempt));
         }
-        if (endpoint == null || attempt.isUploading() && !attempt.exchange.from.hasRoom()) {
-            conductor.attemptEnded(attempt, AttemptEnd.NOT_SENT, null, null, null);
+        if (endpoint == null || attempt.isUploading() && !attempt.exchange.client.hasRoom()) {
+            dispatcher.attemptEnded(attempt, AttemptEnd.NOT_SENT, null, null, null);
             return;
         }
         if (!attempt.exchange.attach(attempt)) {
-            conductor.attemptEnded(attempt, AttemptEnd.GIVEN_UP, null, null, null);
+            dispatcher.attemptEnded(attempt, AttemptEnd.GIVEN_UP, null, null, null);
             return;
         }
         // The time of a long request begins with its last byte.
-        attempt.endsWith(attempt.isUploading() ? null
-                : deadlines.after(attempt.untilUs() - now(), () -> attempt.cut(AttemptEnd.TIMED_OUT)));
+        attempt.setTimeout(attempt.isUploading() ? null
+                : deadlines.after(attempt.expiresAtUs() - now(), () -> attempt.abort(AttemptEnd.TIMED_OUT)));
         synchronized (this) {
             pace.sent(endpoint, now());
         }
@@ -153,16 +153,16 @@
         while (begin == UpstreamConnection.Begin.UNFIT) {
             Found found = find(endpoint, attempt);
             if (found == null) {
-                conductor.attemptStarted(attempt);
+                dispatcher.attemptStarted(attempt);
                 open(endpoint, attempt);
                 return;
             }
             if (found.restUs() > 0) {
-                openSpare(endpoint, attempt.order.host());
+                openSpare(endpoint, attempt.decision.host());
                 waitFor(endpoint, attempt, now() + found.restUs());
                 return;
             }
-            conductor.attemptStarted(attempt);
+            dispatcher.attemptStarted(attempt);
             begin = found.connection().write(attempt);
             if (begin != UpstreamConnection.Begin.TAKEN) {
                 found.connection().close();
@@ -187,7 +187,7 @@
 
     /** Where it may still begin, it finds the connection that it was promised, or, that being lost, what there is. */
     private void afterRest(Endpoints.Endpoint endpoint, Attempt attempt, long untilUs) {
-        attempt.rest(untilUs, deadlines::now);
+        attempt.awaitSettled(untilUs, deadlines::now);
         if (mayBegin(attempt, endpoint)) {
             goOut(endpoint, attempt);
         } else {
@@ -217,9 +217,9 @@
             neverSent(attempt);
             return;
         }
-        attempt.on(connection, -1);
+        attempt.setConnection(connection, -1);
         if (attempt.isUploading()) {
-            attempt.takenUp();                  // its client's thread goes on from here
+            attempt.markReadyForBody();                  // its client's thread goes on from here
         } else {
             start(connection);
         }
@@ -252,7 +252,7 @@
             while (last.hasNext()) {
                 UpstreamConnection resting = last.next();
                 if (resting.promisedTo() != null) {
-                    resting.promisedTo().stopResting();
+                    resting.promisedTo().cancelSettleWait();
                     return true;
                 }
             }
@@ -276,26 +276,26 @@
      */
     boolean mayBegin(Attempt attempt, Endpoints.Endpoint endpoint) {
         long now = now();
-        String reason = attempt.isCut() ? "cut" : attempt.exchange.isOver() ? "answered"
+        String reason = attempt.hasEnded() ? "cut" : attempt.exchange.isClaimed() ? "answered"
                 : !attempt.mayBeginAt(now) ? "late"
-                : !endpoint.equals(table.endpointToSend(attempt.order.host(), now)) ? stoppedBy(attempt) : null;
+                : !endpoint.equals(table.endpointToSend(attempt.decision.host(), now)) ? stoppedBy(attempt) : null;
         if (reason != null) {
             figures.stopped(reason);
-            attempt.answered(AttemptEnd.NOT_SENT);      // unless it has ended otherwise
+            attempt.tryEnd(AttemptEnd.NOT_SENT);      // unless it has ended otherwise
         }
         return reason == null;
     }
 
     /** Why its server takes no new work: its status, which is "serving" where it is another process by now. */
     private String stoppedBy(Attempt attempt) {
-        return table.statusOf(attempt.order.host()).name().toLowerCase(Locale.ROOT);
+        return table.statusOf(attempt.decision.host()).name().toLowerCase(Locale.ROOT);
     }
 
     /** Nothing of the attempt went out, and no connection has it. */
     private void neverSent(Attempt attempt) {
         attempt.writeEnded(false, now());
-        deadlines.cancel(attempt.deadline());
-        conductor.attemptEnded(attempt, attempt.neverSent(), null, null, null);
+        deadlines.cancel(attempt.timeout());
+        dispatcher.attemptEnded(attempt, attempt.endUnsent(), null, null, null);
     }
 
     /** Gives a connection its own thread. */
@@ -337,7 +337,7 @@
                 last.remove();
                 deadlines.cancel(connection.idleEnd());
                 connection.assign(attempt);
-                attempt.on(connection, idleUs);
+                attempt.setConnection(connection, idleUs);
                 return new Found(connection, 0);
             }
         }
@@ -358,7 +358,7 @@
     /** It can't be waited for any more, and has left the idle ones; under the lock. */
     private static void gone(UpstreamConnection connection) {
         if (connection.promisedTo() != null) {
-            connection.promisedTo().stopResting();
+            connection.promisedTo().cancelSettleWait();
         }
     }
 
@@ -376,9 +376,9 @@
     }
 
     /** The last piece of a long request is about to go out; false where its attempt has ended. */
-    boolean lastPiece(Attempt attempt, long budgetUs) {
-        Deadlines.Deadline late = deadlines.after(budgetUs, () -> attempt.cut(AttemptEnd.TIMED_OUT));
-        boolean goes = attempt.lastPiece(late, now() + budgetUs);
+    boolean beginFinalWrite(Attempt attempt, long budgetUs) {
+        Deadlines.Deadline late = deadlines.after(budgetUs, () -> attempt.abort(AttemptEnd.TIMED_OUT));
+        boolean goes = attempt.beginFinalWrite(late, now() + budgetUs);
         if (!goes) {
             deadlines.cancel(late);
         }
@@ -387,18 +387,18 @@
 
     /** The host has answered, whole or with the beginning of a long answer. */
     void answered(Attempt attempt) {
-        deadlines.cancel(attempt.deadline());
-        risk.note(attempt.idleUs(), false);
+        deadlines.cancel(attempt.timeout());
+        risk.note(attempt.connectionIdleUs(), false);
     }
 
     /** A whole answer goes to whom it concerns. */
     void told(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
-        conductor.attemptEnded(attempt, end, load, head, body);
+        dispatcher.attemptEnded(attempt, end, load, head, body);
     }
 
     /** A long answer is passed on; whether it was whole, and the client took all of it. */
     boolean relay(Attempt attempt, HostLoad load, Head head, Body body, byte[] start) {
-        return conductor.relay(attempt, load, head, body, start);
+        return dispatcher.relay(attempt, load, head, body, start);
     }
 
     /** The connection may be used again: before the client can send its next request, where the answer was short. */
@@ -470,17 +470,17 @@
         }
         Attempt owed = connection.owedAtEnd();
         if (owed != null) {
-            AttemptEnd end = owed.broken();
-            deadlines.cancel(owed.deadline());
+            AttemptEnd end = owed.endBroken();
+            deadlines.cancel(owed.timeout());
             if (end == AttemptEnd.RESET || end == AttemptEnd.NOT_CONNECTED) {
-                risk.note(owed.idleUs(), true);
+                risk.note(owed.connectionIdleUs(), true);
             }
             if (end == AttemptEnd.TIMED_OUT || end == AttemptEnd.SILENT) {
                 // A machine that vanished leaves its idle connections open and silent: an attempt on another one
                 // would time out too and might have run, while a connect that fails proves that it never ran.
                 closeIdle(List.of(connection.endpoint));
             }
-            conductor.attemptEnded(owed, end, null, null, null);
+            dispatcher.attemptEnded(owed, end, null, null, null);
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
@@ -143,7 +143,7 @@
             rig.atEnd = next -> { };
             rig.now.addAndGet(UpstreamRig.TIME_US);
             rig.deadlines.sweep();
-            attempt.cut(AttemptEnd.TIMED_OUT);
+            attempt.abort(AttemptEnd.TIMED_OUT);
             go.countDown();
         };
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -166,8 +166,8 @@
         counts.know(setup.classes().keySet());
         lifetime = new Lifetime(deadlines::now);
         UpstreamSide upstreams = new UpstreamSide(table, deadlines, () -> setup, 100, counts, new DiscoveryFigures(), sockets);
-        Conductor conductor = new Conductor(facade, upstreams);
-        upstreams.conductor(conductor);
+        RequestDispatcher conductor = new RequestDispatcher(facade, upstreams);
+        upstreams.setDispatcher(conductor);
         Door door = door(hooks, accepted);
         side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime, new Headroom(1),
                 most, crowd, 10, new ThreadReserve(deadlines::now));
@@ -175,7 +175,7 @@
         lifetime.listening();
         Host.daemon(() -> {
             while (!closed) {
-                conductor.cut(facade.tick());
+                conductor.abort(facade.tick());
                 deadlines.sweep();
                 if (tellsTurns) {
                     side.turn();
--- a/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
@@ -166,7 +166,7 @@
             assertThat(rig.next()).as("before the rest is over").isEqualTo(
                     new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
-            assertThat(attempt.tookUs(AttemptEnd.NOT_CONNECTED, rig.now.get())).as("what a failed connect would say").isZero();
+            assertThat(attempt.durationUs(AttemptEnd.NOT_CONNECTED, rig.now.get())).as("what a failed connect would say").isZero();
             assertThat(rig.ends).as("told once").isEmpty();
         }
     }
@@ -183,7 +183,7 @@
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
             rig.side.send(attempt);
             rig.awaitResting(1);
-            attempt.cut(why);
+            attempt.abort(why);
             AttemptEnd told = why == AttemptEnd.GIVEN_UP ? why : AttemptEnd.NOT_SENT;
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, told, null));
             rig.now.addAndGet(UpstreamSide.REST_US);
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -49,7 +49,7 @@
         }
 
         @Override
-        void lookForClient() { }
+        void checkClientPresence() { }
     }
 
     final AtomicLong now = new AtomicLong(1_000_000_000);
@@ -70,7 +70,7 @@
     UpstreamRig(int most) {
         SettingsReader.Setup setup = new SettingsReader.Setup(null, Map.of(), Map.of(), TIME_US, 3 * TIME_US);
         side = new UpstreamSide(table, deadlines, () -> setup, most, new Counts(), new DiscoveryFigures());
-        side.conductor(new Conductor(null, side) {
+        side.setDispatcher(new RequestDispatcher(null, side) {
             @Override
             void attemptStarted(Attempt attempt) {
                 started.add(attempt);
--- a/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
@@ -39,7 +39,7 @@
 
     private static UpstreamSide side(Endpoints table, Deadlines deadlines, BlockingQueue<AttemptEnd> ends) {
         UpstreamSide side = new UpstreamSide(table, deadlines, () -> SETUP, 10, new Counts(), new DiscoveryFigures());
-        side.conductor(new Conductor(null, side) {
+        side.setDispatcher(new RequestDispatcher(null, side) {
             @Override
             void attemptStarted(Attempt attempt) { }
 
--- a/sidecar/src/test/java/dapplequay/net/WriteGuardTest.java
+++ b/sidecar/src/test/java/dapplequay/net/WriteGuardTest.java
@@ -113,7 +113,7 @@
             rig.list("SERVING", host.getLocalPort());
             Attempt attempt = rig.longAttempt("s0", rig.now.get() + WINDOW_US);
             UpstreamConnection connection = new UpstreamConnection(rig.side, rig.table.endpointOf("s0"), attempt);
-            attempt.on(connection, -1);
+            attempt.setConnection(connection, -1);
             rig.atLook(Thread.currentThread(), () -> happen(what, attempt, host.getLocalPort()));
             assertThat(connection.beginFor()).isFalse();
             assertStopped(what, attempt);
