--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -259,7 +259,7 @@
                         return;
                     }
                     presence.expect(side.deadlines().now(), last);
-                    if (!attempt.connection().beginFor()) {
+                    if (!attempt.connection().connectForUpload()) {
                         attempt = null;
                     }
                 }
@@ -271,12 +271,12 @@
                 }
                 moves.moved();
                 Chunks.Span out = Chunks.span(piece, read, chunked, last);
-                if (!attempt.connection().carry(attempt, piece, out, last)) {
+                if (!attempt.connection().writePiece(attempt, piece, out, last)) {
                     return;
                 }
                 moves.moved();
                 if (last) {
-                    attempt.connection().carried(true);
+                    attempt.connection().uploadEnded(true);
                 }
                 Pieces.gather(read, body, side.pauseMs());
             }
@@ -296,7 +296,7 @@
             // Its end is reported by this thread, if it was this thread's to serve and the answer is not awaited yet.
             Attempt left = exchange.attempt();
             if (left != null && left.connection() != null) {
-                left.connection().carried(false);
+                left.connection().uploadEnded(false);
             }
         }
     }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -57,7 +57,7 @@
 
     private final Endpoints table;
     private final Facade facade;
-    private final UpstreamSide upstreams;
+    private final UpstreamPool upstreams;
     private final Sidecar.Memory memory;
     private final ListClock clock;
     private final LongSupplier now;
@@ -77,7 +77,7 @@
     private boolean isEnded;
 
     /** {@code now}: microseconds, never backwards. */
-    DiscoveryClient(InetSocketAddress discovery, Endpoints table, Facade facade, UpstreamSide upstreams,
+    DiscoveryClient(InetSocketAddress discovery, Endpoints table, Facade facade, UpstreamPool upstreams,
             Sidecar.Memory memory, ListClock clock, LongSupplier now, DiscoveryFigures figures) {
         this.discovery = discovery;
         this.memory = memory;
--- a/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
+++ b/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
@@ -20,11 +20,11 @@
     private static final Logger LOG = Logger.getLogger(RequestDispatcher.class.getName());
 
     private final Facade facade;
-    private final UpstreamSide upstreams;
+    private final UpstreamPool upstreams;
     /** The attempts that are out, by their exchange's number. */
     private final Map<Long, Attempt> activeAttempts = new ConcurrentHashMap<>();
 
-    RequestDispatcher(Facade facade, UpstreamSide upstreams) {
+    RequestDispatcher(Facade facade, UpstreamPool upstreams) {
         this.facade = facade;
         this.upstreams = upstreams;
     }
--- a/sidecar/src/main/java/dapplequay/net/SendPace.java
+++ b/sidecar/src/main/java/dapplequay/net/SendPace.java
@@ -11,7 +11,7 @@
     /** So many attempts in a row tell the pace. */
     static final int WINDOW = 8;
     /** At this mean gap a spare connection is seldom idle for so long that it is closed again. */
-    static final long STEADY_GAP_US = UpstreamSide.SPARE_US / 10;
+    static final long STEADY_GAP_US = UpstreamPool.SPARE_IDLE_US / 10;
     /** Of so many upstreams, the last used, the pace is known. */
     private static final int MOST = 256;
 
@@ -65,6 +65,6 @@
     void opened(Endpoints.Endpoint endpoint, boolean isOpen, long nowUs) {
         Recent at = of(endpoint);
         at.opening = Math.max(0, at.opening - 1);
-        at.noneBeforeUs = isOpen ? at.noneBeforeUs : nowUs + UpstreamSide.SPARE_US;
+        at.noneBeforeUs = isOpen ? at.noneBeforeUs : nowUs + UpstreamPool.SPARE_IDLE_US;
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -55,7 +55,7 @@
     private final Endpoints table;
     private final DiscoveryClient discovery;
     private final DiscoveryFigures figures = new DiscoveryFigures();
-    private final UpstreamSide upstreams;
+    private final UpstreamPool upstreams;
     private final Counts counts = new Counts();
     private final Lifetime lifetime;
     private final Headroom headroom;
@@ -157,7 +157,7 @@
         threads = new ThreadReserve(clock);
         counts.know(setup.classes().keySet());
         table = restored(plan, facade, memory.binds());
-        upstreams = new UpstreamSide(table, deadlines, () -> setup, plan.mostUpstreams(), counts, figures);
+        upstreams = new UpstreamPool(table, deadlines, () -> setup, plan.mostUpstreams(), counts, figures);
         conductor = new RequestDispatcher(facade, upstreams);
         upstreams.setDispatcher(conductor);
         upstreams.onThreadShortage(threads::shortage);
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -25,47 +25,47 @@
 final class UpstreamConnection implements Runnable {
     private static final Logger LOG = Logger.getLogger(UpstreamConnection.class.getName());
 
-    private static final int PIECE = 8 * 1024;
+    private static final int READ_BYTES = 8 * 1024;
     /** So long an answer of unknown length may take before it is passed on as it comes. */
-    private static final long HELD_US = 100_000;
+    private static final long BUFFER_RESPONSE_US = 100_000;
 
     final Endpoints.Endpoint endpoint;
-    private final UpstreamSide side;
+    private final UpstreamPool pool;
     private final Socket socket;
-    private volatile Drive drive;
+    private volatile ServingThread servingThread;
     private volatile boolean isConnected;
     /** The upstream's name where it is opened for no attempt; else null. */
-    private final String spareFor;
+    private final String spareForHost;
     /** This and the next three: under this connection's own lock. */
     private Attempt attempt;
     /** The attempt was handed over by another thread, which is about to write it and owns it until it does. */
-    private boolean handed;
+    private boolean handedOver;
     /** The attempt's first byte is about to go out, or has gone: what is read from now on may be its answer. */
-    private boolean begun;
+    private boolean attemptBegun;
     /** Something was read, or the end, before an attempt began: it is no attempt's answer, and none may begin here. */
-    private boolean unfit;
-    private Deadlines.Deadline idleEnd;
+    private boolean unusable;
+    private Deadlines.Deadline idleTimeout;
     private long idleSinceUs;
     /** Under the side's lock. */
-    private Attempt promisedTo;
+    private Attempt reservedFor;
 
     /** One that takes a long request is served by its client's thread until that is whole. */
-    UpstreamConnection(UpstreamSide side, Endpoints.Endpoint endpoint, Attempt first) {
-        drive = first.isUploading() ? Drive.CLIENT : Drive.OWN;
-        this.side = side;
+    UpstreamConnection(UpstreamPool pool, Endpoints.Endpoint endpoint, Attempt first) {
+        servingThread = first.isUploading() ? ServingThread.CLIENT_CONNECTING : ServingThread.OWN;
+        this.pool = pool;
         this.endpoint = endpoint;
-        socket = side.newSocket();
+        socket = pool.newSocket();
         attempt = first;
-        spareFor = null;
+        spareForHost = null;
     }
 
     /** A spare one, opened before an attempt needs it; {@code host}: its upstream's name in the list. */
-    UpstreamConnection(UpstreamSide side, Endpoints.Endpoint endpoint, String host) {
-        drive = Drive.OWN;
-        this.side = side;
+    UpstreamConnection(UpstreamPool pool, Endpoints.Endpoint endpoint, String host) {
+        servingThread = ServingThread.OWN;
+        this.pool = pool;
         this.endpoint = endpoint;
-        socket = side.newSocket();
-        spareFor = host;
+        socket = pool.newSocket();
+        spareForHost = host;
     }
 
     /**
@@ -74,12 +74,12 @@
      */
     synchronized void assign(Attempt next) {
         attempt = next;
-        handed = true;
+        handedOver = true;
     }
 
-    void idle(long sinceUs, Deadlines.Deadline end) {
+    void setIdle(long sinceUs, Deadlines.Deadline timeout) {
         idleSinceUs = sinceUs;
-        idleEnd = end;
+        idleTimeout = timeout;
     }
 
     long idleSinceUs() {
@@ -87,16 +87,16 @@
     }
 
     /** Nobody else may take it while it rests; null: anybody may, once it has rested. */
-    void promise(Attempt next) {
-        promisedTo = next;
+    void reserveFor(Attempt next) {
+        reservedFor = next;
     }
 
-    Attempt promisedTo() {
-        return promisedTo;
+    Attempt reservedFor() {
+        return reservedFor;
     }
 
-    Deadlines.Deadline idleEnd() {
-        return idleEnd;
+    Deadlines.Deadline idleTimeout() {
+        return idleTimeout;
     }
 
     void close() {
@@ -104,44 +104,44 @@
     }
 
     /** What became of an attempt that was to be written. */
-    enum Begin {
+    enum WriteResult {
         /** The connection has it, and its thread reports its end, also where the write has failed. */
-        TAKEN,
+        ACCEPTED,
         /** It may not go out any more, and has ended as never sent. The connection is of no more use. */
         STOPPED,
         /** The host has closed the connection or sent what nobody asked for: the attempt may go out on another one. */
-        UNFIT
+        UNUSABLE
     }
 
     /**
      * Writes the attempt, or the beginning of a long one, where it may still go out and the connection is fit for it.
      */
-    Begin write(Attempt now) {
-        now.exchange.checkClientPresence();       // first, as it may take its time
-        ClientRequest request = now.exchange.request;
-        byte[] message = request.bytesFor(endpoint.address(), now.expiresAtUs() - side.now());
-        if (!side.mayBegin(now, endpoint)) {
-            return Begin.STOPPED;
+    WriteResult write(Attempt current) {
+        current.exchange.checkClientPresence();       // first, as it may take its time
+        ClientRequest request = current.exchange.request;
+        byte[] message = request.bytesFor(endpoint.address(), current.expiresAtUs() - pool.now());
+        if (!pool.mayBegin(current, endpoint)) {
+            return WriteResult.STOPPED;
         }
-        if (!begins()) {
-            return Begin.UNFIT;
+        if (!tryBegin()) {
+            return WriteResult.UNUSABLE;
         }
         boolean whole = false;
-        boolean begins = false;
+        boolean awaitsBody = false;
         try {
             socket.getOutputStream().write(message);
-            begins = request.isLong();
-            whole = !begins;
+            awaitsBody = request.isLong();
+            whole = !awaitsBody;
         } catch (IOException e) {
             LOG.log(Level.FINE, "attempt could not be written to {0}: {1}", new Object[] {endpoint.address(), e});
         } finally {
-            if (begins) {
-                now.markReadyForBody();
+            if (awaitsBody) {
+                current.markReadyForBody();
             } else {
-                writeEnded(now, whole);
+                writeEnded(current, whole);
             }
         }
-        return Begin.TAKEN;
+        return WriteResult.ACCEPTED;
     }
 
     /**
@@ -150,40 +150,40 @@
      * first that something came, or this says first that the attempt has begun; only what comes then is taken for its
      * answer.
      */
-    private synchronized boolean begins() {
+    private synchronized boolean tryBegin() {
         try {
-            unfit |= socket.getInputStream().available() > 0;
+            unusable |= socket.getInputStream().available() > 0;
         } catch (IOException e) {
-            unfit = true;
+            unusable = true;
         }
-        handed &= unfit;
-        begun = !unfit;
-        return begun;
+        handedOver &= unusable;
+        attemptBegun = !unusable;
+        return attemptBegun;
     }
 
     /** Something has been read, or the end, or a break. */
-    private synchronized void came() {
-        unfit |= !begun;
+    private synchronized void inputReceived() {
+        unusable |= !attemptBegun;
     }
 
     /** The attempt that has begun, or null. */
     private synchronized Attempt begunAttempt() {
-        return begun ? attempt : null;
+        return attemptBegun ? attempt : null;
     }
 
     /** The attempt is over for this connection: what still comes is the rest of its answer. */
-    private synchronized void release() {
+    private synchronized void detachAttempt() {
         attempt = null;
     }
 
     /** The answer is whole and read: from here on whatever comes is unasked. */
-    private synchronized void rest() {
-        begun = false;
+    private synchronized void responseRead() {
+        attemptBegun = false;
     }
 
     /** Notes that something came at once, before any other thread can take the connection for a quiet one. */
-    private final class Noting extends FilterInputStream {
-        Noting(InputStream in) {
+    private final class InputObserver extends FilterInputStream {
+        InputObserver(InputStream in) {
             super(in);
         }
 
@@ -192,16 +192,16 @@
             try {
                 return in.read(to, at, most);
             } finally {
-                came();
+                inputReceived();
             }
         }
     }
 
-    private void writeEnded(Attempt now, boolean whole) {
+    private void writeEnded(Attempt current, boolean whole) {
         if (whole) {
-            side.counts().relayed();
+            pool.counts().relayed();
         }
-        now.writeEnded(whole, side.now());
+        current.writeEnded(whole, pool.now());
         if (!whole) {
             close();
         }
@@ -211,10 +211,10 @@
      * Writes the next piece of a long request, the last one with the end of the body; false where the attempt has
      * ended.
      */
-    boolean carry(Attempt now, byte[] piece, Chunks.Span span, boolean last) {
+    boolean writePiece(Attempt current, byte[] piece, Chunks.Span span, boolean last) {
         boolean written = false;
         try {
-            if (!now.hasEnded()) {
+            if (!current.hasEnded()) {
                 socket.getOutputStream().write(piece, span.from(), span.length());
                 written = true;
             }
@@ -222,7 +222,7 @@
             LOG.log(Level.FINE, "attempt could not be written to {0}: {1}", new Object[] {endpoint.address(), e});
         } finally {
             if (last || !written) {
-                writeEnded(now, last && written);
+                writeEnded(current, last && written);
             }
         }
         return written;
@@ -233,120 +233,120 @@
      * of this connection's own would only wait until that is over. False where the attempt has ended, which is
      * reported.
      */
-    boolean beginFor() {
-        if (drive != Drive.CLIENT) {
+    boolean connectForUpload() {
+        if (servingThread != ServingThread.CLIENT_CONNECTING) {
             return true;
         }
-        boolean begun = false;
+        boolean isReady = false;
         try {
-            begun = connect();
+            isReady = connect();
         } catch (IOException e) {
             LOG.log(Level.FINE, "connection to {0} ended: {1}", new Object[] {endpoint.address(), e});
         }
-        drive = begun ? Drive.CARRIED : Drive.OVER;
-        if (!begun) {
+        servingThread = isReady ? ServingThread.CLIENT_WRITING : ServingThread.NONE;
+        if (!isReady) {
             close();
-            side.ended(this);
+            pool.connectionEnded(this);
         }
-        return begun;
+        return isReady;
     }
 
     /** The client's thread is done with it: the answer is read by a thread of this connection's own, or it ends. */
-    void carried(boolean whole) {
-        if (drive != Drive.CLIENT && drive != Drive.CARRIED) {
+    void uploadEnded(boolean whole) {
+        if (servingThread != ServingThread.CLIENT_CONNECTING && servingThread != ServingThread.CLIENT_WRITING) {
             return;
         }
-        drive = whole ? Drive.OWN : Drive.OVER;
+        servingThread = whole ? ServingThread.OWN : ServingThread.NONE;
         if (whole) {
-            side.start(this);
+            pool.start(this);
         } else {
             close();
-            side.ended(this);
+            pool.connectionEnded(this);
         }
     }
 
     /** By whose thread the connection is served: its own, or for now that of the client whose long request it takes. */
-    private enum Drive { OWN, CLIENT, CARRIED, OVER }
+    private enum ServingThread { OWN, CLIENT_CONNECTING, CLIENT_WRITING, NONE }
 
     @Override
     public void run() {
         try {
-            if (isConnected || (spareFor == null ? connect() : connectSpare())) {
-                MessageReader reader = new MessageReader(new Noting(socket.getInputStream()),
+            if (isConnected || (spareForHost == null ? connect() : connectSpare())) {
+                MessageReader reader = new MessageReader(new InputObserver(socket.getInputStream()),
                         MessageReader.LONGEST_BODY);
-                while (reader.await() && serve(reader)) { }
+                while (reader.await() && readResponse(reader)) { }
             }
         } catch (IOException e) {
             LOG.log(Level.FINE, "connection to {0} ended: {1}", new Object[] {endpoint.address(), e});
         } finally {
             close();
-            side.ended(this);
+            pool.connectionEnded(this);
         }
     }
 
     private boolean connect() throws IOException {
-        Attempt first = owed();
-        Begin begin = Begin.UNFIT;
+        Attempt first = unreportedAttempt();
+        WriteResult result = WriteResult.UNUSABLE;
         try {
             if (first.hasEnded()) {
                 return false;
             }
             // A repeat is not waited for beyond its window: nothing of it could go out any more.
-            long waitUs = Math.min(side.connectTimeoutUs(),
-                    Math.min(first.expiresAtUs(), first.decision.beginByUs()) - side.now());
+            long waitUs = Math.min(pool.connectTimeoutUs(),
+                    Math.min(first.expiresAtUs(), first.decision.beginByUs()) - pool.now());
             socket.setTcpNoDelay(true);
             // With the socket's own time-out: to close a socket that connects does not everywhere wake its thread.
             socket.connect(endpoint.address(), (int) Math.max(1, (waitUs + 999) / 1000));
-            begin = write(first);
+            result = write(first);
         } catch (SocketTimeoutException e) {
-            if (side.now() >= first.decision.beginByUs()) {
+            if (pool.now() >= first.decision.beginByUs()) {
                 first.tryEnd(AttemptEnd.NOT_SENT);        // cut short by this side: it tells nothing of the host
             }
             throw e;
         } finally {
-            if (begin != Begin.TAKEN) {
-                first.writeEnded(false, side.now());
+            if (result != WriteResult.ACCEPTED) {
+                first.writeEnded(false, pool.now());
             }
         }
-        isConnected = begin == Begin.TAKEN;
+        isConnected = result == WriteResult.ACCEPTED;
         return isConnected;
     }
 
     /** There was no thread for it. */
     void notStarted() {
-        if (spareFor != null) {
-            side.spareOpened(this, spareFor, false);
+        if (spareForHost != null) {
+            pool.spareOpened(this, spareForHost, false);
         }
     }
 
     private boolean connectSpare() throws IOException {
         try {
             socket.setTcpNoDelay(true);
-            socket.connect(endpoint.address(), (int) Math.max(1, side.connectTimeoutUs() / 1000));
+            socket.connect(endpoint.address(), (int) Math.max(1, pool.connectTimeoutUs() / 1000));
             isConnected = true;
         } finally {
-            isConnected = side.spareOpened(this, spareFor, isConnected);
+            isConnected = pool.spareOpened(this, spareForHost, isConnected);
         }
         return isConnected;
     }
 
     /** Reads what came; false where the connection is of no more use. */
-    private boolean serve(MessageReader reader) throws IOException {
-        Attempt served = begunAttempt();
-        if (served == null) {
+    private boolean readResponse(MessageReader reader) throws IOException {
+        Attempt current = begunAttempt();
+        if (current == null) {
             return false;           // bytes that nobody asked for
         }
         try {
             Head head = reader.response();
-            served.headReceived(side.now());
-            AttemptEnd end = end(head);
+            current.headReceived(pool.now());
+            AttemptEnd end = endFor(head);
             Body body = reader.bodyOf(head);
-            if (end == AttemptEnd.SERVED && served.isUploading()) {
+            if (end == AttemptEnd.SERVED && current.isUploading()) {
                 throw new BadMessage(502, "served before it had the request");
             }
             boolean isLong = end == AttemptEnd.SERVED && body.length() > MessageReader.MAX_BODY;
-            byte[] start = isLong ? new byte[0] : start(body);
-            if (end == AttemptEnd.SERVED && body.framing() == Body.Framing.TO_END && !served.awaitWritten()) {
+            byte[] start = isLong ? new byte[0] : readStart(body);
+            if (end == AttemptEnd.SERVED && body.framing() == Body.Framing.TO_END && !current.awaitWritten()) {
                 throw new EOFException("ended under its request");
             }
             HostLoad load = LoadText.read(head);
@@ -354,39 +354,39 @@
             if (isPassedOn) {
                 socket.setSoTimeout(LongAnswer.LOOK_MS);
             }
-            if (!served.tryEnd(end)) {
+            if (!current.tryEnd(end)) {
                 return false;       // cut while the answer came; the end of the connection reports it
             }
-            boolean wasWriting = served.isWriting();
-            release();
-            side.answered(served);
+            boolean wasWriting = current.isWriting();
+            detachAttempt();
+            pool.responseReceived(current);
             if (isPassedOn) {
-                boolean whole = side.relay(served, load, head, body, start);
-                boolean open = whole && isOpenAfter(head, body, reader) && !wasWriting;
-                if (open) {
+                boolean whole = pool.relay(current, load, head, body, start);
+                boolean reusable = whole && staysOpen(head, body, reader) && !wasWriting;
+                if (reusable) {
                     socket.setSoTimeout(0);
-                    rest();
-                    side.free(this, served.decision.host());
+                    responseRead();
+                    pool.returnConnection(this, current.decision.host());
                 }
-                return open;
+                return reusable;
             }
-            boolean open = body.isWhole() && isOpenAfter(head, body, reader) && !wasWriting;
-            if (open) {
-                rest();
-                side.free(this, served.decision.host());
+            boolean reusable = body.isWhole() && staysOpen(head, body, reader) && !wasWriting;
+            if (reusable) {
+                responseRead();
+                pool.returnConnection(this, current.decision.host());
             } else {
                 close();
             }
-            side.told(served, end, load, head, start);
-            return open;
+            pool.reportResponse(current, end, load, head, start);
+            return reusable;
         } catch (BadMessage e) {
             LOG.log(Level.WARNING, "rubbish from {0}: {1}", new Object[] {endpoint.address(), e.getMessage()});
-            served.tryEnd(AttemptEnd.ERROR);
+            current.tryEnd(AttemptEnd.ERROR);
             return false;
         }
     }
 
-    private static boolean isOpenAfter(Head head, Body body, MessageReader reader) {
+    private static boolean staysOpen(Head head, Body body, MessageReader reader) {
         return !head.closes(head.start[0]) && body.framing() != Body.Framing.TO_END && !reader.hasBytes();
     }
 
@@ -394,18 +394,18 @@
      * What there is of a body: all of a short one. One whose length is not known is long where it is not whole soon;
      * it is waited for that long as most are short, and a short one that breaks can be asked for elsewhere.
      */
-    private byte[] start(Body body) throws IOException {
-        ByteArrayOutputStream start = new ByteArrayOutputStream((int) Math.max(512, Math.min(PIECE, body.length())));
-        byte[] piece = new byte[(int) (body.length() < 0 ? PIECE : Math.max(1, Math.min(PIECE, body.length())))];
-        long untilUs = side.now() + HELD_US;
+    private byte[] readStart(Body body) throws IOException {
+        ByteArrayOutputStream start = new ByteArrayOutputStream((int) Math.max(512, Math.min(READ_BYTES, body.length())));
+        byte[] piece = new byte[(int) (body.length() < 0 ? READ_BYTES : Math.max(1, Math.min(READ_BYTES, body.length())))];
+        long bufferUntilUs = pool.now() + BUFFER_RESPONSE_US;
         try {
             while (!body.isWhole() && start.size() < MessageReader.MAX_BODY) {
                 if (body.length() < 0) {
-                    socket.setSoTimeout((int) Math.max(1, (untilUs - side.now()) / 1000));
+                    socket.setSoTimeout((int) Math.max(1, (bufferUntilUs - pool.now()) / 1000));
                 }
                 int read = body.read(piece, 0, piece.length);
                 start.write(piece, 0, Math.max(0, read));
-                if (body.length() < 0 && side.now() >= untilUs) {
+                if (body.length() < 0 && pool.now() >= bufferUntilUs) {
                     break;
                 }
             }
@@ -419,7 +419,7 @@
         return start.toByteArray();
     }
 
-    private static AttemptEnd end(Head head) throws BadMessage {
+    private static AttemptEnd endFor(Head head) throws BadMessage {
         String status = head.start[1];
         if (status.equals("200")) {
             return AttemptEnd.SERVED;
@@ -427,18 +427,18 @@
         if (status.startsWith("4")) {
             return AttemptEnd.NOT_ACCEPTED;
         }
-        boolean unseen = (status.equals("503") || status.equals("504")) && "1".equals(head.get("X-Rejected"));
-        return unseen ? AttemptEnd.TURNED_AWAY : AttemptEnd.ERROR;
+        boolean turnedAway = (status.equals("503") || status.equals("504")) && "1".equals(head.get("X-Rejected"));
+        return turnedAway ? AttemptEnd.TURNED_AWAY : AttemptEnd.ERROR;
     }
 
     /** The attempt whose end this connection has to report, or null: one that is handed over is still its writer's. */
-    synchronized Attempt owed() {
-        return handed ? null : attempt;
+    synchronized Attempt unreportedAttempt() {
+        return handedOver ? null : attempt;
     }
 
     /** The same at its end: no attempt begins on it any more. */
-    synchronized Attempt owedAtEnd() {
-        unfit |= !begun;
-        return owed();
+    synchronized Attempt unreportedAttemptAtEnd() {
+        unusable |= !attemptBegun;
+        return unreportedAttempt();
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
@@ -27,64 +27,64 @@
 import java.util.logging.Logger;
 
 /** The connections to upstreams: idle ones are used again, the last used first, and others opened. */
-final class UpstreamSide {
-    private static final Logger LOG = Logger.getLogger(UpstreamSide.class.getName());
+final class UpstreamPool {
+    private static final Logger LOG = Logger.getLogger(UpstreamPool.class.getName());
     /** A host closes at the full time; what is written to a connection from then on ends as a reset. */
-    private static final double IDLE_SHARE = 0.7;
+    private static final double IDLE_TIMEOUT_SHARE = 0.7;
     /**
      * A connection rests so long after an answer: what a host sends or closes behind it, be it some milliseconds late,
      * shows by then, and is not taken for the answer to the next attempt, or that attempt for one that may have run.
      */
-    static final long REST_US = 20_000;
+    static final long SETTLE_US = 20_000;
     /** How long a thread that has waited for a connection stays for the next such wait, ms. */
-    private static final long WAITER_MS = 1_000;
+    private static final long WAITER_KEEP_ALIVE_MS = 1_000;
 
     /**
      * A spare connection, one beside another idle one, is kept so long. Hosts hold a bounded number for all instances
      * together: what each keeps from its busiest moment, others are turned away for, after a handshake that the host
      * has to work for. The last used is used first, so that those which no peak of this time needed run out.
      */
-    static final long SPARE_US = 500_000;
+    static final long SPARE_IDLE_US = 500_000;
 
     /** Spare connections to one upstream that may come up at once: some come up late. */
-    private static final int SPARES_AT_ONCE = 4;
+    private static final int MAX_SPARES_OPENING = 4;
 
     private static final Deque<UpstreamConnection> NONE = new ArrayDeque<>();
 
-    private final Endpoints table;
+    private final Endpoints endpointTable;
     private final Deadlines deadlines;
     private final Supplier<Setup> setup;
-    private final int most;
+    private final int maxConnections;
     private final Map<Endpoints.Endpoint, Deque<UpstreamConnection>> idle = new HashMap<>();
-    private final IdleRisk risk;
+    private final IdleRisk idleFailures;
     private final Counts counts;
     private final DiscoveryFigures figures;
-    private final Supplier<Socket> sockets;
+    private final Supplier<Socket> socketFactory;
     /** They wait for connections to have rested: no more at once than there are such connections. */
-    private final Executor waiters = new ThreadPoolExecutor(0, Integer.MAX_VALUE, WAITER_MS, TimeUnit.MILLISECONDS,
-            new SynchronousQueue<>(), UpstreamSide::waiter);
+    private final Executor settleWaiters = new ThreadPoolExecutor(0, Integer.MAX_VALUE, WAITER_KEEP_ALIVE_MS, TimeUnit.MILLISECONDS,
+            new SynchronousQueue<>(), UpstreamPool::newWaiterThread);
     private final SendPace pace = new SendPace();
-    private int open;
+    private int openCount;
     private boolean isClosing;
     private RequestDispatcher dispatcher;
-    private volatile Runnable threadShortage = () -> { };
+    private volatile Runnable onThreadShortage = () -> { };
 
-    UpstreamSide(Endpoints table, Deadlines deadlines, Supplier<Setup> setup, int most, Counts counts,
+    UpstreamPool(Endpoints endpointTable, Deadlines deadlines, Supplier<Setup> setup, int maxConnections, Counts counts,
             DiscoveryFigures figures) {
-        this(table, deadlines, setup, most, counts, figures, Socket::new);
+        this(endpointTable, deadlines, setup, maxConnections, counts, figures, Socket::new);
     }
 
     /** {@code sockets}: where its connections get theirs, not connected yet. */
-    UpstreamSide(Endpoints table, Deadlines deadlines, Supplier<Setup> setup, int most, Counts counts,
-            DiscoveryFigures figures, Supplier<Socket> sockets) {
-        this.table = table;
+    UpstreamPool(Endpoints endpointTable, Deadlines deadlines, Supplier<Setup> setup, int maxConnections, Counts counts,
+            DiscoveryFigures figures, Supplier<Socket> socketFactory) {
+        this.endpointTable = endpointTable;
         this.deadlines = deadlines;
         this.setup = setup;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.counts = counts;
         this.figures = figures;
-        this.sockets = sockets;
-        risk = new IdleRisk(deadlines::now);
+        this.socketFactory = socketFactory;
+        idleFailures = new IdleRisk(deadlines::now);
     }
 
     /** Who hears of the attempts' ends; set once, before the first attempt. */
@@ -93,8 +93,8 @@
     }
 
     /** What is done where a thread could not be started. */
-    void onThreadShortage(Runnable told) {
-        threadShortage = told;
+    void onThreadShortage(Runnable action) {
+        onThreadShortage = action;
     }
 
     long now() {
@@ -106,7 +106,7 @@
     }
 
     Socket newSocket() {
-        return sockets.get();
+        return socketFactory.get();
     }
 
     long connectTimeoutUs() {
@@ -115,9 +115,9 @@
 
     /** Starts an attempt. Its end is told to the conductor, by this thread if nothing went out at all. */
     void send(Attempt attempt) {
-        Endpoints.Endpoint endpoint = table.endpointOf(attempt.decision.host());
+        Endpoints.Endpoint endpoint = endpointTable.endpointOf(attempt.decision.host());
         if (endpoint == null) {
-            figures.stopped(stoppedBy(attempt));
+            figures.stopped(stopReason(attempt));
         }
         if (endpoint == null || attempt.isUploading() && !attempt.exchange.client.hasRoom()) {
             dispatcher.attemptEnded(attempt, AttemptEnd.NOT_SENT, null, null, null);
@@ -133,10 +133,10 @@
         synchronized (this) {
             pace.sent(endpoint, now());
         }
-        goOut(endpoint, attempt);
+        writeOrConnect(endpoint, attempt);
     }
 
-    private static Thread waiter(Runnable work) {
+    private static Thread newWaiterThread(Runnable work) {
         Thread thread = new Thread(work, "waits for an upstream connection");
         thread.setDaemon(true);
         return thread;
@@ -148,65 +148,65 @@
      * follow on each other so fast that a further connection would be used, one is opened meanwhile, and whichever is
      * fit first is taken.
      */
-    private void goOut(Endpoints.Endpoint endpoint, Attempt attempt) {
-        UpstreamConnection.Begin begin = UpstreamConnection.Begin.UNFIT;
-        while (begin == UpstreamConnection.Begin.UNFIT) {
-            Found found = find(endpoint, attempt);
-            if (found == null) {
+    private void writeOrConnect(Endpoints.Endpoint endpoint, Attempt attempt) {
+        UpstreamConnection.WriteResult result = UpstreamConnection.WriteResult.UNUSABLE;
+        while (result == UpstreamConnection.WriteResult.UNUSABLE) {
+            Candidate candidate = findIdle(endpoint, attempt);
+            if (candidate == null) {
                 dispatcher.attemptStarted(attempt);
-                open(endpoint, attempt);
+                openConnection(endpoint, attempt);
                 return;
             }
-            if (found.restUs() > 0) {
+            if (candidate.settleLeftUs() > 0) {
                 openSpare(endpoint, attempt.decision.host());
-                waitFor(endpoint, attempt, now() + found.restUs());
+                awaitSettled(endpoint, attempt, now() + candidate.settleLeftUs());
                 return;
             }
             dispatcher.attemptStarted(attempt);
-            begin = found.connection().write(attempt);
-            if (begin != UpstreamConnection.Begin.TAKEN) {
-                found.connection().close();
+            result = candidate.connection().write(attempt);
+            if (result != UpstreamConnection.WriteResult.ACCEPTED) {
+                candidate.connection().close();
             }
         }
-        if (begin == UpstreamConnection.Begin.STOPPED) {
-            neverSent(attempt);
+        if (result == UpstreamConnection.WriteResult.STOPPED) {
+            reportUnsent(attempt);
         }
     }
 
     /** A thread of its own waits: the caller's has a client to listen to, or a connection. */
-    private void waitFor(Endpoints.Endpoint endpoint, Attempt attempt, long untilUs) {
+    private void awaitSettled(Endpoints.Endpoint endpoint, Attempt attempt, long untilUs) {
         try {
-            waiters.execute(() -> afterRest(endpoint, attempt, untilUs));
+            settleWaiters.execute(() -> afterSettled(endpoint, attempt, untilUs));
         } catch (OutOfMemoryError e) {
             LOG.log(Level.SEVERE, "no thread to wait for a connection", e);
-            threadShortage.run();
-            release(endpoint, attempt);
-            neverSent(attempt);
+            onThreadShortage.run();
+            releaseReservation(endpoint, attempt);
+            reportUnsent(attempt);
         }
     }
 
     /** Where it may still begin, it finds the connection that it was promised, or, that being lost, what there is. */
-    private void afterRest(Endpoints.Endpoint endpoint, Attempt attempt, long untilUs) {
+    private void afterSettled(Endpoints.Endpoint endpoint, Attempt attempt, long untilUs) {
         attempt.awaitSettled(untilUs, deadlines::now);
         if (mayBegin(attempt, endpoint)) {
-            goOut(endpoint, attempt);
+            writeOrConnect(endpoint, attempt);
         } else {
-            release(endpoint, attempt);
-            neverSent(attempt);
+            releaseReservation(endpoint, attempt);
+            reportUnsent(attempt);
         }
     }
 
     /** Opens a connection for the attempt, in the place of an idle one where there are as many as there may be. */
-    private void open(Endpoints.Endpoint endpoint, Attempt attempt) {
+    private void openConnection(Endpoints.Endpoint endpoint, Attempt attempt) {
         UpstreamConnection connection = null;
         UpstreamConnection evicted = null;
         synchronized (this) {
-            if (open >= most) {
+            if (openCount >= maxConnections) {
                 evicted = evict();
             }
-            if (open < most || evicted != null) {
+            if (openCount < maxConnections || evicted != null) {
                 connection = new UpstreamConnection(this, endpoint, attempt);
-                open++;
+                openCount++;
             }
         }
         if (evicted != null) {
@@ -214,7 +214,7 @@
         }
         if (connection == null) {
             LOG.warning("no room for another connection to an upstream");
-            neverSent(attempt);
+            reportUnsent(attempt);
             return;
         }
         attempt.setConnection(connection, -1);
@@ -229,12 +229,12 @@
     private void openSpare(Endpoints.Endpoint endpoint, String host) {
         UpstreamConnection spare;
         synchronized (this) {
-            if (isClosing || open >= most || !pace.wantsSpare(endpoint, now(), SPARES_AT_ONCE)) {
+            if (isClosing || openCount >= maxConnections || !pace.wantsSpare(endpoint, now(), MAX_SPARES_OPENING)) {
                 return;
             }
             spare = new UpstreamConnection(this, endpoint, host);
             pace.opening(endpoint);
-            open++;
+            openCount++;
         }
         start(spare);
     }
@@ -243,16 +243,16 @@
     boolean spareOpened(UpstreamConnection spare, String host, boolean isOpen) {
         synchronized (this) {
             pace.opened(spare.endpoint, isOpen, now());
-            if (!isOpen || isClosing || !spare.endpoint.equals(table.endpointOf(host))) {
+            if (!isOpen || isClosing || !spare.endpoint.equals(endpointTable.endpointOf(host))) {
                 return false;
             }
-            keepIdle(spare, now() - REST_US);
+            addIdle(spare, now() - SETTLE_US);
             // Whoever would wait the longest looks anew.
-            Iterator<UpstreamConnection> last = idle.get(spare.endpoint).descendingIterator();
-            while (last.hasNext()) {
-                UpstreamConnection resting = last.next();
-                if (resting.promisedTo() != null) {
-                    resting.promisedTo().cancelSettleWait();
+            Iterator<UpstreamConnection> newestFirst = idle.get(spare.endpoint).descendingIterator();
+            while (newestFirst.hasNext()) {
+                UpstreamConnection resting = newestFirst.next();
+                if (resting.reservedFor() != null) {
+                    resting.reservedFor().cancelSettleWait();
                     return true;
                 }
             }
@@ -261,12 +261,12 @@
     }
 
     /** Among the idle ones from now on; under the lock. */
-    private void keepIdle(UpstreamConnection connection, long sinceUs) {
-        Deque<UpstreamConnection> ready = idle.computeIfAbsent(connection.endpoint, e -> new ArrayDeque<>());
-        long idleUs = (long) (setup.get().connIdleUs() * IDLE_SHARE);
-        long stayUs = ready.isEmpty() ? idleUs : Math.min(idleUs, SPARE_US);
-        connection.idle(sinceUs, deadlines.after(stayUs, () -> retire(connection)));
-        ready.addLast(connection);
+    private void addIdle(UpstreamConnection connection, long sinceUs) {
+        Deque<UpstreamConnection> idleHere = idle.computeIfAbsent(connection.endpoint, e -> new ArrayDeque<>());
+        long idleUs = (long) (setup.get().connIdleUs() * IDLE_TIMEOUT_SHARE);
+        long keepUs = idleHere.isEmpty() ? idleUs : Math.min(idleUs, SPARE_IDLE_US);
+        connection.setIdle(sinceUs, deadlines.after(keepUs, () -> closeIfIdle(connection)));
+        idleHere.addLast(connection);
     }
 
     /**
@@ -278,7 +278,7 @@
         long now = now();
         String reason = attempt.hasEnded() ? "cut" : attempt.exchange.isClaimed() ? "answered"
                 : !attempt.mayBeginAt(now) ? "late"
-                : !endpoint.equals(table.endpointToSend(attempt.decision.host(), now)) ? stoppedBy(attempt) : null;
+                : !endpoint.equals(endpointTable.endpointToSend(attempt.decision.host(), now)) ? stopReason(attempt) : null;
         if (reason != null) {
             figures.stopped(reason);
             attempt.tryEnd(AttemptEnd.NOT_SENT);      // unless it has ended otherwise
@@ -287,12 +287,12 @@
     }
 
     /** Why its server takes no new work: its status, which is "serving" where it is another process by now. */
-    private String stoppedBy(Attempt attempt) {
-        return table.statusOf(attempt.decision.host()).name().toLowerCase(Locale.ROOT);
+    private String stopReason(Attempt attempt) {
+        return endpointTable.statusOf(attempt.decision.host()).name().toLowerCase(Locale.ROOT);
     }
 
     /** Nothing of the attempt went out, and no connection has it. */
-    private void neverSent(Attempt attempt) {
+    private void reportUnsent(Attempt attempt) {
         attempt.writeEnded(false, now());
         deadlines.cancel(attempt.timeout());
         dispatcher.attemptEnded(attempt, attempt.endUnsent(), null, null, null);
@@ -305,69 +305,69 @@
         } catch (OutOfMemoryError e) {
             // No thread to be had: what was not written never ran, and the module decides what to do instead.
             LOG.log(Level.SEVERE, "no thread for a connection", e);
-            threadShortage.run();
-            Attempt owed = connection.owed();
-            if (owed != null && owed.isWriting()) {
-                owed.writeEnded(false, now());
+            onThreadShortage.run();
+            Attempt unreported = connection.unreportedAttempt();
+            if (unreported != null && unreported.isWriting()) {
+                unreported.writeEnded(false, now());
             }
             connection.notStarted();
             connection.close();
-            ended(connection);
+            connectionEnded(connection);
         }
     }
 
     /** A connection for an attempt: its own from now on, or, with a rest left, promised to it alone, microseconds. */
-    private record Found(UpstreamConnection connection, long restUs) { }
+    private record Candidate(UpstreamConnection connection, long settleLeftUs) { }
 
     /** The last used of those that have rested; else the first to have rested; null: there is none for it. */
-    private synchronized Found find(Endpoints.Endpoint endpoint, Attempt attempt) {
-        release(endpoint, attempt);
-        Deque<UpstreamConnection> ready = idle.get(endpoint);
-        if (ready == null) {
+    private synchronized Candidate findIdle(Endpoints.Endpoint endpoint, Attempt attempt) {
+        releaseReservation(endpoint, attempt);
+        Deque<UpstreamConnection> idleHere = idle.get(endpoint);
+        if (idleHere == null) {
             return null;
         }
         long now = now();
-        for (Iterator<UpstreamConnection> last = ready.descendingIterator(); last.hasNext(); ) {
-            UpstreamConnection connection = last.next();
+        for (Iterator<UpstreamConnection> newestFirst = idleHere.descendingIterator(); newestFirst.hasNext(); ) {
+            UpstreamConnection connection = newestFirst.next();
             long idleUs = now - connection.idleSinceUs();
-            if (idleUs >= REST_US && connection.promisedTo() == null) {
-                if (!risk.isAccepted(idleUs)) {
+            if (idleUs >= SETTLE_US && connection.reservedFor() == null) {
+                if (!idleFailures.isAccepted(idleUs)) {
                     break;                  // and the others have been idle for longer
                 }
-                last.remove();
-                deadlines.cancel(connection.idleEnd());
+                newestFirst.remove();
+                deadlines.cancel(connection.idleTimeout());
                 connection.assign(attempt);
                 attempt.setConnection(connection, idleUs);
-                return new Found(connection, 0);
+                return new Candidate(connection, 0);
             }
         }
-        UpstreamConnection first = ready.stream().filter(c -> now - c.idleSinceUs() < REST_US && c.promisedTo() == null)
+        UpstreamConnection first = idleHere.stream().filter(c -> now - c.idleSinceUs() < SETTLE_US && c.reservedFor() == null)
                 .findFirst().orElse(null);
-        if (first == null || !risk.isAccepted(REST_US) || !attempt.mayBeginAt(first.idleSinceUs() + REST_US)) {
+        if (first == null || !idleFailures.isAccepted(SETTLE_US) || !attempt.mayBeginAt(first.idleSinceUs() + SETTLE_US)) {
             return null;
         }
-        first.promise(attempt);
-        return new Found(first, first.idleSinceUs() + REST_US - now);
+        first.reserveFor(attempt);
+        return new Candidate(first, first.idleSinceUs() + SETTLE_US - now);
     }
 
     /** The attempt does not wait for a connection any more. */
-    private synchronized void release(Endpoints.Endpoint endpoint, Attempt attempt) {
-        idle.getOrDefault(endpoint, NONE).stream().filter(c -> c.promisedTo() == attempt).forEach(c -> c.promise(null));
+    private synchronized void releaseReservation(Endpoints.Endpoint endpoint, Attempt attempt) {
+        idle.getOrDefault(endpoint, NONE).stream().filter(c -> c.reservedFor() == attempt).forEach(c -> c.reserveFor(null));
     }
 
     /** It can't be waited for any more, and has left the idle ones; under the lock. */
-    private static void gone(UpstreamConnection connection) {
-        if (connection.promisedTo() != null) {
-            connection.promisedTo().cancelSettleWait();
+    private static void cancelReservation(UpstreamConnection connection) {
+        if (connection.reservedFor() != null) {
+            connection.reservedFor().cancelSettleWait();
         }
     }
 
     /** One that nobody waits for. */
     private UpstreamConnection evict() {
-        for (Deque<UpstreamConnection> ready : idle.values()) {
-            for (UpstreamConnection connection : ready) {
-                if (connection.promisedTo() == null) {
-                    ready.remove(connection);
+        for (Deque<UpstreamConnection> idleHere : idle.values()) {
+            for (UpstreamConnection connection : idleHere) {
+                if (connection.reservedFor() == null) {
+                    idleHere.remove(connection);
                     return connection;
                 }
             }
@@ -377,22 +377,22 @@
 
     /** The last piece of a long request is about to go out; false where its attempt has ended. */
     boolean beginFinalWrite(Attempt attempt, long budgetUs) {
-        Deadlines.Deadline late = deadlines.after(budgetUs, () -> attempt.abort(AttemptEnd.TIMED_OUT));
-        boolean goes = attempt.beginFinalWrite(late, now() + budgetUs);
-        if (!goes) {
-            deadlines.cancel(late);
+        Deadlines.Deadline timer = deadlines.after(budgetUs, () -> attempt.abort(AttemptEnd.TIMED_OUT));
+        boolean begun = attempt.beginFinalWrite(timer, now() + budgetUs);
+        if (!begun) {
+            deadlines.cancel(timer);
         }
-        return goes;
+        return begun;
     }
 
     /** The host has answered, whole or with the beginning of a long answer. */
-    void answered(Attempt attempt) {
+    void responseReceived(Attempt attempt) {
         deadlines.cancel(attempt.timeout());
-        risk.note(attempt.connectionIdleUs(), false);
+        idleFailures.note(attempt.connectionIdleUs(), false);
     }
 
     /** A whole answer goes to whom it concerns. */
-    void told(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
+    void reportResponse(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
         dispatcher.attemptEnded(attempt, end, load, head, body);
     }
 
@@ -402,34 +402,34 @@
     }
 
     /** The connection may be used again: before the client can send its next request, where the answer was short. */
-    void free(UpstreamConnection connection, String host) {
-        boolean stays;
+    void returnConnection(UpstreamConnection connection, String host) {
+        boolean kept;
         synchronized (this) {
             // Where the list has changed meanwhile, the next attempt goes to another process. Asked under the lock: the
             // news are in the table before the idle connections on the endpoints that are gone are closed.
-            stays = connection.endpoint.equals(table.endpointOf(host));
-            if (stays) {
-                keepIdle(connection, now());
+            kept = connection.endpoint.equals(endpointTable.endpointOf(host));
+            if (kept) {
+                addIdle(connection, now());
             }
         }
-        if (!stays) {
+        if (!kept) {
             connection.close();
         }
     }
 
-    private void retire(UpstreamConnection connection) {
+    private void closeIfIdle(UpstreamConnection connection) {
         if (removeIdle(connection)) {
             connection.close();
         }
     }
 
     private synchronized boolean removeIdle(UpstreamConnection connection) {
-        Deque<UpstreamConnection> ready = idle.get(connection.endpoint);
-        boolean removed = ready != null && ready.remove(connection);
+        Deque<UpstreamConnection> idleHere = idle.get(connection.endpoint);
+        boolean removed = idleHere != null && idleHere.remove(connection);
         if (removed) {
-            gone(connection);
+            cancelReservation(connection);
         }
-        if (removed && ready.isEmpty()) {
+        if (removed && idleHere.isEmpty()) {
             idle.remove(connection.endpoint);      // hosts come under new ids for good
         }
         return removed;
@@ -438,15 +438,15 @@
     /** Closes the idle connections on endpoints that take no more work. */
     void closeIdle(Collection<Endpoints.Endpoint> endpoints) {
         for (Endpoints.Endpoint endpoint : endpoints) {
-            Deque<UpstreamConnection> ready;
+            Deque<UpstreamConnection> idleHere;
             synchronized (this) {
-                ready = idle.remove(endpoint);
-                if (ready != null) {
-                    ready.forEach(UpstreamSide::gone);
+                idleHere = idle.remove(endpoint);
+                if (idleHere != null) {
+                    idleHere.forEach(UpstreamPool::cancelReservation);
                 }
             }
-            if (ready != null) {
-                ready.forEach(UpstreamConnection::close);
+            if (idleHere != null) {
+                idleHere.forEach(UpstreamConnection::close);
             }
         }
     }
@@ -462,25 +462,25 @@
     }
 
     /** A connection's thread is done with it; an attempt that it still owed is reported. */
-    void ended(UpstreamConnection connection) {
+    void connectionEnded(UpstreamConnection connection) {
         synchronized (this) {
-            open--;
+            openCount--;
             removeIdle(connection);
-            deadlines.cancel(connection.idleEnd());
+            deadlines.cancel(connection.idleTimeout());
         }
-        Attempt owed = connection.owedAtEnd();
-        if (owed != null) {
-            AttemptEnd end = owed.endBroken();
-            deadlines.cancel(owed.timeout());
+        Attempt unreported = connection.unreportedAttemptAtEnd();
+        if (unreported != null) {
+            AttemptEnd end = unreported.endBroken();
+            deadlines.cancel(unreported.timeout());
             if (end == AttemptEnd.RESET || end == AttemptEnd.NOT_CONNECTED) {
-                risk.note(owed.connectionIdleUs(), true);
+                idleFailures.note(unreported.connectionIdleUs(), true);
             }
             if (end == AttemptEnd.TIMED_OUT || end == AttemptEnd.SILENT) {
                 // A machine that vanished leaves its idle connections open and silent: an attempt on another one
                 // would time out too and might have run, while a connect that fails proves that it never ran.
                 closeIdle(List.of(connection.endpoint));
             }
-            dispatcher.attemptEnded(owed, end, null, null, null);
+            dispatcher.attemptEnded(unreported, end, null, null, null);
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -165,7 +165,7 @@
         Counts counts = new Counts();
         counts.know(setup.classes().keySet());
         lifetime = new Lifetime(deadlines::now);
-        UpstreamSide upstreams = new UpstreamSide(table, deadlines, () -> setup, 100, counts, new DiscoveryFigures(), sockets);
+        UpstreamPool upstreams = new UpstreamPool(table, deadlines, () -> setup, 100, counts, new DiscoveryFigures(), sockets);
         RequestDispatcher conductor = new RequestDispatcher(facade, upstreams);
         upstreams.setDispatcher(conductor);
         Door door = door(hooks, accepted);
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -130,7 +130,7 @@
         table.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         facade.watchAnew();
-        UpstreamSide upstreams = new UpstreamSide(table, new Deadlines(clock::get), () -> setup, 4, new Counts(),
+        UpstreamPool upstreams = new UpstreamPool(table, new Deadlines(clock::get), () -> setup, 4, new Counts(),
                 new DiscoveryFigures());
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(7));
         Sidecar.Memory memory = new Sidecar.Memory(true, list -> { });
--- a/sidecar/src/test/java/dapplequay/net/OrderlyCloseTest.java
+++ b/sidecar/src/test/java/dapplequay/net/OrderlyCloseTest.java
@@ -128,7 +128,7 @@
         for (int i = 0; i < most - 1; i++) {
             resting.add(asked(rig));
             rig.accepted();
-            rig.stopClock(UpstreamSide.REST_US);      // else the next one waits for the host's connection
+            rig.stopClock(UpstreamPool.SETTLE_US);      // else the next one waits for the host's connection
         }
         Host.Client half = rig.client();
         String request = ClientRig.pay("half");
@@ -144,7 +144,7 @@
         assertThat(resting.get(1).atEnd()).isTrue();
         next.send(ClientRig.pay("next"));
         assertThat(next.answer().status()).isEqualTo(200);
-        rig.stopClock(UpstreamSide.REST_US);
+        rig.stopClock(UpstreamPool.SETTLE_US);
         half.send(request.substring(40));
         assertThat(half.answer().status()).isEqualTo(200);
     }
--- a/sidecar/src/test/java/dapplequay/net/SendPaceTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SendPaceTest.java
@@ -54,7 +54,7 @@
         long failedUs = nowUs;
         send(upstream, SendPace.WINDOW, 1_000);
         assertThat(pace.wantsSpare(upstream, nowUs, 2)).isFalse();
-        nowUs = failedUs + UpstreamSide.SPARE_US;
+        nowUs = failedUs + UpstreamPool.SPARE_IDLE_US;
         send(upstream, SendPace.WINDOW, 1_000);
         assertThat(pace.wantsSpare(upstream, nowUs, 2)).isTrue();
     }
--- a/sidecar/src/test/java/dapplequay/net/SpareConnectionsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SpareConnectionsTest.java
@@ -52,7 +52,7 @@
     void atASteadyPaceAnAttemptTakesAConnectionThatIsOpenedMeanwhile() throws Exception {
         try (Host host = host()) {
             rig.list("SERVING", host.port());
-            Socket first = servedInARow(host, UpstreamSide.REST_US);
+            Socket first = servedInARow(host, UpstreamPool.SETTLE_US);
             for (int i = 0; i < 2; i++) {
                 Attempt attempt = send();       // and the clock stands still
                 assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
@@ -69,7 +69,7 @@
             Socket first = servedInARow(host, 2 * SendPace.STEADY_GAP_US);
             send();
             rig.awaitResting(1);
-            rig.passWithNobodyRested(UpstreamSide.REST_US - 1);
+            rig.passWithNobodyRested(UpstreamPool.SETTLE_US - 1);
             rig.now.addAndGet(1);
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             assertThat(host.next().socket()).isSameAs(first);
@@ -81,7 +81,7 @@
     void aSpareConnectionToAHostThatBeginsToDrainIsClosed() throws Exception {
         try (Host host = host()) {
             rig.list("SERVING", host.port());
-            servedInARow(host, UpstreamSide.REST_US);
+            servedInARow(host, UpstreamPool.SETTLE_US);
             Attempt attempt;
             synchronized (rig.side) {
                 attempt = send();
@@ -89,7 +89,7 @@
                 rig.list("DRAINING", host.port());
             }
             assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            rig.now.addAndGet(UpstreamSide.REST_US);
+            rig.now.addAndGet(UpstreamPool.SETTLE_US);
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.NOT_SENT, null));
             assertThat(host.seen).isEmpty();
         }
@@ -102,14 +102,14 @@
             rig.list("SERVING", host.port());
             send();
             rig.next();
-            rig.now.addAndGet(UpstreamSide.REST_US);
+            rig.now.addAndGet(UpstreamPool.SETTLE_US);
             send();
             rig.next();
             assertThat(rig.started).as("a new connection, and a rested one").hasSize(2);
             Attempt attempt = send();
             rig.awaitResting(1);
             assertThat(rig.started).hasSize(2);
-            rig.now.addAndGet(UpstreamSide.REST_US);
+            rig.now.addAndGet(UpstreamPool.SETTLE_US);
             rig.next();
             assertThat(rig.started).last().isSameAs(attempt);
         }
--- a/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
@@ -141,7 +141,7 @@
             rig.side.send(third);
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(third, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotIn(used);
-            rig.now.addAndGet(UpstreamSide.REST_US - 5_000);
+            rig.now.addAndGet(UpstreamPool.SETTLE_US - 5_000);
             rig.next();
             rig.next();
             assertThat(List.of(host.next().socket(), host.next().socket())).containsExactlyInAnyOrderElementsOf(used);
@@ -186,7 +186,7 @@
             attempt.abort(why);
             AttemptEnd told = why == AttemptEnd.GIVEN_UP ? why : AttemptEnd.NOT_SENT;
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, told, null));
-            rig.now.addAndGet(UpstreamSide.REST_US);
+            rig.now.addAndGet(UpstreamPool.SETTLE_US);
             rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             assertThat(host.next().socket()).as("and nothing came before").isSameAs(first);
--- a/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-class UpstreamSideTest {
+class UpstreamPoolTest {
     private static final SettingsReader.Setup SETUP = new SettingsReader.Setup(null, Map.of(), Map.of(), 10_000_000, 30_000_000);
 
     private static void list(Endpoints table, int port, String state) {
@@ -37,8 +37,8 @@
         }
     }
 
-    private static UpstreamSide side(Endpoints table, Deadlines deadlines, BlockingQueue<AttemptEnd> ends) {
-        UpstreamSide side = new UpstreamSide(table, deadlines, () -> SETUP, 10, new Counts(), new DiscoveryFigures());
+    private static UpstreamPool side(Endpoints table, Deadlines deadlines, BlockingQueue<AttemptEnd> ends) {
+        UpstreamPool side = new UpstreamPool(table, deadlines, () -> SETUP, 10, new Counts(), new DiscoveryFigures());
         side.setDispatcher(new RequestDispatcher(null, side) {
             @Override
             void attemptStarted(Attempt attempt) { }
@@ -51,7 +51,7 @@
         return side;
     }
 
-    private static Attempt attempt(UpstreamSide side) throws IOException {
+    private static Attempt attempt(UpstreamPool side) throws IOException {
         Head head = Head.request("POST /pay HTTP/1.1".getBytes(StandardCharsets.US_ASCII));
         ClientRequest request = new ClientRequest(head, new byte[0], null, "pay", null, null, 10_000_000);
         return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), side.now());
@@ -68,15 +68,15 @@
             return Host.ok("done");
         })) {
             list(table, host.port(), "SERVING");
-            UpstreamSide side = side(table, new Deadlines(() -> System.nanoTime() / 1000), ends);
+            UpstreamPool side = side(table, new Deadlines(() -> System.nanoTime() / 1000), ends);
             List<Socket> used = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 side.send(attempt(side));
                 assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
                 used.add(host.next().socket());
             }
-            assertThat(cameUs.get(1) - cameUs.get(0)).isGreaterThanOrEqualTo(UpstreamSide.REST_US);
-            assertThat(cameUs.get(2) - cameUs.get(1)).isGreaterThanOrEqualTo(UpstreamSide.REST_US);
+            assertThat(cameUs.get(1) - cameUs.get(0)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
+            assertThat(cameUs.get(2) - cameUs.get(1)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
             assertThat(used).containsOnly(used.get(0));
         }
     }
@@ -94,9 +94,9 @@
             return Host.ok("done");
         })) {
             list(table, host.port(), "SERVING");
-            UpstreamSide side = side(table, deadlines, ends);
+            UpstreamPool side = side(table, deadlines, ends);
             List<Socket> used = new ArrayList<>();
-            for (long pauseUs : new long[] {0, UpstreamSide.SPARE_US + 1}) {
+            for (long pauseUs : new long[] {0, UpstreamPool.SPARE_IDLE_US + 1}) {
                 now.addAndGet(pauseUs);
                 deadlines.sweep();
                 for (int i = 0; i < 2; i++) {           // two at once
@@ -127,7 +127,7 @@
                 }
                 return System.nanoTime() / 1000;
             });
-            UpstreamSide side = side(table, deadlines, ends);
+            UpstreamPool side = side(table, deadlines, ends);
             side.send(attempt(side));
             assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.NOT_SENT);
             assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -58,7 +58,7 @@
     /** The attempts that are held back no longer, in the order told. */
     final BlockingQueue<Attempt> started = new LinkedBlockingQueue<>();
     final Deadlines deadlines = new Deadlines(this::look);
-    final UpstreamSide side;
+    final UpstreamPool side;
     volatile Consumer<Ended> atEnd = ended -> { };
     /** When the listed hosts started, as the next list says. */
     long bootMs;
@@ -69,7 +69,7 @@
 
     UpstreamRig(int most) {
         SettingsReader.Setup setup = new SettingsReader.Setup(null, Map.of(), Map.of(), TIME_US, 3 * TIME_US);
-        side = new UpstreamSide(table, deadlines, () -> setup, most, new Counts(), new DiscoveryFigures());
+        side = new UpstreamPool(table, deadlines, () -> setup, most, new Counts(), new DiscoveryFigures());
         side.setDispatcher(new RequestDispatcher(null, side) {
             @Override
             void attemptStarted(Attempt attempt) {
--- a/sidecar/src/test/java/dapplequay/net/WriteGuardTest.java
+++ b/sidecar/src/test/java/dapplequay/net/WriteGuardTest.java
@@ -95,7 +95,7 @@
             rig.side.send(attempt);
             rig.awaitResting(1);
             happen(what, attempt, host.port());
-            rig.now.addAndGet(UpstreamSide.REST_US);
+            rig.now.addAndGet(UpstreamPool.SETTLE_US);
             assertStopped(what, attempt);
             if (what == Meanwhile.NOTHING) {
                 assertThat(host.next().socket()).isSameAs(used);
@@ -115,9 +115,9 @@
             UpstreamConnection connection = new UpstreamConnection(rig.side, rig.table.endpointOf("s0"), attempt);
             attempt.setConnection(connection, -1);
             rig.atLook(Thread.currentThread(), () -> happen(what, attempt, host.getLocalPort()));
-            assertThat(connection.beginFor()).isFalse();
+            assertThat(connection.connectForUpload()).isFalse();
             assertStopped(what, attempt);
-            connection.carried(false);
+            connection.uploadEnded(false);
             assertThat(rig.ends).as("told once").isEmpty();
             try (Socket accepted = host.accept()) {
                 assertThat(accepted.getInputStream().read()).as("not one byte").isEqualTo(-1);
