--- a/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
@@ -56,14 +56,14 @@
     private final Supplier<Setup> setup;
     private final int maxConnections;
     private final Map<Endpoints.Endpoint, Deque<UpstreamConnection>> idle = new HashMap<>();
-    private final IdleRisk idleFailures;
+    private final IdleFailureRates idleFailures;
     private final Counts counts;
     private final DiscoveryFigures figures;
     private final Supplier<Socket> socketFactory;
     /** They wait for connections to have rested: no more at once than there are such connections. */
     private final Executor settleWaiters = new ThreadPoolExecutor(0, Integer.MAX_VALUE, WAITER_KEEP_ALIVE_MS, TimeUnit.MILLISECONDS,
             new SynchronousQueue<>(), UpstreamPool::newWaiterThread);
-    private final SendPace pace = new SendPace();
+    private final SpareConnectionPolicy sparePolicy = new SpareConnectionPolicy();
     private int openCount;
     private boolean isClosing;
     private RequestDispatcher dispatcher;
@@ -84,7 +84,7 @@
         this.counts = counts;
         this.figures = figures;
         this.socketFactory = socketFactory;
-        idleFailures = new IdleRisk(deadlines::now);
+        idleFailures = new IdleFailureRates(deadlines::now);
     }
 
     /** Who hears of the attempts' ends; set once, before the first attempt. */
@@ -131,7 +131,7 @@
         attempt.setTimeout(attempt.isUploading() ? null
                 : deadlines.after(attempt.expiresAtUs() - now(), () -> attempt.abort(AttemptEnd.TIMED_OUT)));
         synchronized (this) {
-            pace.sent(endpoint, now());
+            sparePolicy.attemptSent(endpoint, now());
         }
         writeOrConnect(endpoint, attempt);
     }
@@ -229,11 +229,11 @@
     private void openSpare(Endpoints.Endpoint endpoint, String host) {
         UpstreamConnection spare;
         synchronized (this) {
-            if (isClosing || openCount >= maxConnections || !pace.wantsSpare(endpoint, now(), MAX_SPARES_OPENING)) {
+            if (isClosing || openCount >= maxConnections || !sparePolicy.wantsSpare(endpoint, now(), MAX_SPARES_OPENING)) {
                 return;
             }
             spare = new UpstreamConnection(this, endpoint, host);
-            pace.opening(endpoint);
+            sparePolicy.openStarted(endpoint);
             openCount++;
         }
         start(spare);
@@ -242,7 +242,7 @@
     /** A spare connection is open, or has failed; whether it stays. Nothing was asked on it: it needs no rest. */
     boolean spareOpened(UpstreamConnection spare, String host, boolean isOpen) {
         synchronized (this) {
-            pace.opened(spare.endpoint, isOpen, now());
+            sparePolicy.openEnded(spare.endpoint, isOpen, now());
             if (!isOpen || isClosing || !spare.endpoint.equals(endpointTable.endpointOf(host))) {
                 return false;
             }
@@ -331,7 +331,7 @@
             UpstreamConnection connection = newestFirst.next();
             long idleUs = now - connection.idleSinceUs();
             if (idleUs >= SETTLE_US && connection.reservedFor() == null) {
-                if (!idleFailures.isAccepted(idleUs)) {
+                if (!idleFailures.isAcceptable(idleUs)) {
                     break;                  // and the others have been idle for longer
                 }
                 newestFirst.remove();
@@ -343,7 +343,7 @@
         }
         UpstreamConnection first = idleHere.stream().filter(c -> now - c.idleSinceUs() < SETTLE_US && c.reservedFor() == null)
                 .findFirst().orElse(null);
-        if (first == null || !idleFailures.isAccepted(SETTLE_US) || !attempt.mayBeginAt(first.idleSinceUs() + SETTLE_US)) {
+        if (first == null || !idleFailures.isAcceptable(SETTLE_US) || !attempt.mayBeginAt(first.idleSinceUs() + SETTLE_US)) {
             return null;
         }
         first.reserveFor(attempt);
@@ -388,7 +388,7 @@
     /** The host has answered, whole or with the beginning of a long answer. */
     void responseReceived(Attempt attempt) {
         deadlines.cancel(attempt.timeout());
-        idleFailures.note(attempt.connectionIdleUs(), false);
+        idleFailures.recordAttempt(attempt.connectionIdleUs(), false);
     }
 
     /** A whole answer goes to whom it concerns. */
@@ -473,7 +473,7 @@
             AttemptEnd end = unreported.endBroken();
             deadlines.cancel(unreported.timeout());
             if (end == AttemptEnd.RESET || end == AttemptEnd.NOT_CONNECTED) {
-                idleFailures.note(unreported.connectionIdleUs(), true);
+                idleFailures.recordAttempt(unreported.connectionIdleUs(), true);
             }
             if (end == AttemptEnd.TIMED_OUT || end == AttemptEnd.SILENT) {
                 // A machine that vanished leaves its idle connections open and silent: an attempt on another one
--- a/sidecar/src/test/java/dapplequay/net/SpareConnectionsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SpareConnectionsTest.java
@@ -36,7 +36,7 @@
     /** Attempts that are served one after the other, each so long after the last; their one connection. */
     private Socket servedInARow(Host host, long gapUs) throws Exception {
         Socket used = null;
-        for (int i = 0; i < SendPace.WINDOW; i++) {
+        for (int i = 0; i < SpareConnectionPolicy.WINDOW_ATTEMPTS; i++) {
             rig.now.addAndGet(gapUs);
             send();
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
@@ -66,7 +66,7 @@
     void atASlowPaceAnAttemptWaits() throws Exception {
         try (Host host = host()) {
             rig.list("SERVING", host.port());
-            Socket first = servedInARow(host, 2 * SendPace.STEADY_GAP_US);
+            Socket first = servedInARow(host, 2 * SpareConnectionPolicy.MAX_MEAN_GAP_US);
             send();
             rig.awaitResting(1);
             rig.passWithNobodyRested(UpstreamPool.SETTLE_US - 1);
