--- a/sidecar/src/main/java/dapplequay/net/Answers.java
+++ b/sidecar/src/main/java/dapplequay/net/Answers.java
@@ -50,7 +50,7 @@
             head.append("Transfer-Encoding: chunked\r\n");
         }
         return ClientRequest.message(head.append(connection), isChunked(body, version)
-                ? Chunks.of(start) : start);
+                ? ChunkedFraming.chunkOf(start) : start);
     }
 
     /** Whether a client of this version gets the body in chunks; else its length or the connection's end ends it. */
--- a/sidecar/src/main/java/dapplequay/net/Pieces.java
+++ b/sidecar/src/main/java/dapplequay/net/BodyBuffers.java
@@ -8,28 +8,28 @@
  * Arrays that pieces of long bodies are carried in, used again and again: each lives long enough to reach the old part
  * of the heap, and a new one for each body would fill that with what nobody needs.
  */
-final class Pieces {
+final class BodyBuffers {
     /** Bytes of a body in one piece. */
-    static final int SIZE = 64 * 1024;
+    static final int PIECE_BYTES = 64 * 1024;
     /** What is kept while nobody needs it. */
-    private static final int KEPT = 24;
+    private static final int MAX_POOLED = 24;
     /** A piece smaller than this is waited on for more, so long; far less than the second that a peer would notice. */
-    private static final int GATHERED = SIZE * 3 / 4;
+    private static final int SMALL_PIECE_BYTES = PIECE_BYTES * 3 / 4;
     /** The same for a body in chunks, of which no more than half as much comes at once. */
-    private static final int CHUNKS_GATHERED = SIZE / 4;
-    private static final long GATHER_MS = 70;
+    private static final int SMALL_CHUNKED_PIECE_BYTES = PIECE_BYTES / 4;
+    private static final long ACCUMULATE_MS = 70;
 
     private static final ArrayDeque<byte[]> FREE = new ArrayDeque<>();
     private static int inUse;
 
-    private Pieces() { }
+    private BodyBuffers() { }
 
-    /** One with room for framing before and behind its bytes; see {@link Chunks#ROOM}. */
-    static byte[] take() {
+    /** One with room for framing before and behind its bytes; see {@link ChunkedFraming#ROOM}. */
+    static byte[] acquire() {
         synchronized (FREE) {
             inUse++;
             byte[] piece = FREE.poll();
-            return piece != null ? piece : new byte[SIZE + 2 * Chunks.ROOM];
+            return piece != null ? piece : new byte[PIECE_BYTES + 2 * ChunkedFraming.FRAMING_ROOM];
         }
     }
 
@@ -45,13 +45,13 @@
      * change of threads, whatever its size, and a body in pieces of a packet takes three times the processor time.
      * Where short requests wait for the processor, a long body gives way: it pauses for {@code leastMs} in any case.
      */
-    static void gather(int read, Body body, long leastMs) throws InterruptedIOException {
+    static void pauseAfterPiece(int readBytes, Body body, long minPauseMs) throws InterruptedIOException {
         if (body.isWhole()) {
             return;
         }
-        int gathered = body.framing() == Body.Framing.CHUNKED ? CHUNKS_GATHERED : GATHERED;
-        boolean small = read < gathered && !body.isNearlyWhole(gathered);
-        long pauseMs = Math.max(small ? GATHER_MS : 0, leastMs);
+        int smallBytes = body.framing() == Body.Framing.CHUNKED ? SMALL_CHUNKED_PIECE_BYTES : SMALL_PIECE_BYTES;
+        boolean isSmall = readBytes < smallBytes && !body.isNearlyWhole(smallBytes);
+        long pauseMs = Math.max(isSmall ? ACCUMULATE_MS : 0, minPauseMs);
         if (pauseMs > 0) {
             try {
                 Thread.sleep(pauseMs);
@@ -63,10 +63,10 @@
     }
 
     /** The caller does not use it any more. */
-    static void give(byte[] piece) {
+    static void release(byte[] piece) {
         synchronized (FREE) {
             inUse--;
-            if (FREE.size() < KEPT) {
+            if (FREE.size() < MAX_POOLED) {
                 FREE.push(piece);
             }
         }
--- a/sidecar/src/main/java/dapplequay/net/Chunks.java
+++ b/sidecar/src/main/java/dapplequay/net/ChunkedFraming.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 
 /** Chunked framing of what passes through. */
-final class Chunks {
-    private static final byte[] END = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+final class ChunkedFraming {
+    private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    private Chunks() { }
+    private ChunkedFraming() { }
 
     /** Room that a piece leaves free before and behind its bytes, so that it can be framed where it lies. */
-    static final int ROOM = 16;
+    static final int FRAMING_ROOM = 16;
 
     /** Where a piece begins and ends in its array. */
     record Span(int from, int length) { }
@@ -20,8 +20,8 @@
      * no chunk), and sets the end of the body behind it where that is due.
      */
     static Span frame(byte[] piece, int count, boolean last) {
-        int from = ROOM;
-        int end = ROOM + count;
+        int from = FRAMING_ROOM;
+        int end = FRAMING_ROOM + count;
         if (count > 0) {
             byte[] head = (Integer.toHexString(count) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
             from -= head.length;
@@ -30,21 +30,21 @@
             piece[end++] = '\n';
         }
         if (last) {
-            System.arraycopy(END, 0, piece, end, END.length);
-            end += END.length;
+            System.arraycopy(LAST_CHUNK, 0, piece, end, LAST_CHUNK.length);
+            end += LAST_CHUNK.length;
         }
         return new Span(from, end - from);
     }
 
     /** The same where the body goes in chunks; else the bytes as they lie. */
-    static Span span(byte[] piece, int count, boolean chunked, boolean last) {
-        return chunked ? frame(piece, count, last) : new Span(ROOM, count);
+    static Span frameIfChunked(byte[] piece, int count, boolean chunked, boolean last) {
+        return chunked ? frame(piece, count, last) : new Span(FRAMING_ROOM, count);
     }
 
     /** These bytes as a chunk (none: no chunk), in an array of their own. */
-    static byte[] of(byte[] bytes) {
-        byte[] piece = new byte[bytes.length + 2 * ROOM];
-        System.arraycopy(bytes, 0, piece, ROOM, bytes.length);
+    static byte[] chunkOf(byte[] bytes) {
+        byte[] piece = new byte[bytes.length + 2 * FRAMING_ROOM];
+        System.arraycopy(bytes, 0, piece, FRAMING_ROOM, bytes.length);
         Span span = frame(piece, bytes.length, false);
         return Arrays.copyOfRange(piece, span.from(), span.from() + span.length());
     }
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -49,7 +49,7 @@
     private final ClientSide side;
     private final Socket socket;
     private final OrderlyClose ending;
-    private final BodyReader bodies;
+    private final RequestBodyReader bodies;
     private final long sinceUs;
     private State state = State.IDLE;
     private boolean asked;
@@ -68,7 +68,7 @@
         this.side = side;
         this.socket = socket;
         ending = new OrderlyClose(socket, side.deadlines());
-        bodies = new BodyReader(side.deadlines(), this::requestIsLate);
+        bodies = new RequestBodyReader(side.deadlines(), this::requestIsLate);
         sinceUs = side.deadlines().now();
         idleEnd = side.deadlines().after(IDLE_US, () -> side.idleForLong(this));
     }
@@ -104,7 +104,7 @@
                         + (current.isClaimed() ? "" : ", unanswered"));
                 side.conductor().clientLeft(current);
             }
-            bodies.over();
+            bodies.finish();
             if (input == null || !input.leave()) {
                 over();
             }
@@ -178,7 +178,7 @@
             if (head.lists("Expect", "100-continue") && !version.equals("HTTP/1.0") && !body.isBuffered()) {
                 socket.getOutputStream().write(CONTINUE);
             }
-            held = bodies.held(body);
+            held = bodies.readReplayable(body);
         } catch (BadMessage e) {
             lastRequest = true;         // where this message ends, and the next begins, nobody can say
             answer(Answers.plain(e.status, e.getMessage()));
@@ -201,12 +201,12 @@
         hasRoom = !counted || side.uploadBegins();
         try {
             if (!uploading) {
-                bodies.over();
+                bodies.finish();
             }
             handle(head, held, body.isWhole() ? null : body, side.deadlines().now());
             if (uploading && current != null) {
                 carry(current, body);
-                bodies.over();
+                bodies.finish();
             }
         } catch (BadMessage e) {
             answer(Answers.plain(e.status, e.getMessage()));
@@ -237,10 +237,10 @@
 
     /** Carries the rest of a long request to the attempt that is out, until it is whole or the request is over. */
     private void carry(Exchange exchange, Body body) throws IOException {
-        byte[] piece = Pieces.take();
+        byte[] piece = BodyBuffers.acquire();
         boolean chunked = exchange.request.isChunked();
-        Progress.Moves moves = new Progress.Moves(side.deadlines(), STALL_US);
-        try (Progress stuck = new Progress(side.deadlines(), moves, () -> {
+        ProgressWatchdog.StallTimeout moves = new ProgressWatchdog.StallTimeout(side.deadlines(), STALL_US);
+        try (ProgressWatchdog stuck = new ProgressWatchdog(side.deadlines(), moves, () -> {
             if (bodies.isWaiting()) {
                 requestIsLate();
             } else {
@@ -249,7 +249,7 @@
         })) {
             Attempt attempt = null;
             while (uploading && !exchange.isClaimed()) {
-                int read = Math.max(0, bodies.read(body, piece, Chunks.ROOM, Pieces.SIZE));
+                int read = Math.max(0, bodies.read(body, piece, ChunkedFraming.FRAMING_ROOM, BodyBuffers.PIECE_BYTES));
                 boolean last = body.isWhole();
                 uploading = !last;
                 // From the first piece on that is not held, no other attempt can follow: asked for once it is here.
@@ -269,16 +269,16 @@
                         return;
                     }
                 }
-                moves.moved();
-                Chunks.Span out = Chunks.span(piece, read, chunked, last);
+                moves.progressed();
+                ChunkedFraming.Span out = ChunkedFraming.frameIfChunked(piece, read, chunked, last);
                 if (!attempt.connection().writePiece(attempt, piece, out, last)) {
                     return;
                 }
-                moves.moved();
+                moves.progressed();
                 if (last) {
                     attempt.connection().uploadEnded(true);
                 }
-                Pieces.gather(read, body, side.pauseMs());
+                BodyBuffers.pauseAfterPiece(read, body, side.pauseMs());
             }
         } catch (BadMessage e) {
             side.conductor().rejectUpload(exchange, Answers.plain(e.status, e.getMessage()));
@@ -292,7 +292,7 @@
             side.conductor().clientLeft(exchange);
             throw e;
         } finally {
-            Pieces.give(piece);
+            BodyBuffers.release(piece);
             // Its end is reported by this thread, if it was this thread's to serve and the answer is not awaited yet.
             Attempt left = exchange.attempt();
             if (left != null && left.connection() != null) {
@@ -377,8 +377,8 @@
         input.handOver();
         try {
             byte[] begun = Answers.begun(upstream, body, start, version, connectionField(true));
-            whole = new LongAnswer(socket, input, ending, side.deadlines(), side::pauseMs)
-                    .pass(begun, start.length, body, Answers.isChunked(body, version), dueUs);
+            whole = new ResponseRelay(socket, input, ending, side.deadlines(), side::pauseMs)
+                    .relay(begun, start.length, body, Answers.isChunked(body, version), dueUs);
         } finally {
             if (!whole) {
                 LOG.fine(() -> "long answer to " + current.id + " broke off");
--- a/sidecar/src/main/java/dapplequay/net/ClientRequest.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientRequest.java
@@ -122,7 +122,7 @@
         out.append("X-Budget-Ms: ").append(Math.max(1, leftUs / 1000)).append("\r\n");
         if (isChunked()) {
             out.append("Transfer-Encoding: chunked\r\n");
-            return message(out, Chunks.of(body));
+            return message(out, ChunkedFraming.chunkOf(body));
         }
         if (body.length > 0 || !head.start[0].equals("GET")) {
             out.append("Content-Length: ").append(isLong() ? rest.length() : body.length).append("\r\n");
--- a/sidecar/src/main/java/dapplequay/net/Progress.java
+++ b/sidecar/src/main/java/dapplequay/net/ProgressWatchdog.java
@@ -7,30 +7,30 @@
  * Watches something that may take long as a whole but not stand still. One deadline for all of it, set again only when
  * it passes: a long body moves in thousands of pieces, and each may be a single byte.
  */
-final class Progress implements AutoCloseable {
+final class ProgressWatchdog implements AutoCloseable {
     private final Deadlines deadlines;
-    private final LongSupplier leftUs;
-    private final Runnable cut;
-    private Deadlines.Deadline next;
+    private final LongSupplier remainingUs;
+    private final Runnable onExpired;
+    private Deadlines.Deadline timer;
     private boolean closed;
 
     /** {@code leftUs}: how long it may go on as it stands, microseconds; with 0 or less, {@code cut} is called. */
-    Progress(Deadlines deadlines, LongSupplier leftUs, Runnable cut) {
+    ProgressWatchdog(Deadlines deadlines, LongSupplier remainingUs, Runnable onExpired) {
         this.deadlines = deadlines;
-        this.leftUs = leftUs;
-        this.cut = cut;
-        look();
+        this.remainingUs = remainingUs;
+        this.onExpired = onExpired;
+        check();
     }
 
-    private void look() {
-        long left = leftUs.getAsLong();
+    private void check() {
+        long left = remainingUs.getAsLong();
         if (left <= 0) {
-            cut.run();
+            onExpired.run();
             return;
         }
         synchronized (this) {
             if (!closed) {
-                next = deadlines.after(left, this::look);
+                timer = deadlines.after(left, this::check);
             }
         }
     }
@@ -38,29 +38,29 @@
     @Override
     public synchronized void close() {
         closed = true;
-        deadlines.cancel(next);
+        deadlines.cancel(timer);
     }
 
     /** Transfers: each piece that moved, on either side, makes the wait for the next one begin anew. */
-    static final class Moves implements LongSupplier {
+    static final class StallTimeout implements LongSupplier {
         private final Deadlines deadlines;
-        private final long mostUs;
-        private volatile long movedUs;
+        private final long timeoutUs;
+        private volatile long lastProgressUs;
 
         /** {@code mostUs}: how long nothing may move. */
-        Moves(Deadlines deadlines, long mostUs) {
+        StallTimeout(Deadlines deadlines, long timeoutUs) {
             this.deadlines = deadlines;
-            this.mostUs = mostUs;
-            moved();
+            this.timeoutUs = timeoutUs;
+            progressed();
         }
 
-        void moved() {
-            movedUs = deadlines.now();
+        void progressed() {
+            lastProgressUs = deadlines.now();
         }
 
         @Override
         public long getAsLong() {
-            return movedUs + mostUs - deadlines.now();
+            return lastProgressUs + timeoutUs - deadlines.now();
         }
     }
 
@@ -68,39 +68,39 @@
      * A sender that has to keep up a pace: it may be waited for so long, and as long as what it sent takes at that
      * pace. Only time in which somebody waits for it counts. One thread waits; another looks.
      */
-    static final class Pace implements LongSupplier {
+    static final class MinimumRate implements LongSupplier {
         private final Deadlines deadlines;
-        private final long startUs;
+        private final long allowanceUs;
         private final long bytesPerS;
-        private volatile long sinceUs = -1;
+        private volatile long waitingSinceUs = -1;
         private volatile long waitedUs;
-        private volatile long bytes;
+        private volatile long receivedBytes;
 
-        Pace(Deadlines deadlines, long startUs, long bytesPerS) {
+        MinimumRate(Deadlines deadlines, long allowanceUs, long bytesPerS) {
             this.deadlines = deadlines;
-            this.startUs = startUs;
+            this.allowanceUs = allowanceUs;
             this.bytesPerS = bytesPerS;
         }
 
-        void waiting() {
-            sinceUs = deadlines.now();
+        void waitStarted() {
+            waitingSinceUs = deadlines.now();
         }
 
         boolean isWaiting() {
-            return sinceUs >= 0;
+            return waitingSinceUs >= 0;
         }
 
         /** The wait is over, and brought so many bytes. */
-        void came(int more) {
-            waitedUs += deadlines.now() - sinceUs;
-            sinceUs = -1;
-            bytes += more;
+        void waitEnded(int newBytes) {
+            waitedUs += deadlines.now() - waitingSinceUs;
+            waitingSinceUs = -1;
+            receivedBytes += newBytes;
         }
 
         @Override
         public long getAsLong() {
-            long since = sinceUs;
-            return startUs + bytes * 1_000_000 / bytesPerS - waitedUs - (since < 0 ? 0 : deadlines.now() - since);
+            long since = waitingSinceUs;
+            return allowanceUs + receivedBytes * 1_000_000 / bytesPerS - waitedUs - (since < 0 ? 0 : deadlines.now() - since);
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/LongAnswer.java
+++ b/sidecar/src/main/java/dapplequay/net/ResponseRelay.java
@@ -15,28 +15,28 @@
  * A long answer, passed on as it comes and no faster than the client takes it, by the thread that reads its host. That
  * host's reads time out each {@link #LOOK_MS}: whoever waits for it looks then for the client, and at the time.
  */
-final class LongAnswer {
-    private static final Logger LOG = Logger.getLogger(LongAnswer.class.getName());
+final class ResponseRelay {
+    private static final Logger LOG = Logger.getLogger(ResponseRelay.class.getName());
     /** Of a host's silence: then it is looked whether there is still something to wait for, ms. */
-    static final int LOOK_MS = 50;
+    static final int CHECK_INTERVAL_MS = 50;
     /** So long after the request's time, us, an answer ends that its host has not gone on with; 0.5 s is allowed. */
-    private static final long GRACE_US = 300_000;
+    private static final long STALLED_GRACE_US = 300_000;
     /** Peers take seconds over a piece of a long body; where nothing moves for so long, us, nothing will. */
-    private static final long STALL_US = 10_000_000;
+    private static final long STALL_TIMEOUT_US = 10_000_000;
 
     private final Socket client;
-    private final ClientInput input;
-    private final OrderlyClose ending;
+    private final ClientInput clientInput;
+    private final OrderlyClose clientClose;
     private final Deadlines deadlines;
     private final LongSupplier pauseMs;
-    private long hostMovedUs;
-    private long passed;
+    private long hostProgressUs;
+    private long relayedBytes;
 
     /** {@code pauseMs}: how long to pause after a piece, for the sake of others, ms. */
-    LongAnswer(Socket client, ClientInput input, OrderlyClose ending, Deadlines deadlines, LongSupplier pauseMs) {
+    ResponseRelay(Socket client, ClientInput clientInput, OrderlyClose clientClose, Deadlines deadlines, LongSupplier pauseMs) {
         this.client = client;
-        this.input = input;
-        this.ending = ending;
+        this.clientInput = clientInput;
+        this.clientClose = clientClose;
         this.deadlines = deadlines;
         this.pauseMs = pauseMs;
     }
@@ -51,48 +51,48 @@
      * @param chunked whether the client gets it in chunks
      * @param dueUs   when the request's time ends
      */
-    boolean pass(byte[] begun, int held, Body body, boolean chunked, long dueUs) {
-        byte[] piece = Pieces.take();
-        Progress.Moves moves = new Progress.Moves(deadlines, STALL_US);
-        ending.breaksOff(body.length() < 0 && !chunked);
-        hostMovedUs = deadlines.now();
-        passed = held;
-        try (Progress stuck = new Progress(deadlines, moves, ending::close)) {
-            client.getOutputStream().write(begun);
+    boolean relay(byte[] start, int startBodyBytes, Body body, boolean chunked, long deadlineUs) {
+        byte[] piece = BodyBuffers.acquire();
+        ProgressWatchdog.StallTimeout stallTimeout = new ProgressWatchdog.StallTimeout(deadlines, STALL_TIMEOUT_US);
+        clientClose.breaksOff(body.length() < 0 && !chunked);
+        hostProgressUs = deadlines.now();
+        relayedBytes = startBodyBytes;
+        try (ProgressWatchdog watchdog = new ProgressWatchdog(deadlines, stallTimeout, clientClose::close)) {
+            client.getOutputStream().write(start);
             while (!body.isWhole()) {
-                moves.moved();
-                int read = next(body, piece, moves, dueUs);
-                moves.moved();
-                Chunks.Span out = Chunks.span(piece, read, chunked, body.isWhole());
-                client.getOutputStream().write(piece, out.from(), out.length());
-                passed += read;
-                Pieces.gather(read, body, pauseMs.getAsLong());
+                stallTimeout.progressed();
+                int read = readPiece(body, piece, stallTimeout, deadlineUs);
+                stallTimeout.progressed();
+                ChunkedFraming.Span framed = ChunkedFraming.frameIfChunked(piece, read, chunked, body.isWhole());
+                client.getOutputStream().write(piece, framed.from(), framed.length());
+                relayedBytes += read;
+                BodyBuffers.pauseAfterPiece(read, body, pauseMs.getAsLong());
             }
-            ending.breaksOff(false);
+            clientClose.breaksOff(false);
             return true;
         } catch (IOException e) {
             LOG.log(Level.FINE, "long answer broke: {0}", e.toString());
-            ending.close();
+            clientClose.close();
             return false;
         } finally {
-            Pieces.give(piece);
+            BodyBuffers.release(piece);
         }
     }
 
-    private int next(Body body, byte[] piece, Progress.Moves moves, long dueUs) throws IOException {
+    private int readPiece(Body body, byte[] piece, ProgressWatchdog.StallTimeout stallTimeout, long deadlineUs) throws IOException {
         while (true) {
             try {
-                int read = Math.max(0, body.read(piece, Chunks.ROOM, Pieces.SIZE));
-                hostMovedUs = deadlines.now();
+                int read = Math.max(0, body.read(piece, ChunkedFraming.FRAMING_ROOM, BodyBuffers.PIECE_BYTES));
+                hostProgressUs = deadlines.now();
                 return read;
             } catch (SocketTimeoutException e) {
-                if (!input.isThere()) {
+                if (!clientInput.isThere()) {
                     throw new EOFException("the client has left");
                 }
-                if (isGivenUp(body, dueUs)) {
+                if (isHostStalled(body, deadlineUs)) {
                     throw new IOException("the host stands still");
                 }
-                moves.moved();          // only the client can be stuck: the host is looked after here
+                stallTimeout.progressed();          // only the client can be stuck: the host is looked after here
             }
         }
     }
@@ -102,9 +102,9 @@
      * over 64 KiB the first bytes alone are timed, and of one that goes on moving nobody can say that it will not get
      * there.
      */
-    private boolean isGivenUp(Body body, long dueUs) {
+    private boolean isHostStalled(Body body, long deadlineUs) {
         long now = deadlines.now();
-        boolean isTimed = passed <= (body.length() > MessageReader.MAX_BODY ? 0 : MessageReader.MAX_BODY);
-        return isTimed && hostMovedUs <= dueUs && now >= dueUs + GRACE_US || now - hostMovedUs >= STALL_US;
+        boolean isTimed = relayedBytes <= (body.length() > MessageReader.MAX_BODY ? 0 : MessageReader.MAX_BODY);
+        return isTimed && hostProgressUs <= deadlineUs && now >= deadlineUs + STALLED_GRACE_US || now - hostProgressUs >= STALL_TIMEOUT_US;
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -326,7 +326,7 @@
     /** Only while long bodies pass: nobody else gives way. */
     private void lookAtHeadroom() {
         long now = deadlines.now();
-        if (now - lookedUs < LOOK_US || !Pieces.areInUse()) {
+        if (now - lookedUs < LOOK_US || !BodyBuffers.areInUse()) {
             return;
         }
         long used = ProcessorTime.usedUs();
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -211,7 +211,7 @@
      * Writes the next piece of a long request, the last one with the end of the body; false where the attempt has
      * ended.
      */
-    boolean writePiece(Attempt current, byte[] piece, Chunks.Span span, boolean last) {
+    boolean writePiece(Attempt current, byte[] piece, ChunkedFraming.Span span, boolean last) {
         boolean written = false;
         try {
             if (!current.hasEnded()) {
@@ -352,7 +352,7 @@
             HostLoad load = LoadText.read(head);
             boolean isPassedOn = end == AttemptEnd.SERVED && !body.isWhole();
             if (isPassedOn) {
-                socket.setSoTimeout(LongAnswer.LOOK_MS);
+                socket.setSoTimeout(ResponseRelay.CHECK_INTERVAL_MS);
             }
             if (!current.tryEnd(end)) {
                 return false;       // cut while the answer came; the end of the connection reports it
--- a/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
@@ -133,7 +133,7 @@
         for (int at = 0, n = 0; at < length; n++) {
             byte[] piece = piece(n, Math.min(length - at, n % 5 == 0 ? 3 : 40_000 + n % 7_001));
             sum.update(piece);
-            out.write(chunked ? Chunks.of(piece) : piece);
+            out.write(chunked ? ChunkedFraming.chunkOf(piece) : piece);
             at += piece.length;
         }
         if (chunked) {
@@ -306,7 +306,7 @@
             send(socket, "HTTP/1.1 200 OK\r\n" + (framing.equals("length") ? "Content-Length: 500000"
                     : "Transfer-Encoding: chunked") + "\r\n\r\n");
             byte[] piece = piece(1, 200_000);
-            socket.getOutputStream().write(framing.equals("length") ? piece : Chunks.of(piece));
+            socket.getOutputStream().write(framing.equals("length") ? piece : ChunkedFraming.chunkOf(piece));
             socket.close();
         });
         MessageReader in = asked(port, version);
--- /dev/null
+++ b/sidecar/src/test/java/dapplequay/net/ProgressWatchdogTest.java
@@ -0,0 +1,58 @@
+package dapplequay.net;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import dapplequay.time.Deadlines;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
+import org.junit.jupiter.api.Test;
+
+class ProgressWatchdogTest {
+    private final AtomicLong now = new AtomicLong(1_000);
+    private final Deadlines deadlines = new Deadlines(now::get);
+    private final AtomicInteger expirations = new AtomicInteger();
+
+    private void advanceTo(long us) {
+        now.set(us);
+        deadlines.sweep();
+    }
+
+    @Test
+    void expiresOnceWhenNoProgressIsMade() {
+        ProgressWatchdog.StallTimeout stallTimeout = new ProgressWatchdog.StallTimeout(deadlines, 100);
+        try (ProgressWatchdog watched = new ProgressWatchdog(deadlines, stallTimeout, expirations::incrementAndGet)) {
+            for (long us = 1_050; us < 3_000; us += 50) {
+                advanceTo(us);
+                stallTimeout.progressed();
+            }
+            assertThat(expirations).hasValue(0);
+            advanceTo(3_200);
+            advanceTo(3_400);
+            assertThat(expirations).hasValue(1);
+        }
+    }
+
+    @Test
+    void doesNotExpireAfterClose() {
+        new ProgressWatchdog(deadlines, new ProgressWatchdog.StallTimeout(deadlines, 100), expirations::incrementAndGet).close();
+        advanceTo(9_000);
+        assertThat(expirations).hasValue(0);
+    }
+
+    /** At 1,000 bytes a second with 500 us at first; only time in which the sender is waited for counts. */
+    @Test
+    void senderMustKeepTheMinimumRateWhileItIsWaitedFor() {
+        ProgressWatchdog.MinimumRate rate = new ProgressWatchdog.MinimumRate(deadlines, 500, 1_000);
+        try (ProgressWatchdog watched = new ProgressWatchdog(deadlines, rate, expirations::incrementAndGet)) {
+            rate.waitStarted();
+            advanceTo(1_400);
+            rate.waitEnded(2);                       // and 2,000 us more
+            advanceTo(50_000);                         // nobody waits
+            rate.waitStarted();
+            advanceTo(52_000);
+            assertThat(expirations).as("2,400 us of 2,500").hasValue(0);
+            advanceTo(52_200);
+            assertThat(expirations).hasValue(1);
+        }
+    }
+}
--- a/sidecar/src/test/java/dapplequay/net/LongAnswerTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ResponseRelayTest.java
@@ -25,12 +25,12 @@
  * still where a test has not moved it: nothing ends by a time that the test has not set.
  */
 @Timeout(90)
-class LongAnswerTest extends ClosesWhatItOpened {
+class ResponseRelayTest extends ClosesWhatItOpened {
     private static final int SOON_S = 6;
     private static final int BUDGET_MS = 1_000;
     private static final long GRACE_US = 400_000;
     /** Real ms for several looks, where a test shows that these end nothing. */
-    private static final long LOOKS_MS = 6 * LongAnswer.LOOK_MS;
+    private static final long LOOKS_MS = 6 * ResponseRelay.CHECK_INTERVAL_MS;
     private static final int LENGTH = 100_000;
 
     private final CountDownLatch goOn = new CountDownLatch(1);
