--- a/sidecar/src/main/java/dapplequay/net/Attempt.java
+++ b/sidecar/src/main/java/dapplequay/net/Attempt.java
@@ -50,7 +50,7 @@
     synchronized void awaitSettled(long settledAtUs, LongSupplier clock) {
         try {
             for (long now = clock.getAsLong(); now < settledAtUs && end == null && !settleWaitCancelled; now = clock.getAsLong()) {
-                Waits.atMost(this, (settledAtUs - now + 999) / 1000);
+                MonitorWaits.atMost(this, (settledAtUs - now + 999) / 1000);
             }
         } catch (InterruptedIOException e) {
             // It looks anew what there is for it.
@@ -130,7 +130,7 @@
      * call: where that was the write, a read finds a plain end.
      */
     synchronized boolean awaitWritten() {
-        Waits.whileTrue(this, () -> writing);
+        MonitorWaits.whileTrue(this, () -> writing);
         return isWritten();
     }
 
@@ -207,7 +207,7 @@
         if (uploading) {
             writing = false;        // the last piece was not written, and never will be
         }
-        Waits.whileTrue(this, () -> writing);
+        MonitorWaits.whileTrue(this, () -> writing);
         if (end == null || (end == AttemptEnd.TIMED_OUT || end == AttemptEnd.SILENT) && !isWritten()) {
             end = isWritten() ? AttemptEnd.RESET : AttemptEnd.NOT_CONNECTED;
         }
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -125,7 +125,7 @@
     /** Whether the answer is still due after so many ms, or a little earlier. */
     private synchronized boolean isBusyAfter(long ms) throws InterruptedIOException {
         if (state == State.BUSY) {
-            Waits.atMost(this, ms);
+            MonitorWaits.atMost(this, ms);
         }
         return state == State.BUSY;
     }
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientSide.java
@@ -56,14 +56,14 @@
     private volatile boolean isOver;
     /** The accepting thread's: there was a crowd since the ending began. */
     private boolean endsInCrowd;
-    private final Headroom headroom;
-    private final Punctuality punctuality;
+    private final LongBodyThrottle headroom;
+    private final LagMonitor punctuality;
     private final ThreadReserve threads;
     /** How many there may be at present: fewer than {@link #most} after threads were short. Under the lock. */
     private int bound;
 
     ClientSide(Door door, Supplier<Setup> setup, Facade facade, RequestDispatcher conductor,
-                 Deadlines deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int most,
+                 Deadlines deadlines, Counts counts, Lifetime lifetime, LongBodyThrottle headroom, int most,
                  int crowd, int mostUploads, ThreadReserve threads) {
         this.mostUploads = mostUploads;
         this.door = door;
@@ -79,7 +79,7 @@
         bound = most;
         threads.onShortage(this::giveThreadsBack);
         this.crowd = crowd;
-        punctuality = new Punctuality(deadlines.now());
+        punctuality = new LagMonitor(deadlines.now());
     }
 
     InetSocketAddress address() {
@@ -261,7 +261,7 @@
             }
             wait(PAUSE_MS);
         }
-        punctuality.waited(sinceUs, deadlines.now());
+        punctuality.recordWait(sinceUs, deadlines.now());
     }
 
     /**
@@ -284,7 +284,7 @@
 
     /** The timekeeper's turn. While the sidecar is being emptied, idle connections are closed. */
     void turn() {
-        punctuality.turn(deadlines.now());
+        punctuality.recordWakeUp(deadlines.now());
         raiseBound();
         if (!lifetime.empties()) {
             return;
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -168,7 +168,7 @@
             connection = null;
             notBeforeUs = NEVER;
             wholeListUs = NEVER;
-            table.moved();
+            table.discoveryMoved();
             clock.moved();
         }
         facade.watchAnew();
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public synchronized void answered(DiscoveryConnection its, Endpoints.Update update, long receivedUs,
+    public synchronized void answered(DiscoveryConnection its, Endpoints.ListUpdate update, long receivedUs,
             boolean stays) {
         boolean isCurrent = isCurrent(its);
         Call call = isCurrent ? current : takeSuperseded(its);
@@ -336,10 +336,10 @@
     }
 
     /** Takes in an answer: the table first, which is asked at each write, then the module. */
-    private void apply(Endpoints.Update update, Call call, long receivedUs, boolean isCurrent) {
+    private void apply(Endpoints.ListUpdate update, Call call, long receivedUs, boolean isCurrent) {
         boolean wasRegressed = table.isRegressed();
         long known = table.revision();
-        Endpoints.Applied applied = table.apply(update, call.id(), receivedUs, clock.graceLeftUs(receivedUs));
+        Endpoints.ApplyResult applied = table.apply(update, call.id(), receivedUs, clock.graceLeftUs(receivedUs));
         if (table.isRegressed() && !wasRegressed) {
             LOG.log(Level.WARNING, "a list with version {0}, older than {1}: what it brings back does not count yet",
                     new Object[] {Long.toString(update.revision()), Long.toString(known)});
@@ -365,7 +365,7 @@
         }
     }
 
-    private void take(Endpoints.Applied applied, boolean isNews) {
+    private void take(Endpoints.ApplyResult applied, boolean isNews) {
         try {
             if (isNews) {
                 facade.news(applied.outcome().news());
@@ -374,9 +374,9 @@
             table.wantWholeList();
             throw e;
         } finally {
-            upstreams.closeIdle(applied.closed());
+            upstreams.closeIdle(applied.retired());
         }
-        memory.keep().accept(() -> Json.text(table.tree()));
+        memory.keep().accept(() -> Json.text(table.toJsonTree()));
     }
 
     private void tell(Outcome outcome, String source) {
@@ -396,7 +396,7 @@
         while (!superseded.isEmpty() && superseded.peek().closeAtUs() <= nowUs) {
             superseded.remove().connection().close();
         }
-        Endpoints.Applied applied = table.expire(nowUs);
+        Endpoints.ApplyResult applied = table.expire(nowUs);
         if (!applied.outcome().transitions().isEmpty()) {
             take(applied, true);
             tell(applied.outcome(), "nothing confirmed or denied it in time");
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -34,10 +34,10 @@
     record Endpoint(String uid, InetSocketAddress address, long bootMs) { }
 
     /** One text of discovery's, read and checked as a whole before any of it counts. */
-    record Update(long revision, ListNews news, Map<String, InetSocketAddress> addresses) { }
+    record ListUpdate(long revision, ListNews news, Map<String, InetSocketAddress> addresses) { }
 
     /** What came of an answer, and the endpoints that take no new work any more. */
-    record Applied(ServerRegistry.Outcome outcome, Set<Endpoint> closed) { }
+    record ApplyResult(ServerRegistry.Outcome outcome, Set<Endpoint> retired) { }
 
     /** One that begins with no list; the first that comes is trusted whatever its version. */
     Endpoints() {
@@ -49,15 +49,15 @@
         registry = new ServerRegistry(anyRevision);
     }
 
-    static Update read(byte[] text) throws IOException {
-        return read(Json.parse(text));
+    static ListUpdate parse(byte[] text) throws IOException {
+        return parse(Json.parse(text));
     }
 
     /** IOException where the tree is not a list of discovery's. */
-    static Update read(Object tree) throws IOException {
+    static ListUpdate parse(Object tree) throws IOException {
         try {
             Map<?, ?> map = (Map<?, ?>) tree;
-            boolean whole = (Boolean) map.get("all");
+            boolean isWhole = (Boolean) map.get("all");
             List<Line> lines = new ArrayList<>();
             Map<String, InetSocketAddress> addresses = new HashMap<>();
             Set<String> uids = new HashSet<>();
@@ -77,8 +77,8 @@
                 lines.add(new Line(uid, (String) entry.get("az"), (int) number(entry, "pod_group", 0),
                         state, number(entry, "capacity_hint", 1), (long) number(entry, "boot_ms", 0)));
             }
-            ListNews.Kind kind = whole ? ListNews.Kind.WHOLE : ListNews.Kind.CHANGES;
-            return new Update(revision(map.get("rev")), new ListNews(kind, lines), addresses);
+            ListNews.Kind kind = isWhole ? ListNews.Kind.WHOLE : ListNews.Kind.CHANGES;
+            return new ListUpdate(revision(map.get("rev")), new ListNews(kind, lines), addresses);
         } catch (ClassCastException | NullPointerException | IllegalArgumentException e) {
             throw new IOException("not a list of servers: " + e.getMessage(), e);
         }
@@ -114,17 +114,17 @@
     }
 
     /** Takes a list over as it is; returns the endpoints that take no new work any more. */
-    synchronized Set<Endpoint> restore(Update update) {
+    synchronized Set<Endpoint> restore(ListUpdate update) {
         Set<Endpoint> before = serving();
         endpoints.clear();
-        learn(update);
+        updateEndpoints(update);
         registry.restore(update.revision(), update.news().lines());
         before.removeAll(serving());
         return before;
     }
 
     /** Takes in an answer to that call; {@code graceLeftUs}: of the drain's grace for what it brings. */
-    synchronized Applied apply(Update update, ListAnswer.Call call, long receivedUs, long graceLeftUs) {
+    synchronized ApplyResult apply(ListUpdate update, ListAnswer.Call call, long receivedUs, long graceLeftUs) {
         Set<Endpoint> before = serving();
         ListAnswer answer = new ListAnswer(update.revision(), update.news(), call, receivedUs);
         ServerRegistry.Outcome outcome = registry.answered(answer, graceLeftUs);
@@ -132,27 +132,27 @@
         outcome.news().lines().forEach(line -> takenOver.add(line.uid()));
         Map<String, InetSocketAddress> addresses = new HashMap<>(update.addresses());
         addresses.keySet().retainAll(takenOver);
-        learn(new Update(update.revision(), outcome.news(), addresses));
-        return applied(outcome, before);
+        updateEndpoints(new ListUpdate(update.revision(), outcome.news(), addresses));
+        return resultOf(outcome, before);
     }
 
     /** Takes out the servers whose deadline has come. */
-    synchronized Applied expire(long nowUs) {
+    synchronized ApplyResult expire(long nowUs) {
         if (nowUs < registry.nextDeadlineUs()) {
-            return new Applied(registry.expire(nowUs), Set.of());
+            return new ApplyResult(registry.expire(nowUs), Set.of());
         }
         Set<Endpoint> before = serving();
-        return applied(registry.expire(nowUs), before);
+        return resultOf(registry.expire(nowUs), before);
     }
 
-    private Applied applied(ServerRegistry.Outcome outcome, Set<Endpoint> before) {
+    private ApplyResult resultOf(ServerRegistry.Outcome outcome, Set<Endpoint> before) {
         endpoints.keySet().removeIf(uid -> registry.statusOf(uid) == ServerStatus.REMOVED);
         before.removeAll(serving());
-        return new Applied(outcome, before);
+        return new ApplyResult(outcome, before);
     }
 
     /** Of lines that were taken over, the addresses; where a line names none, or drains, the one known stays. */
-    private void learn(Update update) {
+    private void updateEndpoints(ListUpdate update) {
         for (Line line : update.news().lines()) {
             Endpoint known = endpoints.get(line.uid());
             InetSocketAddress address = update.addresses().getOrDefault(line.uid(),
@@ -175,7 +175,7 @@
     }
 
     /** Discovery is at another address from now on. */
-    synchronized void moved() {
+    synchronized void discoveryMoved() {
         registry.moved();
     }
 
@@ -203,7 +203,7 @@
     }
 
     /** The list in discovery's form, so that a later life can begin with it. */
-    synchronized Map<String, Object> tree() {
+    synchronized Map<String, Object> toJsonTree() {
         List<Object> targets = new ArrayList<>();
         for (Line line : registry.lines()) {
             Map<String, Object> target = new LinkedHashMap<>();
@@ -235,7 +235,7 @@
     }
 
     /** The same for work whose first byte goes out now: null also where the server's deadline is over. */
-    synchronized Endpoint endpointToSend(String uid, long nowUs) {
+    synchronized Endpoint endpointForSend(String uid, long nowUs) {
         if (!registry.maySend(uid, nowUs)) {
             return null;
         }
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -78,7 +78,7 @@
 
     /** Waits for the attempt that takes the rest of a long request; null once the exchange is over. */
     synchronized Attempt awaitReadyAttempt() {
-        Waits.whileTrue(this, () -> !claimed && (attempt == null || !attempt.isReadyForBody()));
+        MonitorWaits.whileTrue(this, () -> !claimed && (attempt == null || !attempt.isReadyForBody()));
         return claimed ? null : attempt;
     }
 
--- a/sidecar/src/main/java/dapplequay/net/LoadText.java
+++ b/sidecar/src/main/java/dapplequay/net/LoadReportParser.java
@@ -5,23 +5,23 @@
 import dapplequay.http.Head;
 
 /** Reads {@code X-Load-Report}. */
-final class LoadText {
-    private LoadText() { }
+final class LoadReportParser {
+    private LoadReportParser() { }
 
     /**
      * Null where there is no report. One that can't be read, or contradicts another, spoils no answer: it is
      * passed over.
      */
-    static HostLoad read(Head answer) {
+    static HostLoad parse(Head answer) {
         try {
-            return read(answer.get("X-Load-Report"));
+            return parse(answer.get("X-Load-Report"));
         } catch (BadMessage e) {
             return null;
         }
     }
 
     /** Null where there is no report; what is no number counts as not told. */
-    static HostLoad read(String text) {
+    static HostLoad parse(String text) {
         if (text == null) {
             return null;
         }
--- a/sidecar/src/main/java/dapplequay/net/Waits.java
+++ b/sidecar/src/main/java/dapplequay/net/MonitorWaits.java
@@ -4,8 +4,8 @@
 import java.util.function.BooleanSupplier;
 
 /** Waiting on a monitor where giving up half-way would leave somebody without an answer. */
-final class Waits {
-    private Waits() { }
+final class MonitorWaits {
+    private MonitorWaits() { }
 
     /** The caller holds the monitor; an interrupt is kept for later. */
     static void whileTrue(Object monitor, BooleanSupplier condition) {
--- a/sidecar/src/main/java/dapplequay/net/Presence.java
+++ b/sidecar/src/main/java/dapplequay/net/Presence.java
@@ -89,7 +89,7 @@
     private synchronized void awaitThread(Exchange exchange) {
         try {
             while (awaySinceUs >= 0 && side.deadlines().now() - awaySinceUs > KNOWN_US && !exchange.isClaimed()) {
-                Waits.atMost(this, AHEAD_MS);
+                MonitorWaits.atMost(this, AHEAD_MS);
             }
         } catch (InterruptedIOException e) {
             LOG.log(Level.FINE, "client not waited for: {0}", e.toString());
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -58,7 +58,7 @@
     private final UpstreamPool upstreams;
     private final Counts counts = new Counts();
     private final Lifetime lifetime;
-    private final Headroom headroom;
+    private final LongBodyThrottle headroom;
     private final ThreadReserve threads;
     private long lookedUs;
     private long usedUs;
@@ -153,7 +153,7 @@
         setup = plan.setup();
         facade = new Facade(setup, plan.seed(), clock, Sidecar::tell);
         lifetime = new Lifetime(clock);
-        headroom = new Headroom(plan.cores());
+        headroom = new LongBodyThrottle(plan.cores());
         threads = new ThreadReserve(clock);
         counts.know(setup.classes().keySet());
         table = restored(plan, facade, memory.binds());
@@ -173,7 +173,7 @@
         Endpoints table = new Endpoints(!binds);
         List<ListNews.Line> lines = List.of();
         if (plan.known() != null) {
-            Endpoints.Update known = Endpoints.read(plan.known());
+            Endpoints.ListUpdate known = Endpoints.parse(plan.known());
             table.restore(known);
             lines = known.news().lines();
         }
@@ -303,7 +303,7 @@
                 if (side != null) {
                     side.turn();
                 }
-                headroom.turn(deadlines.await(TURN_US));
+                headroom.recordWakeUp(deadlines.await(TURN_US));
                 lookAtHeadroom();
             } catch (InterruptedException e) {
                 return;
@@ -331,7 +331,7 @@
         }
         long used = ProcessorTime.usedUs();
         if (now - lookedUs < 2 * LOOK_US) {
-            headroom.used(used - usedUs, now - lookedUs);
+            headroom.recordCpuUse(used - usedUs, now - lookedUs);
         }
         lookedUs = now;
         usedUs = used;
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -349,7 +349,7 @@
             if (end == AttemptEnd.SERVED && body.framing() == Body.Framing.TO_END && !current.awaitWritten()) {
                 throw new EOFException("ended under its request");
             }
-            HostLoad load = LoadText.read(head);
+            HostLoad load = LoadReportParser.parse(head);
             boolean isPassedOn = end == AttemptEnd.SERVED && !body.isWhole();
             if (isPassedOn) {
                 socket.setSoTimeout(ResponseRelay.CHECK_INTERVAL_MS);
--- a/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
@@ -278,7 +278,7 @@
         long now = now();
         String reason = attempt.hasEnded() ? "cut" : attempt.exchange.isClaimed() ? "answered"
                 : !attempt.mayBeginAt(now) ? "late"
-                : !endpoint.equals(endpointTable.endpointToSend(attempt.decision.host(), now)) ? stopReason(attempt) : null;
+                : !endpoint.equals(endpointTable.endpointForSend(attempt.decision.host(), now)) ? stopReason(attempt) : null;
         if (reason != null) {
             figures.stopped(reason);
             attempt.tryEnd(AttemptEnd.NOT_SENT);      // unless it has ended otherwise
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -79,7 +79,7 @@
             Head answer = back.response();
             byte[] body = back.responseBody(answer);
             facade.report(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
-                    LoadText.read(answer));
+                    LoadReportParser.parse(answer));
             Answers.served(answer, body).bytes("");
             deadlines.cancel(deadline);
         }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -159,7 +159,7 @@
         Setup setup = SettingsReader.of(example.get("settings"), "example");
         Facade facade = new Facade(setup, 7, deadlines::now, line -> { });
         Endpoints table = new Endpoints();
-        Endpoints.Update known = Endpoints.read(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
+        Endpoints.ListUpdate known = Endpoints.parse(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
         table.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         Counts counts = new Counts();
@@ -169,7 +169,7 @@
         RequestDispatcher conductor = new RequestDispatcher(facade, upstreams);
         upstreams.setDispatcher(conductor);
         Door door = door(hooks, accepted);
-        side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime, new Headroom(1),
+        side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime, new LongBodyThrottle(1),
                 most, crowd, 10, new ThreadReserve(deadlines::now));
         Host.daemon(side::run);
         lifetime.listening();
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -126,7 +126,7 @@
                 .replace("\"ask_within_us\"", "\"drain_grace_us\": " + graceUs + ", \"ask_within_us\"");
         Setup setup = SettingsReader.of(((Map<?, ?>) Json.parse(text.getBytes())).get("settings"), "example");
         Facade facade = new Facade(setup, 7, clock::get, line -> { });
-        Endpoints.Update known = Endpoints.read(known().getBytes());
+        Endpoints.ListUpdate known = Endpoints.parse(known().getBytes());
         table.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         facade.watchAnew();
@@ -241,7 +241,7 @@
         start(old, 250_000);
         next.next();
         for (int i = 0; i < HOSTS; i++) {
-            assertThat(table.endpointToSend("s" + i, clock.get() + 100_000)).as("s%d: 100 ms of the grace", i).isNull();
+            assertThat(table.endpointForSend("s" + i, clock.get() + 100_000)).as("s%d: 100 ms of the grace", i).isNull();
         }
     }
 
@@ -340,7 +340,7 @@
         assertThat(query(lost.next())).isEqualTo("/v1/servers");
         assertThat(query(lost.next())).isEqualTo("/v1/servers");
         assertThat(table.endpointOf("s0")).as("a drain counts at once").isNull();
-        assertThat(table.endpointToSend("s1", clock.get())).as("missing once, past its deadline").isNull();
+        assertThat(table.endpointForSend("s1", clock.get())).as("missing once, past its deadline").isNull();
         missedOnce.countDown();
         assertThat(query(lost.next())).contains("after=2&");
         assertThat(table.endpointOf("s1")).as("missing again").isNull();
--- a/sidecar/src/test/java/dapplequay/net/EndpointsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/EndpointsTest.java
@@ -12,9 +12,9 @@
 
 class EndpointsTest {
 
-    private static Endpoints.Update list(int rev, boolean all, String... targets) throws IOException {
+    private static Endpoints.ListUpdate list(int rev, boolean all, String... targets) throws IOException {
         String text = "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
-        return Endpoints.read(text.getBytes(StandardCharsets.UTF_8));
+        return Endpoints.parse(text.getBytes(StandardCharsets.UTF_8));
     }
 
     private static String target(String uid, int port, String state) {
@@ -23,12 +23,12 @@
     }
 
     /** The answer to a call that nothing crossed; the endpoints that take no new work any more. */
-    private static Set<Endpoints.Endpoint> apply(Endpoints table, Endpoints.Update update) {
-        return table.apply(update, table.nextCall(0), 0, 0).closed();
+    private static Set<Endpoints.Endpoint> apply(Endpoints table, Endpoints.ListUpdate update) {
+        return table.apply(update, table.nextCall(0), 0, 0).retired();
     }
 
     @Test
-    void onlyServingHostsHaveAnEndpointAndChangesKeepTheRest() throws IOException {
+    void onlyServingHostsHaveAnEndpointAndAPartialListKeepsTheOthers() throws IOException {
         Endpoints table = new Endpoints();
         apply(table, list(1, true, target("s1", 1, "SERVING"), target("s2", 2, "SERVING"),
                 target("s3", 3, "DRAINING")));
@@ -47,7 +47,7 @@
 
     /** What comes up at the address of a gone host, or under its id again, gets none of its connections. */
     @Test
-    void anotherProcessIsAnotherRoute() throws IOException {
+    void replacedOrRestartedProcessGetsANewEndpoint() throws IOException {
         Endpoints table = new Endpoints();
         apply(table, list(1, true, target("s1", 1, "SERVING")));
         assertThat(apply(table, list(2, true, target("s2", 1, "SERVING")))).extracting(Endpoints.Endpoint::uid)
@@ -65,8 +65,8 @@
         "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"a\",\"state\":\"LOST\",\"endpoint\":\"127.0.0.1:1\"}]}",
         "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"a\",\"state\":\"SERVING\",\"endpoint\":\"host:1\"}]}",
         "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"a\",\"state\":\"SERVING\",\"endpoint\":\"127.0.0.1\"}]}"})
-    void rubbishIsAFailedCall(String text) {
-        assertThatThrownBy(() -> Endpoints.read(text.getBytes(StandardCharsets.UTF_8)))
+    void malformedListIsRejected(String text) {
+        assertThatThrownBy(() -> Endpoints.parse(text.getBytes(StandardCharsets.UTF_8)))
                 .isInstanceOf(IOException.class);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/LoadTextTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LoadReportParserTest.java
@@ -5,19 +5,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class LoadTextTest {
+class LoadReportParserTest {
     @ParameterizedTest
     @CsvSource(delimiter = ';', value = {
         "inflight=7,queue=2,latency_ms=1.5; 2; 7", " queue = 3 ; 3; NaN", "inflight=x,queue=; NaN; NaN",
         "inflight=-1; NaN; NaN", "; ; ",
     })
-    void loadReportsAreReadAsFarAsTheyMakeSense(String text, Double queue, Double inFlight) {
-        var load = LoadText.read(text);
+    void parsesTheValidFieldsOfAReport(String text, Double queue, Double inFlight) {
+        var report = LoadReportParser.parse(text);
         if (text == null) {
-            assertThat(load).isNull();
+            assertThat(report).isNull();
         } else {
-            assertThat(load.queue()).isEqualTo(queue);
-            assertThat(load.inFlight()).isEqualTo(inFlight);
+            assertThat(report.queue()).isEqualTo(queue);
+            assertThat(report.inFlight()).isEqualTo(inFlight);
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/ResponseRelayTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ResponseRelayTest.java
@@ -26,23 +26,23 @@
  */
 @Timeout(90)
 class ResponseRelayTest extends ClosesWhatItOpened {
-    private static final int SOON_S = 6;
+    private static final int TIMEOUT_S = 6;
     private static final int BUDGET_MS = 1_000;
     private static final long GRACE_US = 400_000;
     /** Real ms for several looks, where a test shows that these end nothing. */
-    private static final long LOOKS_MS = 6 * ResponseRelay.CHECK_INTERVAL_MS;
+    private static final long SEVERAL_CHECKS_MS = 6 * ResponseRelay.CHECK_INTERVAL_MS;
     private static final int LENGTH = 100_000;
 
-    private final CountDownLatch goOn = new CountDownLatch(1);
-    private final CountDownLatch takenOver = new CountDownLatch(1);
-    private final CountDownLatch ends = new CountDownLatch(1);
+    private final CountDownLatch continueHost = new CountDownLatch(1);
+    private final CountDownLatch secondThreadReads = new CountDownLatch(1);
+    private final CountDownLatch connectionEnds = new CountDownLatch(1);
     private ClientRig rig;
     private Host.Client client;
     private MessageReader reader;
 
     @AfterEach
-    void letGoOn() {
-        goOn.countDown();
+    void releaseHost() {
+        continueHost.countDown();
     }
 
     private static void write(Host.Seen to, String text) throws IOException {
@@ -73,7 +73,7 @@
                 seen.socket().getInputStream().read();
                 return null;
             }
-            goOn.await();
+            continueHost.await();
             write(seen, rest);
             seen.socket().close();
             return null;
@@ -81,18 +81,18 @@
     }
 
     /** A client that has asked, and the body that has begun to come. */
-    private Body asked(Host host, String version, int least) throws Exception {
+    private Body request(Host host, String version, int least) throws Exception {
         rig = open(new ClientRig(new ClientRig.Hooks() {
             @Override
             void beforeRead() {
                 if (!Thread.currentThread().getName().equals("client")) {
-                    takenOver.countDown();
+                    secondThreadReads.countDown();
                 }
             }
 
             @Override
             void beforeEnd() {
-                ends.countDown();
+                connectionEnds.countDown();
             }
         }, 100, host.port()));
         rig.stopClock(0);
@@ -107,8 +107,8 @@
     }
 
     /** The thread that had read the request is gone from then on. */
-    private void awaitTakenOver() throws InterruptedException {
-        assertThat(takenOver.await(SOON_S, TimeUnit.SECONDS)).as("somebody looks for the client").isTrue();
+    private void awaitSecondThread() throws InterruptedException {
+        assertThat(secondThreadReads.await(TIMEOUT_S, TimeUnit.SECONDS)).as("somebody looks for the client").isTrue();
     }
 
     private static void read(Body body, int bytes) throws IOException {
@@ -118,7 +118,7 @@
         }
     }
 
-    private static int rest(Body body) throws IOException {
+    private static int readRest(Body body) throws IOException {
         byte[] piece = new byte[64 * 1024];
         int sum = 0;
         for (int read = 0; read >= 0; read = body.read(piece, 0, piece.length)) {
@@ -129,62 +129,62 @@
 
     @ParameterizedTest
     @CsvSource({"chunked,1.1", "chunked,1.0", "end,1.1", "end,1.0", "head,1.1"})
-    void answerWhoseHostStandsStillEndsInTimeAndShowsThatItIsNotWhole(String framing, String version) throws Exception {
+    void responseOfAStalledHostEndsInTimeAndIsSeenAsTruncated(String framing, String version) throws Exception {
         Host host = host(begun(framing), null);
-        Body body = asked(host, version, framing.equals("head") ? 0 : 5);
+        Body body = request(host, version, framing.equals("head") ? 0 : 5);
         rig.stopClock(BUDGET_MS * 1_000 + GRACE_US);
-        assertThat(catchThrowable(() -> rest(body))).isNotInstanceOf(SocketTimeoutException.class)
+        assertThat(catchThrowable(() -> readRest(body))).isNotInstanceOf(SocketTimeoutException.class)
                 .isInstanceOf(version.equals("1.0") ? SocketException.class : IOException.class);
-        assertThat(host.closed.poll(SOON_S, TimeUnit.SECONDS)).as("given up").isTrue();
+        assertThat(host.closed.poll(TIMEOUT_S, TimeUnit.SECONDS)).as("given up").isTrue();
     }
 
     /** Where only the end of the connection ends an answer, a plain one in the ending's last moment made it whole. */
     @ParameterizedTest
     @CsvSource({"chunked,1.0", "end,1.0", "end,1.1", "length,1.1"})
-    void answerThatAnEndingCutsShortShowsThatItIsNotWhole(String framing, String version) throws Exception {
-        Body body = asked(host(begun(framing), null), version, 5);
+    void responseCutShortByShutdownIsSeenAsTruncated(String framing, String version) throws Exception {
+        Body body = request(host(begun(framing), null), version, 5);
         rig.lastMoment(0);
-        assertThat(catchThrowable(() -> rest(body))).isNotInstanceOf(SocketTimeoutException.class)
+        assertThat(catchThrowable(() -> readRest(body))).isNotInstanceOf(SocketTimeoutException.class)
                 .isInstanceOf(version.equals("1.0") ? SocketException.class : IOException.class);
     }
 
     /** Of a long one the first bytes are timed; and what has moved since its time ended may go on. */
     @ParameterizedTest
     @CsvSource({"length,99995", "much,5", "moving,5"})
-    void answerThatMayStillGetThereIsWaitedForBeyondItsTime(String framing, int left) throws Exception {
+    void responseThatMayStillCompleteContinuesAfterTheDeadline(String framing, int left) throws Exception {
         String rest = "x".repeat(left);
         Host host = host(begun(framing), framing.equals("length") ? rest : chunk(rest) + "0\r\n\r\n");
-        Body body = asked(host, "1.1", framing.equals("much") ? 70_005 : 5);
+        Body body = request(host, "1.1", framing.equals("much") ? 70_005 : 5);
         rig.stopClock(BUDGET_MS * 1_000 + 100_000);
         if (framing.equals("moving")) {
             write(host.next(), chunk("more"));
             read(body, 4);
         }
         rig.stopClock(2 * GRACE_US);
-        Thread.sleep(LOOKS_MS);
-        goOn.countDown();
-        assertThat(rest(body)).isEqualTo(left);
+        Thread.sleep(SEVERAL_CHECKS_MS);
+        continueHost.countDown();
+        assertThat(readRest(body)).isEqualTo(left);
     }
 
     @Test
-    void clientThatReadsSlowlyHasItsAnswerBeyondItsTime() throws Exception {
+    void slowClientReceivesItsWholeResponseAfterTheDeadline() throws Exception {
         int length = 16 << 20;
         Host host = open(new Host((head, seen) -> Host.ok("x".repeat(length))));
-        Body body = asked(host, "1.1", 1);
+        Body body = request(host, "1.1", 1);
         rig.stopClock(BUDGET_MS * 1_000 + GRACE_US);
-        Thread.sleep(LOOKS_MS);
-        assertThat(rest(body)).isEqualTo(length - 1);
+        Thread.sleep(SEVERAL_CHECKS_MS);
+        assertThat(readRest(body)).isEqualTo(length - 1);
     }
 
     /** Nobody read its connection, and nothing was written to it, while the host stood still. */
     @ParameterizedTest
     @CsvSource({"close,,false", "close,,true", "reset,,true", "half,,true", "close,behind,false", "close,behind,true",
         "half,behind,true"})
-    void departureWhileTheHostStandsStillIsNoticed(String how, String behind, boolean late) throws Exception {
+    void clientThatLeavesWhileTheHostIsStalledIsNoticed(String how, String behind, boolean late) throws Exception {
         Host host = host(begun("length"), null);
-        asked(host, "1.1", 5);
+        request(host, "1.1", 5);
         if (late) {
-            awaitTakenOver();
+            awaitSecondThread();
         }
         client.send(behind == null ? "" : ClientRig.pay(behind));
         if (how.equals("half")) {
@@ -193,7 +193,7 @@
             client.socket.setSoLinger(how.equals("reset"), 0);
             client.close();
         }
-        assertThat(host.closed.poll(SOON_S, TimeUnit.SECONDS)).as("given up").isTrue();
+        assertThat(host.closed.poll(TIMEOUT_S, TimeUnit.SECONDS)).as("given up").isTrue();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         host.next();
         assertThat(host.seen).as("served for nobody").isEmpty();
@@ -202,17 +202,17 @@
     /** Its connection was closed over them, so that the reset took with it what the client had not read yet. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void bytesBehindTheRequestTakeNothingOfTheAnswer(boolean late) throws Exception {
+    void bytesAfterTheRequestDoNotTruncateTheResponse(boolean late) throws Exception {
         Host host = host(begun("length"), "x".repeat(LENGTH - 5));
-        Body body = asked(host, "1.1", 5);
+        Body body = request(host, "1.1", 5);
         if (late) {
-            awaitTakenOver();
+            awaitSecondThread();
         }
         client.send(ClientRig.pay("behind", 900, 8_000));
-        goOn.countDown();
-        assertThat(ends.await(SOON_S, TimeUnit.SECONDS)).isTrue();
+        continueHost.countDown();
+        assertThat(connectionEnds.await(TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         client.send("and more");
-        assertThat(rest(body)).isEqualTo(LENGTH - 5);
+        assertThat(readRest(body)).isEqualTo(LENGTH - 5);
         assertThat(reader.await()).as("more than the end, which is no reset").isFalse();
         client.close();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
--- a/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
@@ -28,18 +28,18 @@
 class UpstreamPoolTest {
     private static final SettingsReader.Setup SETUP = new SettingsReader.Setup(null, Map.of(), Map.of(), 10_000_000, 30_000_000);
 
-    private static void list(Endpoints table, int port, String state) {
+    private static void restoreList(Endpoints table, int port, String state) {
         try {
-            table.restore(Endpoints.read(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\"127.0.0.1:"
+            table.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\"127.0.0.1:"
                     + port + "\",\"az\":\"a\",\"state\":\"" + state + "\"}]}").getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static UpstreamPool side(Endpoints table, Deadlines deadlines, BlockingQueue<AttemptEnd> ends) {
-        UpstreamPool side = new UpstreamPool(table, deadlines, () -> SETUP, 10, new Counts(), new DiscoveryFigures());
-        side.setDispatcher(new RequestDispatcher(null, side) {
+    private static UpstreamPool pool(Endpoints table, Deadlines deadlines, BlockingQueue<AttemptEnd> ends) {
+        UpstreamPool pool = new UpstreamPool(table, deadlines, () -> SETUP, 10, new Counts(), new DiscoveryFigures());
+        pool.setDispatcher(new RequestDispatcher(null, pool) {
             @Override
             void attemptStarted(Attempt attempt) { }
 
@@ -48,42 +48,42 @@
                 ends.add(end);
             }
         });
-        return side;
+        return pool;
     }
 
-    private static Attempt attempt(UpstreamPool side) throws IOException {
+    private static Attempt attempt(UpstreamPool pool) throws IOException {
         Head head = Head.request("POST /pay HTTP/1.1".getBytes(StandardCharsets.US_ASCII));
         ClientRequest request = new ClientRequest(head, new byte[0], null, "pay", null, null, 10_000_000);
-        return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), side.now());
+        return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), pool.now());
     }
 
     /** What a host sends behind an answer would else be taken for the next one; a new connection costs the host. */
     @Test
-    void connectionRestsAfterAnAnswerBeforeItIsUsedAgain() throws Exception {
+    void connectionIsReusedOnlyAfterTheSettleTime() throws Exception {
         Endpoints table = new Endpoints();
         BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
-        List<Long> cameUs = new CopyOnWriteArrayList<>();
+        List<Long> receivedUs = new CopyOnWriteArrayList<>();
         try (Host host = new Host((head, seen) -> {
-            cameUs.add(System.nanoTime() / 1000);
+            receivedUs.add(System.nanoTime() / 1000);
             return Host.ok("done");
         })) {
-            list(table, host.port(), "SERVING");
-            UpstreamPool side = side(table, new Deadlines(() -> System.nanoTime() / 1000), ends);
+            restoreList(table, host.port(), "SERVING");
+            UpstreamPool pool = pool(table, new Deadlines(() -> System.nanoTime() / 1000), ends);
             List<Socket> used = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                side.send(attempt(side));
+                pool.send(attempt(pool));
                 assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
                 used.add(host.next().socket());
             }
-            assertThat(cameUs.get(1) - cameUs.get(0)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
-            assertThat(cameUs.get(2) - cameUs.get(1)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
+            assertThat(receivedUs.get(1) - receivedUs.get(0)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
+            assertThat(receivedUs.get(2) - receivedUs.get(1)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
             assertThat(used).containsOnly(used.get(0));
         }
     }
 
     /** Each instance kept what its busiest moment had opened; hosts at their cap turned all others away. */
     @Test
-    void spareConnectionIsClosedSoonAndTheLastOneStays() throws Exception {
+    void spareConnectionIsClosedSoonAndTheLastOneIsKept() throws Exception {
         Endpoints table = new Endpoints();
         BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
         AtomicLong now = new AtomicLong(1_000_000);
@@ -93,14 +93,14 @@
             answers.acquire();
             return Host.ok("done");
         })) {
-            list(table, host.port(), "SERVING");
-            UpstreamPool side = side(table, deadlines, ends);
+            restoreList(table, host.port(), "SERVING");
+            UpstreamPool pool = pool(table, deadlines, ends);
             List<Socket> used = new ArrayList<>();
             for (long pauseUs : new long[] {0, UpstreamPool.SPARE_IDLE_US + 1}) {
                 now.addAndGet(pauseUs);
                 deadlines.sweep();
                 for (int i = 0; i < 2; i++) {           // two at once
-                    side.send(attempt(side));
+                    pool.send(attempt(pool));
                     used.add(host.next().socket());
                 }
                 answers.release(2);
@@ -116,19 +116,19 @@
 
     /** The connecting thread reads the clock between the pick and the connect: there the drain is told. */
     @Test
-    void attemptThatWaitedForItsConnectIsNotSentToAHostThatDrainsMeanwhile() throws Exception {
+    void attemptIsNotSentIfItsHostBeginsToDrainDuringTheConnect() throws Exception {
         Endpoints table = new Endpoints();
         BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
         try (Host host = new Host((head, seen) -> Host.ok("done"))) {
-            list(table, host.port(), "SERVING");
+            restoreList(table, host.port(), "SERVING");
             Deadlines deadlines = new Deadlines(() -> {
                 if (Thread.currentThread().getName().startsWith("upstream")) {
-                    list(table, host.port(), "DRAINING");
+                    restoreList(table, host.port(), "DRAINING");
                 }
                 return System.nanoTime() / 1000;
             });
-            UpstreamPool side = side(table, deadlines, ends);
-            side.send(attempt(side));
+            UpstreamPool pool = pool(table, deadlines, ends);
+            pool.send(attempt(pool));
             assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.NOT_SENT);
             assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(host.seen).isEmpty();
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -114,7 +114,7 @@
                     + "\"boot_ms\":" + bootMs + ",\"state\":\"" + state + "\"}");
         }
         try {
-            table.restore(Endpoints.read(("{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}")
+            table.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}")
                     .getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new AssertionError(e);
