--- a/sidecar/src/main/java/dapplequay/net/Attempt.java
+++ b/sidecar/src/main/java/dapplequay/net/Attempt.java
@@ -6,22 +6,26 @@
 import java.io.InterruptedIOException;
 import java.util.function.LongSupplier;
 
-/** One attempt at an upstream. It ends once: the first counts of an answer, a cut and a break. */
+/**
+ * One attempt to get a request served by an upstream. It ends once, with whichever comes first: the response, an abort
+ * from outside or the failure of its connection.
+ */
 final class Attempt {
     final Exchange exchange;
     final Decision.Send decision;
     private long startUs;
+    /** When the attempt times out, microseconds. */
     private long expiresAtUs;
-    /** Of a long request: its last piece has not been announced, so that it can't have run. */
+    /** True for a long request until its last piece is about to be written: until then it can't have run. */
     private boolean uploading;
     private boolean readyForBody;
-    /** What it rested for is lost. */
+    /** The connection that the attempt waits for is gone. */
     private boolean settleWaitCancelled;
     private long connectionIdleUs = -1;
     private AttemptEnd end;
-    private boolean writing = true;      // until told otherwise: what is not known is not "never ran"
-    private long headReceivedUs;
-    private long writtenAtUs = -1;       // -1: not written whole
+    private boolean writing = true;      // until its end is known: an unknown state must not count as "never ran"
+    private long headReceivedUs;         // 0: no response head yet
+    private long writtenAtUs = -1;       // -1: the request has not been written completely
     private UpstreamConnection connection;
     private Deadlines.Deadline timeout;
 
@@ -33,32 +37,37 @@
         uploading = exchange.request.isLong();
     }
 
-    /** When it was decided on, or, where it had to wait for a connection to have rested, when that was over. */
+    /**
+     * Returns when the attempt started, microseconds: the time of the decision, or the end of its wait for a connection
+     * to settle.
+     */
     synchronized long startUs() {
         return startUs;
     }
 
-    /** Whether its first byte may go out at that time, microseconds. */
+    /** Returns whether the first byte may be sent at {@code timeUs}, microseconds. */
     synchronized boolean mayBeginAt(long timeUs) {
         return timeUs < decision.beginByUs() && (uploading || timeUs < expiresAtUs);
     }
 
     /**
-     * Waits until then, microseconds, or until it is cut or {@link #stopResting} says that it waits in vain. The wait
-     * is this side's own doing: the attempt's time is counted from its end, and what it may take at most is not.
+     * Waits until a used connection has settled, or until the attempt ends or {@link #cancelSettleWait} is called. This
+     * delay is the sidecar's own: the attempt's duration is counted from its end, while its timeout stays as it was.
      */
     synchronized void awaitSettled(long settledAtUs, LongSupplier clock) {
         try {
-            for (long now = clock.getAsLong(); now < settledAtUs && end == null && !settleWaitCancelled; now = clock.getAsLong()) {
+            for (long now = clock.getAsLong(); now < settledAtUs && end == null && !settleWaitCancelled;
+                    now = clock.getAsLong()) {
                 MonitorWaits.atMost(this, (settledAtUs - now + 999) / 1000);
             }
         } catch (InterruptedIOException e) {
-            // It looks anew what there is for it.
+            // The caller checks again whether the attempt may begin and which connection there is.
         }
         settleWaitCancelled = false;
         startUs = clock.getAsLong();
     }
 
+    /** Ends the wait in {@link #awaitSettled}, as the connection can't be used any more. */
     synchronized void cancelSettleWait() {
         settleWaitCancelled = true;
         notifyAll();
@@ -68,7 +77,10 @@
         return expiresAtUs;
     }
 
-    /** A connection has taken what is held of a long request, or is for its client's thread to begin. */
+    /**
+     * Marks the attempt of a long request as ready for its client's thread: the connection has been sent the buffered
+     * start of the request, or is left to that thread to connect.
+     */
     void markReadyForBody() {
         synchronized (this) {
             readyForBody = true;
@@ -85,8 +97,10 @@
     }
 
     /**
-     * The last piece of a long request is about to be written: from here on it may have run. False where the attempt
-     * has ended, and the piece must not go out. Its time begins now.
+     * Called before the last piece of a long request is written: from here on it may have run, and its timeout counts.
+     * Returns false if the attempt has ended and the piece must not be written.
+     *
+     * @param newExpiryUs when the attempt times out, microseconds
      */
     synchronized boolean beginFinalWrite(Deadlines.Deadline timer, long newExpiryUs) {
         if (end != null || !writing) {
@@ -98,18 +112,18 @@
         return true;
     }
 
-    /** The deadline that cuts it; null while a long request is still coming. */
+    /** Sets the timer that aborts the attempt; null while the body of a long request is still being received. */
     synchronized void setTimeout(Deadlines.Deadline timer) {
         timeout = timer;
     }
 
-    /** Its connection from now on, which was idle for so long before; -1: it is new. */
+    /** Sets the connection and how long it had been idle, microseconds; -1 for a new connection. */
     synchronized void setConnection(UpstreamConnection newConnection, long newIdleUs) {
         connection = newConnection;
         connectionIdleUs = newIdleUs;
     }
 
-    /** -1: the connection is new. */
+    /** Returns how long the connection had been idle before, microseconds; -1 for a new connection. */
     synchronized long connectionIdleUs() {
         return connectionIdleUs;
     }
@@ -118,7 +132,7 @@
         return timeout;
     }
 
-    /** The last byte is with the system, or the write has failed before it. */
+    /** Called when the operating system has accepted the last byte, or the write has failed before that. */
     synchronized void writeEnded(boolean whole, long nowUs) {
         writing = false;
         writtenAtUs = whole ? nowUs : -1;
@@ -126,8 +140,8 @@
     }
 
     /**
-     * Waits until its write has ended, by itself or by a cut; whether it was whole. Of a reset, the system tells one
-     * call: where that was the write, a read finds a plain end.
+     * Waits until the write has ended, by itself or through an abort, and returns whether it was complete. The
+     * operating system reports a reset to one call only: if that was the write, a read sees a normal end of stream.
      */
     synchronized boolean awaitWritten() {
         MonitorWaits.whileTrue(this, () -> writing);
@@ -135,8 +149,8 @@
     }
 
     /**
-     * Ends the wait from outside by closing the connection, so that a late answer reaches nobody. The
-     * connection's own thread reports the attempt.
+     * Ends the attempt from outside by closing its connection, so that a late response is dropped. The connection's own
+     * thread reports the attempt.
      */
     void abort(AttemptEnd reason) {
         UpstreamConnection toClose;
@@ -154,15 +168,17 @@
     }
 
     /**
-     * How long the attempt has taken, microseconds. Of an answer only what came after the write: what this process
-     * needs to begin an attempt, much in its first second, says nothing of the host's pace.
+     * Returns how long the attempt has taken, microseconds. For a served attempt, only the time from the end of the
+     * write to the response head counts: the time that this process needs to start an attempt, which is long in its
+     * first second, says nothing about the host's speed.
      */
     synchronized long durationUs(AttemptEnd attemptEnd, long nowUs) {
         boolean served = attemptEnd == AttemptEnd.SERVED;
-        return (served && headReceivedUs > 0 ? headReceivedUs : nowUs) - (served && isWritten() ? writtenAtUs : startUs);
+        return (served && headReceivedUs > 0 ? headReceivedUs : nowUs)
+                - (served && isWritten() ? writtenAtUs : startUs);
     }
 
-    /** The head of its answer is here: how long the body takes is its length's doing, and its readers'. */
+    /** Records when the response head came; how long the body takes depends on its length and on its reader. */
     synchronized void headReceived(long nowUs) {
         headReceivedUs = nowUs;
     }
@@ -171,7 +187,7 @@
         return writtenAtUs >= 0;
     }
 
-    /** Whether a long request is not whole at the host yet. */
+    /** Returns whether this is a long request whose last piece has not been written. */
     synchronized boolean isUploading() {
         return uploading;
     }
@@ -184,7 +200,7 @@
         return end != null;
     }
 
-    /** The whole answer is here: false if the attempt was cut before. */
+    /** Ends the attempt; returns false, and changes nothing, if it had ended before. */
     synchronized boolean tryEnd(AttemptEnd attemptEnd) {
         if (end != null) {
             return false;
@@ -193,19 +209,20 @@
         return true;
     }
 
-    /** How it ended, as nothing of it went out, for no fault of its host's. */
+    /** Ends an attempt of which nothing was sent, for no fault of its host, and returns how it ended. */
     synchronized AttemptEnd endUnsent() {
         end = end == AttemptEnd.GIVEN_UP ? end : AttemptEnd.NOT_SENT;
         return end;
     }
 
     /**
-     * How the attempt ended, its connection being broken. What was not written whole never ran; while another
-     * thread still writes it, that is not known yet, and taking it for not run could run it twice.
+     * Ends the attempt after its connection failed, and returns how it ended. A request that was not written completely
+     * never ran. While another thread still writes it, that is not known yet, so this waits for the write to end:
+     * taking the request for one that never ran could run it twice.
      */
     synchronized AttemptEnd endBroken() {
         if (uploading) {
-            writing = false;        // the last piece was not written, and never will be
+            writing = false;        // the last piece was not written and never will be
         }
         MonitorWaits.whileTrue(this, () -> writing);
         if (end == null || (end == AttemptEnd.TIMED_OUT || end == AttemptEnd.SILENT) && !isWritten()) {
--- a/sidecar/src/main/java/dapplequay/net/BodyBuffers.java
+++ b/sidecar/src/main/java/dapplequay/net/BodyBuffers.java
@@ -5,18 +5,19 @@
 import java.util.ArrayDeque;
 
 /**
- * Arrays that pieces of long bodies are carried in, used again and again: each lives long enough to reach the old part
- * of the heap, and a new one for each body would fill that with what nobody needs.
+ * A pool of the arrays in which pieces of long bodies are copied. Each array lives long enough to reach the old
+ * generation of the heap, so a new one for each body would fill it with garbage.
  */
 final class BodyBuffers {
-    /** Bytes of a body in one piece. */
+    /** Largest number of body bytes in one piece. */
     static final int PIECE_BYTES = 64 * 1024;
-    /** What is kept while nobody needs it. */
+    /** Largest number of free arrays that are kept. */
     private static final int MAX_POOLED = 24;
-    /** A piece smaller than this is waited on for more, so long; far less than the second that a peer would notice. */
+    /** After a piece smaller than this, the transfer pauses so that more bytes accumulate. */
     private static final int SMALL_PIECE_BYTES = PIECE_BYTES * 3 / 4;
-    /** The same for a body in chunks, of which no more than half as much comes at once. */
+    /** The same for a chunked body, of which at most half as much comes at once. */
     private static final int SMALL_CHUNKED_PIECE_BYTES = PIECE_BYTES / 4;
+    /** The pause after a small piece; far less than the second that a peer would notice. */
     private static final long ACCUMULATE_MS = 70;
 
     private static final ArrayDeque<byte[]> FREE = new ArrayDeque<>();
@@ -24,7 +25,7 @@
 
     private BodyBuffers() { }
 
-    /** One with room for framing before and behind its bytes; see {@link ChunkedFraming#ROOM}. */
+    /** Returns an array with room for framing before and after its content; see {@link ChunkedFraming#FRAMING_ROOM}. */
     static byte[] acquire() {
         synchronized (FREE) {
             inUse++;
@@ -33,7 +34,7 @@
         }
     }
 
-    /** Whether a long body passes at the moment. */
+    /** Returns whether a long body is being transferred. */
     static boolean areInUse() {
         synchronized (FREE) {
             return inUse > 0;
@@ -41,9 +42,9 @@
     }
 
     /**
-     * Lets bytes come together behind a small piece of a long body: each piece costs two calls of the system and a
-     * change of threads, whatever its size, and a body in pieces of a packet takes three times the processor time.
-     * Where short requests wait for the processor, a long body gives way: it pauses for {@code leastMs} in any case.
+     * Pauses after a small piece of a long body so that more bytes accumulate. Each piece costs two system calls and a
+     * thread switch, whatever its size; a body in packet-sized pieces takes three times the processor time. If short
+     * requests wait for the processor, a long body gives way: it pauses for at least {@code minPauseMs} in any case.
      */
     static void pauseAfterPiece(int readBytes, Body body, long minPauseMs) throws InterruptedIOException {
         if (body.isWhole()) {
@@ -62,7 +63,7 @@
         }
     }
 
-    /** The caller does not use it any more. */
+    /** Returns an array to the pool; the caller must not use it any more. */
     static void release(byte[] piece) {
         synchronized (FREE) {
             inUse--;
--- a/sidecar/src/main/java/dapplequay/net/ChunkedFraming.java
+++ b/sidecar/src/main/java/dapplequay/net/ChunkedFraming.java
@@ -3,21 +3,22 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Chunked framing of what passes through. */
+/** Frames body bytes that are passed through as HTTP/1.1 chunks. */
 final class ChunkedFraming {
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
     private ChunkedFraming() { }
 
-    /** Room that a piece leaves free before and behind its bytes, so that it can be framed where it lies. */
+    /** Bytes that a piece leaves free before and after its content, so that it can be framed in place. */
     static final int FRAMING_ROOM = 16;
 
-    /** Where a piece begins and ends in its array. */
+    /** The part of an array that holds a framed piece. */
     record Span(int from, int length) { }
 
     /**
-     * Frames the {@code count} bytes that lie from {@link #ROOM} on, with as much room behind them, as a chunk (none:
-     * no chunk), and sets the end of the body behind it where that is due.
+     * Frames the {@code count} bytes that start at {@link #FRAMING_ROOM} as one chunk, or none if {@code count} is 0,
+     * and appends the last chunk if {@code last} is set. The array needs {@link #FRAMING_ROOM} free bytes after the
+     * content.
      */
     static Span frame(byte[] piece, int count, boolean last) {
         int from = FRAMING_ROOM;
@@ -36,12 +37,12 @@
         return new Span(from, end - from);
     }
 
-    /** The same where the body goes in chunks; else the bytes as they lie. */
+    /** Frames the piece if {@code chunked} is set; else returns the span of its plain bytes. */
     static Span frameIfChunked(byte[] piece, int count, boolean chunked, boolean last) {
         return chunked ? frame(piece, count, last) : new Span(FRAMING_ROOM, count);
     }
 
-    /** These bytes as a chunk (none: no chunk), in an array of their own. */
+    /** Returns a new array with the bytes framed as one chunk; an empty array for no bytes. */
     static byte[] chunkOf(byte[] bytes) {
         byte[] piece = new byte[bytes.length + 2 * FRAMING_ROOM];
         System.arraycopy(bytes, 0, piece, FRAMING_ROOM, bytes.length);
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -20,31 +20,31 @@
 import java.util.Set;
 
 /**
- * The servers' addresses, beside the {@link ServerRegistry}, which says whether each may be sent new work. Only the
- * network asks for addresses; they differ from one sidecar to the next and may change.
+ * The servers' addresses, next to the {@link ServerRegistry}, which decides whether each may be sent new work. Only the
+ * network code needs addresses; they may differ between sidecars and may change.
  */
 final class Endpoints {
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private final ServerRegistry registry;
 
     /**
-     * The way to one process: a host that restarts, moves or comes up at the address of a gone one is
-     * another, so that no connection of the one before is used for it.
+     * One server process. A host that restarts, moves or reuses the address of a removed one gets a different endpoint,
+     * so that no connection to the previous process is used for it.
      */
     record Endpoint(String uid, InetSocketAddress address, long bootMs) { }
 
-    /** One text of discovery's, read and checked as a whole before any of it counts. */
+    /** One parsed list of discovery, checked as a whole before any of it is applied. */
     record ListUpdate(long revision, ListNews news, Map<String, InetSocketAddress> addresses) { }
 
-    /** What came of an answer, and the endpoints that take no new work any more. */
+    /** The result of applying a list, and the endpoints that accept no new work any more. */
     record ApplyResult(ServerRegistry.Outcome outcome, Set<Endpoint> retired) { }
 
-    /** One that begins with no list; the first that comes is trusted whatever its version. */
+    /** Starts without a list; the first one received is accepted whatever its version. */
     Endpoints() {
         this(true);
     }
 
-    /** {@code anyRevision}: see {@link ServerRegistry}. */
+    /** {@code anyRevision} is explained at {@link ServerRegistry}. */
     Endpoints(boolean anyRevision) {
         registry = new ServerRegistry(anyRevision);
     }
@@ -53,7 +53,7 @@
         return parse(Json.parse(text));
     }
 
-    /** IOException where the tree is not a list of discovery's. */
+    /** Throws an IOException if the JSON tree is not a list of discovery. */
     static ListUpdate parse(Object tree) throws IOException {
         try {
             Map<?, ?> map = (Map<?, ?>) tree;
@@ -84,7 +84,7 @@
         }
     }
 
-    /** A version: a whole number from 0 to the greatest long. */
+    /** Parses the version of a list: a whole number from 0 to {@link Long#MAX_VALUE}. */
     private static long revision(Object value) throws IOException {
         if (!(value instanceof Integer || value instanceof Long) || ((Number) value).longValue() < 0) {
             throw new IOException("not a version of a list: " + value);
@@ -97,7 +97,7 @@
         return value == null ? absent : ((Number) value).doubleValue();
     }
 
-    /** An address with its port. Names are refused: there is nobody to ask for them. */
+    /** Parses an IP address with its port. Host names are rejected: there is no name service to resolve them. */
     static InetSocketAddress address(String text) throws IOException {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
@@ -113,7 +113,7 @@
         return registry.revision();
     }
 
-    /** Takes a list over as it is; returns the endpoints that take no new work any more. */
+    /** Replaces the list without further checks; returns the endpoints that accept no new work any more. */
     synchronized Set<Endpoint> restore(ListUpdate update) {
         Set<Endpoint> before = serving();
         endpoints.clear();
@@ -123,7 +123,7 @@
         return before;
     }
 
-    /** Takes in an answer to that call; {@code graceLeftUs}: of the drain's grace for what it brings. */
+    /** Applies the answer to {@code call}; {@code graceLeftUs} is what is left of the drain grace for its changes. */
     synchronized ApplyResult apply(ListUpdate update, ListAnswer.Call call, long receivedUs, long graceLeftUs) {
         Set<Endpoint> before = serving();
         ListAnswer answer = new ListAnswer(update.revision(), update.news(), call, receivedUs);
@@ -136,7 +136,7 @@
         return resultOf(outcome, before);
     }
 
-    /** Takes out the servers whose deadline has come. */
+    /** Removes the servers whose deadline has passed. */
     synchronized ApplyResult expire(long nowUs) {
         if (nowUs < registry.nextDeadlineUs()) {
             return new ApplyResult(registry.expire(nowUs), Set.of());
@@ -151,7 +151,10 @@
         return new ApplyResult(outcome, before);
     }
 
-    /** Of lines that were taken over, the addresses; where a line names none, or drains, the one known stays. */
+    /**
+     * Takes over the addresses of the lines. A line without an address keeps the known one; deleted servers are
+     * skipped.
+     */
     private void updateEndpoints(ListUpdate update) {
         for (Line line : update.news().lines()) {
             Endpoint known = endpoints.get(line.uid());
@@ -174,12 +177,12 @@
         return serving;
     }
 
-    /** Discovery is at another address from now on. */
+    /** Called when discovery has moved to another address. */
     synchronized void discoveryMoved() {
         registry.moved();
     }
 
-    /** The call to make next. */
+    /** Returns the next call to make to discovery. */
     synchronized ListAnswer.Call nextCall(long nowUs) {
         return registry.nextCall(nowUs);
     }
@@ -193,7 +196,7 @@
         return registry.pauseBeforeAskingAgainUs(nowUs);
     }
 
-    /** The decision module could not take over what this table has: both need all of it. */
+    /** Requests a whole list, as the decision module could not take over this table's content. */
     synchronized void wantWholeList() {
         registry.wantWholeList();
     }
@@ -202,7 +205,7 @@
         return registry.isRegressed();
     }
 
-    /** The list in discovery's form, so that a later life can begin with it. */
+    /** Returns the list in discovery's JSON form, so that a later process can start with it. */
     synchronized Map<String, Object> toJsonTree() {
         List<Object> targets = new ArrayList<>();
         for (Line line : registry.lines()) {
@@ -223,18 +226,21 @@
         return tree;
     }
 
-    /** Hosts in the list, those that drain included. */
+    /** Returns the number of hosts in the list, including draining ones. */
     synchronized int size() {
         return registry.size();
     }
 
-    /** How to reach the server, or null where it takes no new work; {@link #endpointToSend} looks at deadlines. */
+    /**
+     * Returns the server's endpoint, or null if it accepts no new work. Ignores the server's deadline, unlike
+     * {@link #endpointForSend}.
+     */
     synchronized Endpoint endpointOf(String uid) {
         ServerStatus status = registry.statusOf(uid);
         return status == ServerStatus.SERVING || status == ServerStatus.UNCONFIRMED ? endpoints.get(uid) : null;
     }
 
-    /** The same for work whose first byte goes out now: null also where the server's deadline is over. */
+    /** Returns the endpoint for work whose first byte is sent now; null also if the server's deadline has passed. */
     synchronized Endpoint endpointForSend(String uid, long nowUs) {
         if (!registry.maySend(uid, nowUs)) {
             return null;
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -3,7 +3,7 @@
 import dapplequay.facade.Upload;
 import dapplequay.management.Counts;
 
-/** One request of the client's, until its one answer. Whoever claims it first answers it, or drops it. */
+/** One client request until its only response. Whoever claims it first answers or drops it. */
 class Exchange {
     final long id;
     final ClientConnection client;
@@ -16,7 +16,7 @@
     private boolean received;
     private volatile long deadlineUs;
 
-    /** Counts as taken from here on; a long one, once its last byte has come. */
+    /** Counts the request as received now, or, for a long one, once its last byte has come. */
     Exchange(long id, ClientConnection client, ClientRequest request, Counts counts) {
         this.id = id;
         this.client = client;
@@ -27,12 +27,12 @@
         }
     }
 
-    /** Has its client looked for where that may have left unseen: asked right before an attempt's first byte. */
+    /** Checks whether the client is still connected; called right before the first byte of an attempt. */
     void checkClientPresence() {
         client.lookFor(this);
     }
 
-    /** It is here whole. */
+    /** Counts the request as received completely. */
     synchronized void markReceived() {
         if (!received) {
             received = true;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** When its time ends, us; told again where a long one has become whole. */
+    /** Sets the request's deadline, microseconds; set again when a long request has been received completely. */
     void setDeadline(long newDeadlineUs) {
         deadlineUs = newDeadlineUs;
     }
@@ -49,13 +49,13 @@
         return deadlineUs;
     }
 
-    /** Only who claimed it calls this, once. */
+    /** Counts the outcome; called once, by whoever claimed the exchange. */
     void recordEnd(Counts.End end) {
         markReceived();
         counts.ended(request.className(), end);
     }
 
-    /** True for one caller alone: that one answers. */
+    /** Returns true for the first caller only: that one must answer. */
     synchronized boolean claim() {
         boolean first = !claimed;
         claimed = true;
@@ -67,7 +67,7 @@
         return claimed;
     }
 
-    /** The attempt that is out from now on; false if the client has left meanwhile, and nothing may go out. */
+    /** Sets the attempt in progress; returns false if the exchange is claimed and nothing may be sent. */
     synchronized boolean attach(Attempt next) {
         if (claimed) {
             return false;
@@ -76,19 +76,22 @@
         return true;
     }
 
-    /** Waits for the attempt that takes the rest of a long request; null once the exchange is over. */
+    /** Waits for an attempt that is ready for the rest of a long request; null once the exchange is claimed. */
     synchronized Attempt awaitReadyAttempt() {
         MonitorWaits.whileTrue(this, () -> !claimed && (attempt == null || !attempt.isReadyForBody()));
         return claimed ? null : attempt;
     }
 
-    /** More than is held goes to this attempt, and no other can follow; false where it has ended meanwhile. */
+    /**
+     * Called before more of a long request is sent than is kept for another attempt: none can follow. Returns false if
+     * this attempt has ended.
+     */
     synchronized boolean commit(Attempt to) {
         committed |= !claimed && attempt == to;
         return !claimed && attempt == to;
     }
 
-    /** The attempt has ended; how far a long request was passed on by then. */
+    /** Called when the attempt has ended; returns how far a long request had been passed on. */
     synchronized Upload detach(Attempt ended) {
         if (attempt == ended) {
             attempt = null;
@@ -96,17 +99,17 @@
         return committed ? Upload.PASSED_ON : request.isLong() ? Upload.COMING : Upload.NONE;
     }
 
-    /** Has those look again who wait for an attempt. */
+    /** Wakes the threads in {@link #awaitReadyAttempt}. */
     synchronized void attemptReady() {
         notifyAll();
     }
 
-    /** The attempt now out, or null; asked for once the exchange is claimed, when none can follow. */
+    /** Returns the attempt in progress, or null; called once the exchange is claimed and none can follow. */
     synchronized Attempt attempt() {
         return attempt;
     }
 
-    /** What a failed answer says: that time ran out, or that the upstreams failed. */
+    /** Selects the status of a failure: timeout (504) or upstream failure (502). */
     synchronized void lastAttemptTimedOut(boolean isTimeout) {
         timedOut = isTimeout;
     }
--- a/sidecar/src/main/java/dapplequay/net/IdleFailureRates.java
+++ b/sidecar/src/main/java/dapplequay/net/IdleFailureRates.java
@@ -3,17 +3,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * What befell attempts on connections by how long these had been idle before. Something on the way may forget
- * idle connections long before the settings' time; an attempt on such a one is reset, and may count as run.
+ * Failure rates of attempts by how long their connection had been idle before. A device on the network path may drop
+ * idle connections long before the configured idle timeout; an attempt on such a connection is reset, and may have to
+ * count as run.
  */
 final class IdleFailureRates {
-    /** By doubling idle times, from a millisecond on. */
+    /** Idle times are grouped in buckets that double from one millisecond on. */
     private static final int BUCKETS = 16;
-    /** Weight of the newest attempt in its step's share of broken ones: about the last twenty. */
+    /** Weight of the newest attempt in the failure rate of its bucket: about the last twenty count. */
     private static final double NEWEST_WEIGHT = 0.05;
-    /** A share is forgotten with this time constant, as a step that is avoided learns nothing new. */
+    /** Rates decay with this time constant, as a bucket that is avoided gets no new samples. */
     private static final double DECAY_TIME_CONSTANT_US = 10_000_000;
-    /** So much more than on new connections, where hosts break some attempts too, is too much. */
+    /** Accepted failure rate above that of new connections, on which hosts fail some attempts, too. */
     private static final double ACCEPTED_EXCESS_RATE = 0.15;
     private static final int NEW_CONNECTION = BUCKETS;
 
@@ -33,7 +34,7 @@
         return failureRate[bucket] * Math.exp((recordedUs[bucket] - now) / DECAY_TIME_CONSTANT_US);
     }
 
-    /** {@code idleUs} -1: the connection was new. */
+    /** Records the end of an attempt; {@code idleUs} is -1 for a new connection. */
     synchronized void recordAttempt(long idleUs, boolean failed) {
         int bucket = bucket(idleUs);
         long now = clock.getAsLong();
@@ -42,7 +43,7 @@
         recordedUs[bucket] = now;
     }
 
-    /** Whether a connection idle for so long is as good as a new one, shorter times included. */
+    /** Returns whether connections idle for this long, or for any shorter time, are about as good as new ones. */
     synchronized boolean isAcceptable(long idleUs) {
         long now = clock.getAsLong();
         double worst = 0;
--- a/sidecar/src/main/java/dapplequay/net/LoadReportParser.java
+++ b/sidecar/src/main/java/dapplequay/net/LoadReportParser.java
@@ -4,13 +4,13 @@
 import dapplequay.http.BadMessage;
 import dapplequay.http.Head;
 
-/** Reads {@code X-Load-Report}. */
+/** Parses the header {@code X-Load-Report}. */
 final class LoadReportParser {
     private LoadReportParser() { }
 
     /**
-     * Null where there is no report. One that can't be read, or contradicts another, spoils no answer: it is
-     * passed over.
+     * Returns null if there is no report. A report that can't be parsed, or contradicts another, is ignored: the
+     * response stays valid.
      */
     static HostLoad parse(Head answer) {
         try {
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Null where there is no report; what is no number counts as not told. */
+    /** Returns null for null; a value that is missing or no number becomes NaN. */
     static HostLoad parse(String text) {
         if (text == null) {
             return null;
--- a/sidecar/src/main/java/dapplequay/net/MonitorWaits.java
+++ b/sidecar/src/main/java/dapplequay/net/MonitorWaits.java
@@ -3,11 +3,11 @@
 import java.io.InterruptedIOException;
 import java.util.function.BooleanSupplier;
 
-/** Waiting on a monitor where giving up half-way would leave somebody without an answer. */
+/** Waits on a monitor, for callers that must not give up half-way, as that would leave a client without a response. */
 final class MonitorWaits {
     private MonitorWaits() { }
 
-    /** The caller holds the monitor; an interrupt is kept for later. */
+    /** Waits while the condition is true. The caller holds the monitor; an interrupt is kept until the wait ends. */
     static void whileTrue(Object monitor, BooleanSupplier condition) {
         boolean interrupted = false;
         while (condition.getAsBoolean()) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** For so many ms, or less; the caller holds the monitor, and asks again what it waits for. */
+    /** Waits up to {@code ms} milliseconds, or less: the caller, who holds the monitor, checks its condition again. */
     static void atMost(Object monitor, long ms) throws InterruptedIOException {
         try {
             monitor.wait(ms);
--- a/sidecar/src/main/java/dapplequay/net/ProgressWatchdog.java
+++ b/sidecar/src/main/java/dapplequay/net/ProgressWatchdog.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches something that may take long as a whole but not stand still. One deadline for all of it, set again only when
- * it passes: a long body moves in thousands of pieces, and each may be a single byte.
+ * Watches a transfer that may take long as a whole but must not stall. Its timer is set again only when it fires, and
+ * not for each piece: a long body comes in thousands of pieces, and each may be a single byte.
  */
 final class ProgressWatchdog implements AutoCloseable {
     private final Deadlines deadlines;
@@ -14,7 +14,10 @@
     private Deadlines.Deadline timer;
     private boolean closed;
 
-    /** {@code leftUs}: how long it may go on as it stands, microseconds; with 0 or less, {@code cut} is called. */
+    /**
+     * @param remainingUs how long the transfer may still go on without progress, microseconds
+     * @param onExpired   called once {@code remainingUs} is 0 or less
+     */
     ProgressWatchdog(Deadlines deadlines, LongSupplier remainingUs, Runnable onExpired) {
         this.deadlines = deadlines;
         this.remainingUs = remainingUs;
@@ -41,13 +44,13 @@
         deadlines.cancel(timer);
     }
 
-    /** Transfers: each piece that moved, on either side, makes the wait for the next one begin anew. */
+    /** Limits the time without progress: each piece that was read or written starts the wait anew. */
     static final class StallTimeout implements LongSupplier {
         private final Deadlines deadlines;
         private final long timeoutUs;
         private volatile long lastProgressUs;
 
-        /** {@code mostUs}: how long nothing may move. */
+        /** {@code timeoutUs} is the longest time without progress, microseconds. */
         StallTimeout(Deadlines deadlines, long timeoutUs) {
             this.deadlines = deadlines;
             this.timeoutUs = timeoutUs;
@@ -65,8 +68,9 @@
     }
 
     /**
-     * A sender that has to keep up a pace: it may be waited for so long, and as long as what it sent takes at that
-     * pace. Only time in which somebody waits for it counts. One thread waits; another looks.
+     * Limits the total time spent waiting for a sender: to a fixed allowance plus the time that the bytes received so
+     * far take at the minimum rate. Only time in which a thread waits counts. One thread waits; another calls
+     * {@link #getAsLong}.
      */
     static final class MinimumRate implements LongSupplier {
         private final Deadlines deadlines;
@@ -90,7 +94,7 @@
             return waitingSinceUs >= 0;
         }
 
-        /** The wait is over, and brought so many bytes. */
+        /** Called when the wait has ended and {@code newBytes} were received. */
         void waitEnded(int newBytes) {
             waitedUs += deadlines.now() - waitingSinceUs;
             waitingSinceUs = -1;
@@ -100,7 +104,8 @@
         @Override
         public long getAsLong() {
             long since = waitingSinceUs;
-            return allowanceUs + receivedBytes * 1_000_000 / bytesPerS - waitedUs - (since < 0 ? 0 : deadlines.now() - since);
+            return allowanceUs + receivedBytes * 1_000_000 / bytesPerS - waitedUs
+                    - (since < 0 ? 0 : deadlines.now() - since);
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/RequestBodyReader.java
+++ b/sidecar/src/main/java/dapplequay/net/RequestBodyReader.java
@@ -6,12 +6,12 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Reads the bodies of one client's requests, one after the other, as long as the client keeps up a pace. */
+/** Reads the request bodies of one client connection, one after the other, and enforces a minimum rate. */
 final class RequestBodyReader {
-    /** What is held of a body that is known to be long: enough to begin anew where a host can't be reached. */
+    /** Bytes kept of a body known to be long, so that another attempt can start if a host can't be reached. */
     private static final int REPLAYABLE_BYTES = 8 * 1024;
     private static final int INITIAL_BUFFER_BYTES = 2 * 1024;
-    /** A body has so long, us, and as long as it takes at so many bytes a second; waiting for it alone counts. */
+    /** Time allowed for a body in addition to its length at the minimum rate; only time spent waiting counts. */
     private static final long BASE_ALLOWANCE_US = 1_500_000;
     private static final long MIN_BYTES_PER_S = 48_000;
 
@@ -20,13 +20,16 @@
     private volatile ProgressWatchdog.MinimumRate rate;
     private ProgressWatchdog watchdog;
 
-    /** {@code tooLate}: called once the client has fallen behind. */
+    /** {@code onTooSlow} is called once the client has fallen behind the minimum rate. */
     RequestBodyReader(Deadlines deadlines, Runnable onTooSlow) {
         this.deadlines = deadlines;
         this.onTooSlow = onTooSlow;
     }
 
-    /** All of a short body; of a long one as much as is held for another attempt. It grows as the body comes. */
+    /**
+     * Reads all of a short body, or the part of a long one that is kept for another attempt. The buffer grows as the
+     * body comes.
+     */
     byte[] readReplayable(Body body) throws IOException {
         int maxBytes = body.length() < 0 ? MessageReader.MAX_BODY
                 : body.length() > MessageReader.MAX_BODY ? REPLAYABLE_BYTES : (int) body.length();
@@ -41,7 +44,7 @@
         return size == buffer.length ? buffer : Arrays.copyOf(buffer, size);
     }
 
-    /** Up to so many of the next bytes. */
+    /** Reads up to {@code maxBytes} of the next bytes, as {@link Body#read} does. */
     int read(Body body, byte[] to, int offset, int maxBytes) throws IOException {
         if (body.isBuffered()) {
             return body.read(to, offset, maxBytes);
@@ -56,13 +59,13 @@
         return read;
     }
 
-    /** Whether somebody waits for the client's next bytes; any thread may ask. */
+    /** Returns whether a thread waits for the client's next bytes; may be called by any thread. */
     boolean isWaiting() {
-        ProgressWatchdog.MinimumRate now = rate;
-        return now != null && now.isWaiting();
+        ProgressWatchdog.MinimumRate current = rate;
+        return current != null && current.isWaiting();
     }
 
-    /** The body has ended, or nobody waits for it any more. */
+    /** Stops the watchdog: the body has ended, or is not read any further. */
     void finish() {
         if (rate != null) {
             watchdog.close();
--- a/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
+++ b/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
@@ -15,13 +15,13 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Carries out what the facade decides: attempts to the upstream side, answers to the client side. */
+/** Carries out the decisions of the facade: sends attempts to upstreams and responses to clients. */
 class RequestDispatcher {
     private static final Logger LOG = Logger.getLogger(RequestDispatcher.class.getName());
 
     private final Facade facade;
     private final UpstreamPool upstreams;
-    /** The attempts that are out, by their exchange's number. */
+    /** Attempts in progress, by the id of their exchange. */
     private final Map<Long, Attempt> activeAttempts = new ConcurrentHashMap<>();
 
     RequestDispatcher(Facade facade, UpstreamPool upstreams) {
@@ -47,28 +47,28 @@
         }
     }
 
-    /** The one answer, by who claimed it; it is counted before the client can see it. */
+    /** Sends the only response; called by whoever claimed the exchange. Counted before the client can see it. */
     private static void finish(Exchange exchange, End end, Answers.Answer answer) {
         exchange.recordEnd(end);
         exchange.client.answer(answer);
     }
 
-    /** An attempt is held back no longer: it is connected for or written from now on. */
+    /** Called when an attempt is no longer held back: from now on it is being connected or written. */
     void attemptStarted(Attempt attempt) {
         facade.attemptStarted(attempt.exchange.id);
     }
 
-    /** An attempt has ended; {@code load}, {@code head} and {@code body} are there only if it was answered. */
+    /** Called when an attempt has ended; {@code load}, {@code head} and {@code body} are null without a response. */
     void attemptEnded(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
         Exchange exchange = attempt.exchange;
         activeAttempts.remove(exchange.id, attempt);
         Upload upload = exchange.detach(attempt);
-        if (LOG.isLoggable(Level.FINE)) {       // once an attempt: nothing is put together for nobody
-            LOG.fine("attempt " + attempt.decision.host() + ' ' + end + ' ' + (upstreams.now() - attempt.startUs()) + ' '
-                    + attempt.connectionIdleUs() + ' ' + exchange.id);
+        if (LOG.isLoggable(Level.FINE)) {       // runs for each attempt: build the text only if it is logged
+            LOG.fine("attempt " + attempt.decision.host() + ' ' + end + ' ' + (upstreams.now() - attempt.startUs())
+                    + ' ' + attempt.connectionIdleUs() + ' ' + exchange.id);
         }
         runGuarded(exchange, () -> {
-            // What the request itself is at fault for, another host would find too.
+            // A request that one host rejects as invalid would be rejected by any other.
             boolean answersClient = (end == AttemptEnd.SERVED || end == AttemptEnd.NOT_ACCEPTED) && exchange.claim();
             exchange.lastAttemptTimedOut(end == AttemptEnd.TIMED_OUT);
             Decision next = facade.report(exchange.id, attempt.decision.attempt(), attempt.decision.host(), end,
@@ -86,8 +86,8 @@
     }
 
     /**
-     * A long answer has begun: it is the client's from here on, and the module hears that it was served, as what is
-     * left is to carry it. Whether all of it reached the client.
+     * Relays a long response that has begun, and returns whether all of it reached the client. The decision module is
+     * told at once that the attempt was served, as only the transfer is left.
      */
     boolean relay(Attempt attempt, HostLoad load, Head head, Body body, byte[] start) {
         Exchange exchange = attempt.exchange;
@@ -109,7 +109,8 @@
     }
 
     /**
-     * The last byte of a long request has come and is about to go out: its time begins. False: its attempt has ended.
+     * Called when the last byte of a long request has come and is about to be sent: its deadline counts from now on.
+     * Returns false if the attempt has ended.
      */
     boolean beginFinalWrite(Attempt attempt) {
         if (!upstreams.beginFinalWrite(attempt, attempt.exchange.request.budgetUs())) {
@@ -121,7 +122,7 @@
         return true;
     }
 
-    /** The host takes nothing more of a long request. */
+    /** Aborts the attempt of a long request whose host has stopped reading. */
     void abortStalledUpload(Exchange exchange) {
         Attempt attempt = exchange.attempt();
         if (attempt != null) {
@@ -129,12 +130,12 @@
         }
     }
 
-    /** The client is at fault for a long request that can't go on: it is told so, and the attempt is given up. */
+    /** Answers a long request that can't continue through its client's fault, and gives up the attempt. */
     void rejectUpload(Exchange exchange, Answers.Answer answer) {
         giveUp(exchange, () -> finish(exchange, End.FAULTED, answer));
     }
 
-    /** Ends the wait for these attempts; each is reported by its connection's own thread. */
+    /** Aborts these attempts as silent; each is reported by the thread of its connection. */
     void abort(List<Facade.Cut> cuts) {
         for (Facade.Cut cut : cuts) {
             Attempt attempt = activeAttempts.get(cut.id());
@@ -144,7 +145,7 @@
         }
     }
 
-    /** The client is gone: nothing is owed, and the attempt that is out is given up. */
+    /** Called when the client has disconnected: no response is sent, and the attempt in progress is given up. */
     void clientLeft(Exchange exchange) {
         giveUp(exchange, () -> exchange.recordEnd(End.FAULTED));
     }
@@ -160,7 +161,7 @@
         }
     }
 
-    /** A fault in here must not leave the client without its answer, nor end the thread that met it. */
+    /** Runs a step so that a bug in it neither leaves the client without a response nor ends the calling thread. */
     private void runGuarded(Exchange exchange, Runnable step) {
         try {
             step.run();
--- a/sidecar/src/main/java/dapplequay/net/ResponseRelay.java
+++ b/sidecar/src/main/java/dapplequay/net/ResponseRelay.java
@@ -12,16 +12,19 @@
 import java.util.logging.Logger;
 
 /**
- * A long answer, passed on as it comes and no faster than the client takes it, by the thread that reads its host. That
- * host's reads time out each {@link #LOOK_MS}: whoever waits for it looks then for the client, and at the time.
+ * Relays a long response as it comes, and no faster than the client reads it, on the thread that reads from the host.
+ * The read from the host times out every {@link #CHECK_INTERVAL_MS}: then the thread checks whether the client is still
+ * connected and whether the response is overdue.
  */
 final class ResponseRelay {
     private static final Logger LOG = Logger.getLogger(ResponseRelay.class.getName());
-    /** Of a host's silence: then it is looked whether there is still something to wait for, ms. */
+    /** Read timeout for the host, after which the relay checks whether the response is still worth waiting for. */
     static final int CHECK_INTERVAL_MS = 50;
-    /** So long after the request's time, us, an answer ends that its host has not gone on with; 0.5 s is allowed. */
+    /** How long after the request's deadline a response ends whose host has stalled; up to 0.5 s is allowed. */
     private static final long STALLED_GRACE_US = 300_000;
-    /** Peers take seconds over a piece of a long body; where nothing moves for so long, us, nothing will. */
+    /**
+     * Time without any progress after which a transfer is given up; peers may take seconds for a piece of a long body.
+     */
     private static final long STALL_TIMEOUT_US = 10_000_000;
 
     private final Socket client;
@@ -32,8 +35,9 @@
     private long hostProgressUs;
     private long relayedBytes;
 
-    /** {@code pauseMs}: how long to pause after a piece, for the sake of others, ms. */
-    ResponseRelay(Socket client, ClientInput clientInput, OrderlyClose clientClose, Deadlines deadlines, LongSupplier pauseMs) {
+    /** {@code pauseMs} is how long to pause after a piece in favour of other requests, milliseconds. */
+    ResponseRelay(Socket client, ClientInput clientInput, OrderlyClose clientClose, Deadlines deadlines,
+            LongSupplier pauseMs) {
         this.client = client;
         this.clientInput = clientInput;
         this.clientClose = clientClose;
@@ -42,14 +46,14 @@
     }
 
     /**
-     * True if all of it was passed on. Where it breaks, the client's connection is closed so that this shows: its
-     * length falls short, its last chunk is missing, or, where only the end of the connection ends it, that end is a
-     * reset.
+     * Returns true if all of the response was relayed. If it fails, the client's connection is closed so that the
+     * client sees a truncated response: the body is shorter than its length, its last chunk is missing, or, if the body
+     * extends to the end of the connection, the connection is reset.
      *
-     * @param begun   its head, and what has come of the body, as the client gets them
-     * @param held    of the body that is in {@code begun}, bytes
-     * @param chunked whether the client gets it in chunks
-     * @param dueUs   when the request's time ends
+     * @param start          the head and the first bytes of the body, as the client gets them
+     * @param startBodyBytes number of body bytes in {@code start}
+     * @param chunked        whether the client gets the body in chunks
+     * @param deadlineUs     the request's deadline, microseconds
      */
     boolean relay(byte[] start, int startBodyBytes, Body body, boolean chunked, long deadlineUs) {
         byte[] piece = BodyBuffers.acquire();
@@ -71,7 +75,7 @@
             clientClose.breaksOff(false);
             return true;
         } catch (IOException e) {
-            LOG.log(Level.FINE, "long answer broke: {0}", e.toString());
+            LOG.log(Level.FINE, "relay of a long response failed: {0}", e.toString());
             clientClose.close();
             return false;
         } finally {
@@ -79,7 +83,8 @@
         }
     }
 
-    private int readPiece(Body body, byte[] piece, ProgressWatchdog.StallTimeout stallTimeout, long deadlineUs) throws IOException {
+    private int readPiece(Body body, byte[] piece, ProgressWatchdog.StallTimeout stallTimeout, long deadlineUs)
+            throws IOException {
         while (true) {
             try {
                 int read = Math.max(0, body.read(piece, ChunkedFraming.FRAMING_ROOM, BodyBuffers.PIECE_BYTES));
@@ -87,24 +92,25 @@
                 return read;
             } catch (SocketTimeoutException e) {
                 if (!clientInput.isThere()) {
-                    throw new EOFException("the client has left");
+                    throw new EOFException("client closed the connection");
                 }
                 if (isHostStalled(body, deadlineUs)) {
-                    throw new IOException("the host stands still");
+                    throw new IOException("host stalled within the response");
                 }
-                stallTimeout.progressed();          // only the client can be stuck: the host is looked after here
+                stallTimeout.progressed();          // a stalled host is handled here; the watchdog is for the client
             }
         }
     }
 
     /**
-     * The host's silence is its own: whatever it had sent while the client was slow would have been read. Of a body
-     * over 64 KiB the first bytes alone are timed, and of one that goes on moving nobody can say that it will not get
-     * there.
+     * Returns whether the response is given up because its host has stalled. A slow client is no cause: what the host
+     * had sent meanwhile would have been read. For a body over 64 KiB only the first bytes are timed, and a body that
+     * makes progress may still complete.
      */
     private boolean isHostStalled(Body body, long deadlineUs) {
         long now = deadlines.now();
         boolean isTimed = relayedBytes <= (body.length() > MessageReader.MAX_BODY ? 0 : MessageReader.MAX_BODY);
-        return isTimed && hostProgressUs <= deadlineUs && now >= deadlineUs + STALLED_GRACE_US || now - hostProgressUs >= STALL_TIMEOUT_US;
+        return isTimed && hostProgressUs <= deadlineUs && now >= deadlineUs + STALLED_GRACE_US
+                || now - hostProgressUs >= STALL_TIMEOUT_US;
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/SpareConnectionPolicy.java
+++ b/sidecar/src/main/java/dapplequay/net/SpareConnectionPolicy.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * How fast attempts follow on each other at each upstream, and so whether one more connection to it would be used.
- * Times in microseconds of any clock that does not run backwards. Not thread-safe.
+ * Decides from the rate of attempts at each upstream whether a spare connection to it would be used. Times are
+ * microseconds of any monotonic clock. Not thread-safe.
  */
 final class SpareConnectionPolicy {
-    /** So many attempts in a row tell the pace. */
+    /** The rate is computed over this many attempts. */
     static final int WINDOW_ATTEMPTS = 8;
-    /** At this mean gap a spare connection is seldom idle for so long that it is closed again. */
+    /** Up to this mean gap between attempts, a spare connection is seldom closed again before it is used. */
     static final long MAX_MEAN_GAP_US = UpstreamPool.SPARE_IDLE_US / 10;
-    /** Of so many upstreams, the last used, the pace is known. */
+    /** The rate is kept for the most recently used upstreams, up to this number. */
     private static final int MAX_UPSTREAMS = 256;
 
     private final Map<Endpoints.Endpoint, UpstreamState> states = new LinkedHashMap<>(16, 0.75f, true) {
@@ -22,7 +22,7 @@
         }
     };
 
-    /** The last attempts at an upstream, and the spare connections to it that are being opened. */
+    /** The last attempts at an upstream, in a ring buffer, and the spare connections to it that are being opened. */
     private static final class UpstreamState {
         private final long[] sentUs = new long[WINDOW_ATTEMPTS];
         private int oldest;
@@ -45,23 +45,25 @@
         return states.computeIfAbsent(endpoint, e -> new UpstreamState());
     }
 
-    /** An attempt is on its way to the upstream. */
+    /** Records an attempt that is sent to the upstream. */
     void attemptSent(Endpoints.Endpoint endpoint, long nowUs) {
         stateOf(endpoint).attemptSent(nowUs);
     }
 
-    /** Whether a spare connection is worth its handshake, with no more than {@code most} coming up at once. */
+    /**
+     * Returns whether a spare connection is worth its handshake; at most {@code maxOpening} may be opening at a time.
+     */
     boolean wantsSpare(Endpoints.Endpoint endpoint, long nowUs, int maxOpening) {
         UpstreamState state = stateOf(endpoint);
         return state.openingCount < maxOpening && nowUs >= state.blockedUntilUs && state.hasSteadyRate(nowUs);
     }
 
-    /** A spare connection is being opened. */
+    /** Records that a spare connection is being opened. */
     void openStarted(Endpoints.Endpoint endpoint) {
         stateOf(endpoint).openingCount++;
     }
 
-    /** It is open, or has failed: then none is opened for as long as a spare one would have been kept. */
+    /** Records that it is open, or has failed: then none is opened for as long as a spare one would have been kept. */
     void openEnded(Endpoints.Endpoint endpoint, boolean succeeded, long nowUs) {
         UpstreamState state = stateOf(endpoint);
         state.openingCount = Math.max(0, state.openingCount - 1);
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -19,14 +19,14 @@
 import java.util.logging.Logger;
 
 /**
- * One connection to an upstream, with the thread that reads it. One attempt at a time; between attempts the thread
- * stays in its read, and so sees at once when the host closes.
+ * One connection to an upstream, with the thread that reads from it. It carries one attempt at a time; between attempts
+ * the thread stays blocked in its read, and so notices at once when the host closes the connection.
  */
 final class UpstreamConnection implements Runnable {
     private static final Logger LOG = Logger.getLogger(UpstreamConnection.class.getName());
 
     private static final int READ_BYTES = 8 * 1024;
-    /** So long an answer of unknown length may take before it is passed on as it comes. */
+    /** How long a response of unknown length is buffered before it is relayed as it comes. */
     private static final long BUFFER_RESPONSE_US = 100_000;
 
     final Endpoints.Endpoint endpoint;
@@ -34,22 +34,22 @@
     private final Socket socket;
     private volatile ServingThread servingThread;
     private volatile boolean isConnected;
-    /** The upstream's name where it is opened for no attempt; else null. */
+    /** The upstream's uid for a spare connection, which is opened without an attempt; else null. */
     private final String spareForHost;
-    /** This and the next three: under this connection's own lock. */
+    /** Guarded by this connection's lock, as are {@code handedOver}, {@code attemptBegun} and {@code unusable}. */
     private Attempt attempt;
-    /** The attempt was handed over by another thread, which is about to write it and owns it until it does. */
+    /** The attempt was assigned by another thread, which is about to write it and owns it until then. */
     private boolean handedOver;
-    /** The attempt's first byte is about to go out, or has gone: what is read from now on may be its answer. */
+    /** The attempt's first byte has been sent or is about to be: what is read from now on may be its response. */
     private boolean attemptBegun;
-    /** Something was read, or the end, before an attempt began: it is no attempt's answer, and none may begin here. */
+    /** Bytes or the end of the stream came while no attempt had begun: no further attempt may begin here. */
     private boolean unusable;
     private Deadlines.Deadline idleTimeout;
     private long idleSinceUs;
-    /** Under the side's lock. */
+    /** Guarded by the pool's lock. */
     private Attempt reservedFor;
 
-    /** One that takes a long request is served by its client's thread until that is whole. */
+    /** Opened for an attempt. For a long request, the client's thread serves it until the request is written. */
     UpstreamConnection(UpstreamPool pool, Endpoints.Endpoint endpoint, Attempt first) {
         servingThread = first.isUploading() ? ServingThread.CLIENT_CONNECTING : ServingThread.OWN;
         this.pool = pool;
@@ -59,7 +59,7 @@
         spareForHost = null;
     }
 
-    /** A spare one, opened before an attempt needs it; {@code host}: its upstream's name in the list. */
+    /** A spare connection, opened before an attempt needs it; {@code host} is the upstream's uid in the list. */
     UpstreamConnection(UpstreamPool pool, Endpoints.Endpoint endpoint, String host) {
         servingThread = ServingThread.OWN;
         this.pool = pool;
@@ -69,8 +69,8 @@
     }
 
     /**
-     * An attempt for it, as it leaves the table of idle ones; the attempt stays the caller's until {@link #write} takes
-     * it.
+     * Assigns an attempt as the connection is taken from the idle ones. The caller owns the attempt until
+     * {@link #write} accepts it.
      */
     synchronized void assign(Attempt next) {
         attempt = next;
@@ -86,7 +86,7 @@
         return idleSinceUs;
     }
 
-    /** Nobody else may take it while it rests; null: anybody may, once it has rested. */
+    /** Reserves the connection, while it settles, for one attempt; null: for none, so that any may take it then. */
     void reserveFor(Attempt next) {
         reservedFor = next;
     }
@@ -103,21 +103,19 @@
         Sockets.close(socket);
     }
 
-    /** What became of an attempt that was to be written. */
+    /** Result of {@link #write}. */
     enum WriteResult {
-        /** The connection has it, and its thread reports its end, also where the write has failed. */
+        /** The connection has the attempt, and its thread reports the attempt's end, even if the write failed. */
         ACCEPTED,
-        /** It may not go out any more, and has ended as never sent. The connection is of no more use. */
+        /** The attempt may not be sent any more and has ended as never sent. The connection must be closed. */
         STOPPED,
-        /** The host has closed the connection or sent what nobody asked for: the attempt may go out on another one. */
+        /** The host has closed the connection or sent unrequested bytes: the attempt may use another connection. */
         UNUSABLE
     }
 
-    /**
-     * Writes the attempt, or the beginning of a long one, where it may still go out and the connection is fit for it.
-     */
+    /** Writes the request, or the start of a long one, if it may still be sent and the connection is usable. */
     WriteResult write(Attempt current) {
-        current.exchange.checkClientPresence();       // first, as it may take its time
+        current.exchange.checkClientPresence();       // first, as it may block
         ClientRequest request = current.exchange.request;
         byte[] message = request.bytesFor(endpoint.address(), current.expiresAtUs() - pool.now());
         if (!pool.mayBegin(current, endpoint)) {
@@ -145,10 +143,10 @@
     }
 
     /**
-     * Whether the attempt in hand begins, right before its first byte: not where anything came before, be it half a
-     * line that still lies with the system, or the end that the reading thread has just seen. Either that thread says
-     * first that something came, or this says first that the attempt has begun; only what comes then is taken for its
-     * answer.
+     * Called right before the attempt's first byte; returns whether the attempt has begun. It must not begin if any
+     * input came before: bytes still in the socket's receive buffer, or an end of stream that the reading thread has
+     * just seen. The lock orders this against {@link #inputReceived}: only input after the beginning counts as the
+     * response.
      */
     private synchronized boolean tryBegin() {
         try {
@@ -161,27 +159,27 @@
         return attemptBegun;
     }
 
-    /** Something has been read, or the end, or a break. */
+    /** Called when a read has returned bytes, the end of the stream or an error. */
     private synchronized void inputReceived() {
         unusable |= !attemptBegun;
     }
 
-    /** The attempt that has begun, or null. */
+    /** Returns the attempt that has begun, or null. */
     private synchronized Attempt begunAttempt() {
         return attemptBegun ? attempt : null;
     }
 
-    /** The attempt is over for this connection: what still comes is the rest of its answer. */
+    /** Detaches the attempt, which has ended; the rest of its response may still come. */
     private synchronized void detachAttempt() {
         attempt = null;
     }
 
-    /** The answer is whole and read: from here on whatever comes is unasked. */
+    /** Called when the response has been read completely: any further input is unrequested. */
     private synchronized void responseRead() {
         attemptBegun = false;
     }
 
-    /** Notes that something came at once, before any other thread can take the connection for a quiet one. */
+    /** Reports input at once, before another thread can take the connection for an idle one. */
     private final class InputObserver extends FilterInputStream {
         InputObserver(InputStream in) {
             super(in);
@@ -208,8 +206,8 @@
     }
 
     /**
-     * Writes the next piece of a long request, the last one with the end of the body; false where the attempt has
-     * ended.
+     * Writes the next piece of a long request, the last one with the end of the body. Returns false if the attempt has
+     * ended or the write failed.
      */
     boolean writePiece(Attempt current, byte[] piece, ChunkedFraming.Span span, boolean last) {
         boolean written = false;
@@ -229,9 +227,9 @@
     }
 
     /**
-     * The client's thread connects for its long request and writes the beginning, as it will carry the rest: a thread
-     * of this connection's own would only wait until that is over. False where the attempt has ended, which is
-     * reported.
+     * Connects on the client's thread and writes the start of its long request, unless that is done. The client's
+     * thread goes on with the rest: a separate thread would only wait for it. Returns false if the attempt has ended,
+     * which is reported.
      */
     boolean connectForUpload() {
         if (servingThread != ServingThread.CLIENT_CONNECTING) {
@@ -251,7 +249,7 @@
         return isReady;
     }
 
-    /** The client's thread is done with it: the answer is read by a thread of this connection's own, or it ends. */
+    /** Called when the client's thread is done: the response is read on a new thread, or the connection is closed. */
     void uploadEnded(boolean whole) {
         if (servingThread != ServingThread.CLIENT_CONNECTING && servingThread != ServingThread.CLIENT_WRITING) {
             return;
@@ -265,7 +263,7 @@
         }
     }
 
-    /** By whose thread the connection is served: its own, or for now that of the client whose long request it takes. */
+    /** The thread that serves the connection: its own, or that of the client whose long request is written. */
     private enum ServingThread { OWN, CLIENT_CONNECTING, CLIENT_WRITING, NONE }
 
     @Override
@@ -291,16 +289,16 @@
             if (first.hasEnded()) {
                 return false;
             }
-            // A repeat is not waited for beyond its window: nothing of it could go out any more.
+            // Don't wait beyond the time by which the attempt must begin: nothing of it could be sent then.
             long waitUs = Math.min(pool.connectTimeoutUs(),
                     Math.min(first.expiresAtUs(), first.decision.beginByUs()) - pool.now());
             socket.setTcpNoDelay(true);
-            // With the socket's own time-out: to close a socket that connects does not everywhere wake its thread.
+            // Uses the socket's timeout: closing a connecting socket does not wake its thread on every platform.
             socket.connect(endpoint.address(), (int) Math.max(1, (waitUs + 999) / 1000));
             result = write(first);
         } catch (SocketTimeoutException e) {
             if (pool.now() >= first.decision.beginByUs()) {
-                first.tryEnd(AttemptEnd.NOT_SENT);        // cut short by this side: it tells nothing of the host
+                first.tryEnd(AttemptEnd.NOT_SENT);        // shortened by the sidecar: no fault of the host
             }
             throw e;
         } finally {
@@ -312,7 +310,7 @@
         return isConnected;
     }
 
-    /** There was no thread for it. */
+    /** Called when no thread could be started for the connection. */
     void notStarted() {
         if (spareForHost != null) {
             pool.spareOpened(this, spareForHost, false);
@@ -330,11 +328,11 @@
         return isConnected;
     }
 
-    /** Reads what came; false where the connection is of no more use. */
+    /** Reads one response; returns false if the connection can't be used again. */
     private boolean readResponse(MessageReader reader) throws IOException {
         Attempt current = begunAttempt();
         if (current == null) {
-            return false;           // bytes that nobody asked for
+            return false;           // unrequested bytes
         }
         try {
             Head head = reader.response();
@@ -342,12 +340,12 @@
             AttemptEnd end = endFor(head);
             Body body = reader.bodyOf(head);
             if (end == AttemptEnd.SERVED && current.isUploading()) {
-                throw new BadMessage(502, "served before it had the request");
+                throw new BadMessage(502, "200 before the request was written completely");
             }
             boolean isLong = end == AttemptEnd.SERVED && body.length() > MessageReader.MAX_BODY;
             byte[] start = isLong ? new byte[0] : readStart(body);
             if (end == AttemptEnd.SERVED && body.framing() == Body.Framing.TO_END && !current.awaitWritten()) {
-                throw new EOFException("ended under its request");
+                throw new EOFException("connection ended while the request was being written");
             }
             HostLoad load = LoadReportParser.parse(head);
             boolean isPassedOn = end == AttemptEnd.SERVED && !body.isWhole();
@@ -355,7 +353,7 @@
                 socket.setSoTimeout(ResponseRelay.CHECK_INTERVAL_MS);
             }
             if (!current.tryEnd(end)) {
-                return false;       // cut while the answer came; the end of the connection reports it
+                return false;       // aborted meanwhile; connectionEnded() reports it
             }
             boolean wasWriting = current.isWriting();
             detachAttempt();
@@ -380,7 +378,7 @@
             pool.reportResponse(current, end, load, head, start);
             return reusable;
         } catch (BadMessage e) {
-            LOG.log(Level.WARNING, "rubbish from {0}: {1}", new Object[] {endpoint.address(), e.getMessage()});
+            LOG.log(Level.WARNING, "invalid response from {0}: {1}", new Object[] {endpoint.address(), e.getMessage()});
             current.tryEnd(AttemptEnd.ERROR);
             return false;
         }
@@ -391,12 +389,15 @@
     }
 
     /**
-     * What there is of a body: all of a short one. One whose length is not known is long where it is not whole soon;
-     * it is waited for that long as most are short, and a short one that breaks can be asked for elsewhere.
+     * Reads the start of a body, or all of a short one. A body of unknown length counts as long if it is not complete
+     * within {@link #BUFFER_RESPONSE_US}: most are short, and a short one that breaks can be requested from another
+     * host.
      */
     private byte[] readStart(Body body) throws IOException {
-        ByteArrayOutputStream start = new ByteArrayOutputStream((int) Math.max(512, Math.min(READ_BYTES, body.length())));
-        byte[] piece = new byte[(int) (body.length() < 0 ? READ_BYTES : Math.max(1, Math.min(READ_BYTES, body.length())))];
+        ByteArrayOutputStream start =
+                new ByteArrayOutputStream((int) Math.max(512, Math.min(READ_BYTES, body.length())));
+        byte[] piece = new byte[(int) (body.length() < 0 ? READ_BYTES
+                : Math.max(1, Math.min(READ_BYTES, body.length())))];
         long bufferUntilUs = pool.now() + BUFFER_RESPONSE_US;
         try {
             while (!body.isWhole() && start.size() < MessageReader.MAX_BODY) {
@@ -410,7 +411,7 @@
                 }
             }
         } catch (SocketTimeoutException e) {
-            LOG.log(Level.FINE, "an answer from {0} takes its time", endpoint.address());
+            LOG.log(Level.FINE, "response from {0} is slow and is relayed as it comes", endpoint.address());
         } finally {
             if (body.length() < 0) {
                 socket.setSoTimeout(0);
@@ -431,12 +432,12 @@
         return turnedAway ? AttemptEnd.TURNED_AWAY : AttemptEnd.ERROR;
     }
 
-    /** The attempt whose end this connection has to report, or null: one that is handed over is still its writer's. */
+    /** Returns the attempt whose end this connection must report, or null; one just assigned is still its writer's. */
     synchronized Attempt unreportedAttempt() {
         return handedOver ? null : attempt;
     }
 
-    /** The same at its end: no attempt begins on it any more. */
+    /** Called when the connection ends: no attempt can begin any more. Returns as {@link #unreportedAttempt}. */
     synchronized Attempt unreportedAttemptAtEnd() {
         unusable |= !attemptBegun;
         return unreportedAttempt();
--- a/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
@@ -26,27 +26,28 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** The connections to upstreams: idle ones are used again, the last used first, and others opened. */
+/** The pool of connections to upstreams. Idle ones are reused, the last used first; others are opened on demand. */
 final class UpstreamPool {
     private static final Logger LOG = Logger.getLogger(UpstreamPool.class.getName());
-    /** A host closes at the full time; what is written to a connection from then on ends as a reset. */
+    /** Part of the configured idle time after which a connection is closed: at the full time, the host closes it. */
     private static final double IDLE_TIMEOUT_SHARE = 0.7;
     /**
-     * A connection rests so long after an answer: what a host sends or closes behind it, be it some milliseconds late,
-     * shows by then, and is not taken for the answer to the next attempt, or that attempt for one that may have run.
+     * After a response, a connection is not reused for this long. If the host sends further bytes or closes the
+     * connection some milliseconds late, that shows before: else the bytes would count as the response to the next
+     * attempt, or that attempt as one that may have run.
      */
     static final long SETTLE_US = 20_000;
-    /** How long a thread that has waited for a connection stays for the next such wait, ms. */
+    /** How long a thread that has waited for a connection is kept for the next wait. */
     private static final long WAITER_KEEP_ALIVE_MS = 1_000;
 
     /**
-     * A spare connection, one beside another idle one, is kept so long. Hosts hold a bounded number for all instances
-     * together: what each keeps from its busiest moment, others are turned away for, after a handshake that the host
-     * has to work for. The last used is used first, so that those which no peak of this time needed run out.
+     * How long a spare connection, one that joins other idle ones, is kept. A host accepts a limited number of
+     * connections from all instances together: if each kept those of its busiest moment, others would be refused, after
+     * a handshake that costs the host time. The last used is reused first, so that those needed only for a peak expire.
      */
     static final long SPARE_IDLE_US = 500_000;
 
-    /** Spare connections to one upstream that may come up at once: some come up late. */
+    /** Spare connections to one upstream that may be opening at the same time, as some connect slowly. */
     private static final int MAX_SPARES_OPENING = 4;
 
     private static final Deque<UpstreamConnection> NONE = new ArrayDeque<>();
@@ -60,9 +61,9 @@
     private final Counts counts;
     private final DiscoveryFigures figures;
     private final Supplier<Socket> socketFactory;
-    /** They wait for connections to have rested: no more at once than there are such connections. */
-    private final Executor settleWaiters = new ThreadPoolExecutor(0, Integer.MAX_VALUE, WAITER_KEEP_ALIVE_MS, TimeUnit.MILLISECONDS,
-            new SynchronousQueue<>(), UpstreamPool::newWaiterThread);
+    /** Threads that wait for connections to settle: at most one for each such connection. */
+    private final Executor settleWaiters = new ThreadPoolExecutor(0, Integer.MAX_VALUE, WAITER_KEEP_ALIVE_MS,
+            TimeUnit.MILLISECONDS, new SynchronousQueue<>(), UpstreamPool::newWaiterThread);
     private final SpareConnectionPolicy sparePolicy = new SpareConnectionPolicy();
     private int openCount;
     private boolean isClosing;
@@ -74,7 +75,7 @@
         this(endpointTable, deadlines, setup, maxConnections, counts, figures, Socket::new);
     }
 
-    /** {@code sockets}: where its connections get theirs, not connected yet. */
+    /** {@code socketFactory} creates the sockets, not yet connected. */
     UpstreamPool(Endpoints endpointTable, Deadlines deadlines, Supplier<Setup> setup, int maxConnections, Counts counts,
             DiscoveryFigures figures, Supplier<Socket> socketFactory) {
         this.endpointTable = endpointTable;
@@ -87,12 +88,12 @@
         idleFailures = new IdleFailureRates(deadlines::now);
     }
 
-    /** Who hears of the attempts' ends; set once, before the first attempt. */
+    /** Sets the dispatcher, which is told of the attempts' ends; called once, before the first attempt. */
     void setDispatcher(RequestDispatcher newDispatcher) {
         dispatcher = newDispatcher;
     }
 
-    /** What is done where a thread could not be started. */
+    /** Sets the action to run when a thread could not be started. */
     void onThreadShortage(Runnable action) {
         onThreadShortage = action;
     }
@@ -113,7 +114,7 @@
         return setup.get().connectTimeoutUs();
     }
 
-    /** Starts an attempt. Its end is told to the conductor, by this thread if nothing went out at all. */
+    /** Starts an attempt. Its end is reported to the dispatcher, on this thread if nothing was sent at all. */
     void send(Attempt attempt) {
         Endpoints.Endpoint endpoint = endpointTable.endpointOf(attempt.decision.host());
         if (endpoint == null) {
@@ -127,7 +128,7 @@
             dispatcher.attemptEnded(attempt, AttemptEnd.GIVEN_UP, null, null, null);
             return;
         }
-        // The time of a long request begins with its last byte.
+        // The timeout of a long request starts with its last byte.
         attempt.setTimeout(attempt.isUploading() ? null
                 : deadlines.after(attempt.expiresAtUs() - now(), () -> attempt.abort(AttemptEnd.TIMED_OUT)));
         synchronized (this) {
@@ -143,10 +144,9 @@
     }
 
     /**
-     * Writes the attempt to a connection that has rested, passing over those that prove unfit, has it wait for one that
-     * rests, or opens one, in this order: a new one is work for the host, and may be slow to come up. Where attempts
-     * follow on each other so fast that a further connection would be used, one is opened meanwhile, and whichever is
-     * fit first is taken.
+     * Writes the attempt to a settled idle connection, skipping unusable ones; else waits for one that is settling;
+     * else opens one. A new connection is the last choice, as it costs the host time and may be slow. During the wait,
+     * a spare connection is opened if the rate of attempts is worth it, and whichever is ready first is used.
      */
     private void writeOrConnect(Endpoints.Endpoint endpoint, Attempt attempt) {
         UpstreamConnection.WriteResult result = UpstreamConnection.WriteResult.UNUSABLE;
@@ -173,7 +173,7 @@
         }
     }
 
-    /** A thread of its own waits: the caller's has a client to listen to, or a connection. */
+    /** Waits on a separate thread, as the caller's must watch its client or read its connection. */
     private void awaitSettled(Endpoints.Endpoint endpoint, Attempt attempt, long untilUs) {
         try {
             settleWaiters.execute(() -> afterSettled(endpoint, attempt, untilUs));
@@ -185,7 +185,9 @@
         }
     }
 
-    /** Where it may still begin, it finds the connection that it was promised, or, that being lost, what there is. */
+    /**
+     * Waits, then sends the attempt if it may still begin, on the connection reserved for it or, without that, another.
+     */
     private void afterSettled(Endpoints.Endpoint endpoint, Attempt attempt, long untilUs) {
         attempt.awaitSettled(untilUs, deadlines::now);
         if (mayBegin(attempt, endpoint)) {
@@ -196,7 +198,7 @@
         }
     }
 
-    /** Opens a connection for the attempt, in the place of an idle one where there are as many as there may be. */
+    /** Opens a connection for the attempt; at the limit, an idle one is closed for it. */
     private void openConnection(Endpoints.Endpoint endpoint, Attempt attempt) {
         UpstreamConnection connection = null;
         UpstreamConnection evicted = null;
@@ -213,23 +215,24 @@
             evicted.close();
         }
         if (connection == null) {
-            LOG.warning("no room for another connection to an upstream");
+            LOG.warning("limit of upstream connections reached; attempt not sent");
             reportUnsent(attempt);
             return;
         }
         attempt.setConnection(connection, -1);
         if (attempt.isUploading()) {
-            attempt.markReadyForBody();                  // its client's thread goes on from here
+            attempt.markReadyForBody();         // the client's thread connects
         } else {
             start(connection);
         }
     }
 
-    /** Opens a connection that no attempt has yet, where the pace of attempts is worth one and there is room. */
+    /** Opens a connection without an attempt if the rate of attempts is worth one and the limit allows it. */
     private void openSpare(Endpoints.Endpoint endpoint, String host) {
         UpstreamConnection spare;
         synchronized (this) {
-            if (isClosing || openCount >= maxConnections || !sparePolicy.wantsSpare(endpoint, now(), MAX_SPARES_OPENING)) {
+            if (isClosing || openCount >= maxConnections
+                    || !sparePolicy.wantsSpare(endpoint, now(), MAX_SPARES_OPENING)) {
                 return;
             }
             spare = new UpstreamConnection(this, endpoint, host);
@@ -239,7 +242,7 @@
         start(spare);
     }
 
-    /** A spare connection is open, or has failed; whether it stays. Nothing was asked on it: it needs no rest. */
+    /** Called when a spare connection is open or has failed; returns whether it is kept. Unused, it need not settle. */
     boolean spareOpened(UpstreamConnection spare, String host, boolean isOpen) {
         synchronized (this) {
             sparePolicy.openEnded(spare.endpoint, isOpen, now());
@@ -247,7 +250,7 @@
                 return false;
             }
             addIdle(spare, now() - SETTLE_US);
-            // Whoever would wait the longest looks anew.
+            // Wakes the attempt that would wait longest, so that it finds this connection.
             Iterator<UpstreamConnection> newestFirst = idle.get(spare.endpoint).descendingIterator();
             while (newestFirst.hasNext()) {
                 UpstreamConnection resting = newestFirst.next();
@@ -260,7 +263,7 @@
         }
     }
 
-    /** Among the idle ones from now on; under the lock. */
+    /** Adds the connection to the idle ones; the caller holds the lock. */
     private void addIdle(UpstreamConnection connection, long sinceUs) {
         Deque<UpstreamConnection> idleHere = idle.computeIfAbsent(connection.endpoint, e -> new ArrayDeque<>());
         long idleUs = (long) (setup.get().connIdleUs() * IDLE_TIMEOUT_SHARE);
@@ -270,40 +273,42 @@
     }
 
     /**
-     * Asked right before an attempt's first byte, on a used connection as on a new one: whether it may still go out.
-     * While it waited, above all for its connect, the client may have left or been answered, the window for repeats or
-     * the time may be over, or the host may want no new work. What is stopped here never ran: the module decides anew.
+     * Called right before an attempt's first byte, on used and new connections; returns whether it may still be sent.
+     * While it waited, mostly to connect, the client may have left or been answered, the window for repeats or the
+     * timeout may have passed, or the host may accept no new work. An attempt stopped here never ran: the module
+     * decides again.
      */
     boolean mayBegin(Attempt attempt, Endpoints.Endpoint endpoint) {
         long now = now();
         String reason = attempt.hasEnded() ? "cut" : attempt.exchange.isClaimed() ? "answered"
                 : !attempt.mayBeginAt(now) ? "late"
-                : !endpoint.equals(endpointTable.endpointForSend(attempt.decision.host(), now)) ? stopReason(attempt) : null;
+                : !endpoint.equals(endpointTable.endpointForSend(attempt.decision.host(), now)) ? stopReason(attempt)
+                : null;
         if (reason != null) {
             figures.stopped(reason);
-            attempt.tryEnd(AttemptEnd.NOT_SENT);      // unless it has ended otherwise
+            attempt.tryEnd(AttemptEnd.NOT_SENT);
         }
         return reason == null;
     }
 
-    /** Why its server takes no new work: its status, which is "serving" where it is another process by now. */
+    /** Returns why the server accepts no new work: its status, or "serving" if the process has been replaced. */
     private String stopReason(Attempt attempt) {
         return endpointTable.statusOf(attempt.decision.host()).name().toLowerCase(Locale.ROOT);
     }
 
-    /** Nothing of the attempt went out, and no connection has it. */
+    /** Ends and reports an attempt of which nothing was sent and which no connection has. */
     private void reportUnsent(Attempt attempt) {
         attempt.writeEnded(false, now());
         deadlines.cancel(attempt.timeout());
         dispatcher.attemptEnded(attempt, attempt.endUnsent(), null, null, null);
     }
 
-    /** Gives a connection its own thread. */
+    /** Starts the connection's thread. */
     void start(UpstreamConnection connection) {
         try {
             new Thread(connection, "upstream " + Sockets.text(connection.endpoint.address())).start();
         } catch (OutOfMemoryError e) {
-            // No thread to be had: what was not written never ran, and the module decides what to do instead.
+            // No thread: a request that was not written never ran, and the module decides what to do instead.
             LOG.log(Level.SEVERE, "no thread for a connection", e);
             onThreadShortage.run();
             Attempt unreported = connection.unreportedAttempt();
@@ -316,10 +321,10 @@
         }
     }
 
-    /** A connection for an attempt: its own from now on, or, with a rest left, promised to it alone, microseconds. */
+    /** A connection assigned to an attempt, or reserved for it while it settles for {@code settleLeftUs} more. */
     private record Candidate(UpstreamConnection connection, long settleLeftUs) { }
 
-    /** The last used of those that have rested; else the first to have rested; null: there is none for it. */
+    /** Returns the last used of the settled connections; else the first that will have settled; else null. */
     private synchronized Candidate findIdle(Endpoints.Endpoint endpoint, Attempt attempt) {
         releaseReservation(endpoint, attempt);
         Deque<UpstreamConnection> idleHere = idle.get(endpoint);
@@ -332,7 +337,7 @@
             long idleUs = now - connection.idleSinceUs();
             if (idleUs >= SETTLE_US && connection.reservedFor() == null) {
                 if (!idleFailures.isAcceptable(idleUs)) {
-                    break;                  // and the others have been idle for longer
+                    break;                  // the others have been idle for longer
                 }
                 newestFirst.remove();
                 deadlines.cancel(connection.idleTimeout());
@@ -341,28 +346,30 @@
                 return new Candidate(connection, 0);
             }
         }
-        UpstreamConnection first = idleHere.stream().filter(c -> now - c.idleSinceUs() < SETTLE_US && c.reservedFor() == null)
-                .findFirst().orElse(null);
-        if (first == null || !idleFailures.isAcceptable(SETTLE_US) || !attempt.mayBeginAt(first.idleSinceUs() + SETTLE_US)) {
+        UpstreamConnection first = idleHere.stream()
+                .filter(c -> now - c.idleSinceUs() < SETTLE_US && c.reservedFor() == null).findFirst().orElse(null);
+        if (first == null || !idleFailures.isAcceptable(SETTLE_US)
+                || !attempt.mayBeginAt(first.idleSinceUs() + SETTLE_US)) {
             return null;
         }
         first.reserveFor(attempt);
         return new Candidate(first, first.idleSinceUs() + SETTLE_US - now);
     }
 
-    /** The attempt does not wait for a connection any more. */
+    /** Releases the connection that is reserved for the attempt, if any. */
     private synchronized void releaseReservation(Endpoints.Endpoint endpoint, Attempt attempt) {
-        idle.getOrDefault(endpoint, NONE).stream().filter(c -> c.reservedFor() == attempt).forEach(c -> c.reserveFor(null));
+        idle.getOrDefault(endpoint, NONE).stream().filter(c -> c.reservedFor() == attempt)
+                .forEach(c -> c.reserveFor(null));
     }
 
-    /** It can't be waited for any more, and has left the idle ones; under the lock. */
+    /** Wakes the attempt that waits for a connection no longer in the pool, if any; the caller holds the lock. */
     private static void cancelReservation(UpstreamConnection connection) {
         if (connection.reservedFor() != null) {
             connection.reservedFor().cancelSettleWait();
         }
     }
 
-    /** One that nobody waits for. */
+    /** Removes and returns an idle connection that is not reserved, or null; the caller holds the lock. */
     private UpstreamConnection evict() {
         for (Deque<UpstreamConnection> idleHere : idle.values()) {
             for (UpstreamConnection connection : idleHere) {
@@ -375,7 +382,7 @@
         return null;
     }
 
-    /** The last piece of a long request is about to go out; false where its attempt has ended. */
+    /** Called before the last piece of a long request is written; returns false if its attempt has ended. */
     boolean beginFinalWrite(Attempt attempt, long budgetUs) {
         Deadlines.Deadline timer = deadlines.after(budgetUs, () -> attempt.abort(AttemptEnd.TIMED_OUT));
         boolean begun = attempt.beginFinalWrite(timer, now() + budgetUs);
@@ -385,28 +392,28 @@
         return begun;
     }
 
-    /** The host has answered, whole or with the beginning of a long answer. */
+    /** Called when the host has sent a whole response, or the start of a long one. */
     void responseReceived(Attempt attempt) {
         deadlines.cancel(attempt.timeout());
         idleFailures.recordAttempt(attempt.connectionIdleUs(), false);
     }
 
-    /** A whole answer goes to whom it concerns. */
+    /** Reports a whole response to the dispatcher. */
     void reportResponse(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
         dispatcher.attemptEnded(attempt, end, load, head, body);
     }
 
-    /** A long answer is passed on; whether it was whole, and the client took all of it. */
+    /** Relays a long response; returns whether it was complete and the client received all of it. */
     boolean relay(Attempt attempt, HostLoad load, Head head, Body body, byte[] start) {
         return dispatcher.relay(attempt, load, head, body, start);
     }
 
-    /** The connection may be used again: before the client can send its next request, where the answer was short. */
+    /** Returns a connection to the pool; for a short response, before the client can send its next request. */
     void returnConnection(UpstreamConnection connection, String host) {
         boolean kept;
         synchronized (this) {
-            // Where the list has changed meanwhile, the next attempt goes to another process. Asked under the lock: the
-            // news are in the table before the idle connections on the endpoints that are gone are closed.
+            // If the list has changed, the next attempt goes to another process. Checked under the lock: changes reach
+            // the endpoint table before the idle connections to retired endpoints are closed.
             kept = connection.endpoint.equals(endpointTable.endpointOf(host));
             if (kept) {
                 addIdle(connection, now());
@@ -430,12 +437,12 @@
             cancelReservation(connection);
         }
         if (removed && idleHere.isEmpty()) {
-            idle.remove(connection.endpoint);      // hosts come under new ids for good
+            idle.remove(connection.endpoint);      // or the map would grow, as new hosts get new uids
         }
         return removed;
     }
 
-    /** Closes the idle connections on endpoints that take no more work. */
+    /** Closes the idle connections to endpoints that accept no more work. */
     void closeIdle(Collection<Endpoints.Endpoint> endpoints) {
         for (Endpoints.Endpoint endpoint : endpoints) {
             Deque<UpstreamConnection> idleHere;
@@ -451,7 +458,7 @@
         }
     }
 
-    /** Closes all idle connections: no more attempts come. */
+    /** Closes all idle connections; called when no more attempts come. */
     void closeAllIdle() {
         List<Endpoints.Endpoint> endpoints;
         synchronized (this) {
@@ -461,7 +468,7 @@
         closeIdle(endpoints);
     }
 
-    /** A connection's thread is done with it; an attempt that it still owed is reported. */
+    /** Called when a connection has ended; reports its attempt if it has not been reported. */
     void connectionEnded(UpstreamConnection connection) {
         synchronized (this) {
             openCount--;
@@ -476,8 +483,8 @@
                 idleFailures.recordAttempt(unreported.connectionIdleUs(), true);
             }
             if (end == AttemptEnd.TIMED_OUT || end == AttemptEnd.SILENT) {
-                // A machine that vanished leaves its idle connections open and silent: an attempt on another one
-                // would time out too and might have run, while a connect that fails proves that it never ran.
+                // A machine that has vanished leaves its idle connections open and silent. An attempt on another one
+                // would time out too and might have run; a failed connect proves that the attempt never ran.
                 closeIdle(List.of(connection.endpoint));
             }
             dispatcher.attemptEnded(unreported, end, null, null, null);
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -169,8 +169,8 @@
         RequestDispatcher conductor = new RequestDispatcher(facade, upstreams);
         upstreams.setDispatcher(conductor);
         Door door = door(hooks, accepted);
-        side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime, new LongBodyThrottle(1),
-                most, crowd, 10, new ThreadReserve(deadlines::now));
+        side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime,
+                new LongBodyThrottle(1), most, crowd, 10, new ThreadReserve(deadlines::now));
         Host.daemon(side::run);
         lifetime.listening();
         Host.daemon(() -> {
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -241,7 +241,8 @@
         start(old, 250_000);
         next.next();
         for (int i = 0; i < HOSTS; i++) {
-            assertThat(table.endpointForSend("s" + i, clock.get() + 100_000)).as("s%d: 100 ms of the grace", i).isNull();
+            assertThat(table.endpointForSend("s" + i, clock.get() + 100_000))
+                    .as("s%d: 100 ms of the grace", i).isNull();
         }
     }
 
--- a/sidecar/src/test/java/dapplequay/net/EndpointsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/EndpointsTest.java
@@ -22,7 +22,7 @@
                 + "\"state\":\"" + state + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    /** The answer to a call that nothing crossed; the endpoints that take no new work any more. */
+    /** Applies the answer to the current call; returns the endpoints that accept no new work any more. */
     private static Set<Endpoints.Endpoint> apply(Endpoints table, Endpoints.ListUpdate update) {
         return table.apply(update, table.nextCall(0), 0, 0).retired();
     }
@@ -45,7 +45,7 @@
         assertThat(table.revision()).isEqualTo(7);
     }
 
-    /** What comes up at the address of a gone host, or under its id again, gets none of its connections. */
+    /** A process at the address of a removed host, or restarted under the same uid, gets none of its connections. */
     @Test
     void replacedOrRestartedProcessGetsANewEndpoint() throws IOException {
         Endpoints table = new Endpoints();
--- a/sidecar/src/test/java/dapplequay/net/IdleFailureRatesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/IdleFailureRatesTest.java
@@ -16,7 +16,7 @@
         }
         assertThat(rates.isAcceptable(6_000)).isTrue();
         assertThat(rates.isAcceptable(190_000)).isFalse();
-        assertThat(rates.isAcceptable(5_000_000)).as("still longer idle").isFalse();
+        assertThat(rates.isAcceptable(5_000_000)).as("idle for even longer").isFalse();
         now.addAndGet(60_000_000);
         assertThat(rates.isAcceptable(190_000)).as("tried again later").isTrue();
     }
--- a/sidecar/src/test/java/dapplequay/net/LongBodyThrottleTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LongBodyThrottleTest.java
@@ -11,16 +11,16 @@
     void pausesBeforeTheCpuShareIsUsedUpAndStopsWhenIdle() {
         LongBodyThrottle throttle = new LongBodyThrottle(0.5);
         throttle.recordCpuUse(INTERVAL_US / 5, INTERVAL_US);
-        assertThat(throttle.pauseMs()).as("two fifths of the share").isZero();
+        assertThat(throttle.pauseMs()).as("two fifths of the share used: no pause").isZero();
         for (int i = 0; i < 3; i++) {
             long before = throttle.pauseMs();
             throttle.recordCpuUse(INTERVAL_US * 2 / 5, INTERVAL_US);
-            assertThat(throttle.pauseMs()).as("four fifths").isGreaterThan(before);
+            assertThat(throttle.pauseMs()).as("four fifths of the share used: the pause grows").isGreaterThan(before);
         }
         for (int i = 0; i < 100; i++) {
             throttle.recordCpuUse(INTERVAL_US, INTERVAL_US);
         }
-        assertThat(throttle.pauseMs()).as("no peer waits for long").isLessThan(2_000);
+        assertThat(throttle.pauseMs()).as("the pause is bounded").isLessThan(2_000);
         for (int i = 0; i < 50; i++) {
             throttle.recordCpuUse(0, INTERVAL_US);
         }
--- a/sidecar/src/test/java/dapplequay/net/ProgressWatchdogTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ProgressWatchdogTest.java
@@ -34,23 +34,24 @@
 
     @Test
     void doesNotExpireAfterClose() {
-        new ProgressWatchdog(deadlines, new ProgressWatchdog.StallTimeout(deadlines, 100), expirations::incrementAndGet).close();
+        new ProgressWatchdog(deadlines, new ProgressWatchdog.StallTimeout(deadlines, 100), expirations::incrementAndGet)
+                .close();
         advanceTo(9_000);
         assertThat(expirations).hasValue(0);
     }
 
-    /** At 1,000 bytes a second with 500 us at first; only time in which the sender is waited for counts. */
+    /** The minimum rate is 1,000 bytes per second with an allowance of 500 us; only time spent waiting counts. */
     @Test
     void senderMustKeepTheMinimumRateWhileItIsWaitedFor() {
         ProgressWatchdog.MinimumRate rate = new ProgressWatchdog.MinimumRate(deadlines, 500, 1_000);
         try (ProgressWatchdog watched = new ProgressWatchdog(deadlines, rate, expirations::incrementAndGet)) {
             rate.waitStarted();
             advanceTo(1_400);
-            rate.waitEnded(2);                       // and 2,000 us more
-            advanceTo(50_000);                         // nobody waits
+            rate.waitEnded(2);                       // allows 2,000 us more
+            advanceTo(50_000);                         // no thread waits
             rate.waitStarted();
             advanceTo(52_000);
-            assertThat(expirations).as("2,400 us of 2,500").hasValue(0);
+            assertThat(expirations).as("waited 2,400 us of the 2,500 allowed").hasValue(0);
             advanceTo(52_200);
             assertThat(expirations).hasValue(1);
         }
--- a/sidecar/src/test/java/dapplequay/net/ResponseRelayTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ResponseRelayTest.java
@@ -21,15 +21,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A long answer whose host stands still, whose client leaves, or behind whose request more comes. The clock stands
- * still where a test has not moved it: nothing ends by a time that the test has not set.
+ * Long responses whose host stalls, whose client leaves, or whose client sends more bytes after its request. The clock
+ * is stopped and moved by the tests only, so nothing times out unless a test says so.
  */
 @Timeout(90)
 class ResponseRelayTest extends ClosesWhatItOpened {
     private static final int TIMEOUT_S = 6;
     private static final int BUDGET_MS = 1_000;
     private static final long GRACE_US = 400_000;
-    /** Real ms for several looks, where a test shows that these end nothing. */
+    /** Real time for several checks, for tests that show that these end nothing. */
     private static final long SEVERAL_CHECKS_MS = 6 * ResponseRelay.CHECK_INTERVAL_MS;
     private static final int LENGTH = 100_000;
 
@@ -53,7 +53,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** How a host's answer begins: by its head alone, or with some of its body. */
+    /** Returns the start of a host's response: its head alone, or with some of its body. */
     private static String begun(String framing) {
         String start = "HTTP/1.1 200 OK\r\n";
         return switch (framing) {
@@ -65,7 +65,7 @@
         };
     }
 
-    /** One whose answer begins, and goes on with this once the test says so; null: never, but until it is given up. */
+    /** Sends the start of a response, and the rest once the test says so; if {@code rest} is null, never sends it. */
     private Host host(String begun, String rest) throws IOException {
         return open(new Host((head, seen) -> {
             write(seen, begun);
@@ -80,7 +80,7 @@
         }));
     }
 
-    /** A client that has asked, and the body that has begun to come. */
+    /** Sends a request and returns the response body, of which {@code least} bytes have been read. */
     private Body request(Host host, String version, int least) throws Exception {
         rig = open(new ClientRig(new ClientRig.Hooks() {
             @Override
@@ -106,9 +106,10 @@
         return body;
     }
 
-    /** The thread that had read the request is gone from then on. */
+    /** Returns once another thread than the one that read the request watches the client. */
     private void awaitSecondThread() throws InterruptedException {
-        assertThat(secondThreadReads.await(TIMEOUT_S, TimeUnit.SECONDS)).as("somebody looks for the client").isTrue();
+        assertThat(secondThreadReads.await(TIMEOUT_S, TimeUnit.SECONDS))
+                .as("another thread reads from the client").isTrue();
     }
 
     private static void read(Body body, int bytes) throws IOException {
@@ -135,10 +136,10 @@
         rig.stopClock(BUDGET_MS * 1_000 + GRACE_US);
         assertThat(catchThrowable(() -> readRest(body))).isNotInstanceOf(SocketTimeoutException.class)
                 .isInstanceOf(version.equals("1.0") ? SocketException.class : IOException.class);
-        assertThat(host.closed.poll(TIMEOUT_S, TimeUnit.SECONDS)).as("given up").isTrue();
+        assertThat(host.closed.poll(TIMEOUT_S, TimeUnit.SECONDS)).as("the attempt is given up").isTrue();
     }
 
-    /** Where only the end of the connection ends an answer, a plain one in the ending's last moment made it whole. */
+    /** A normal close at shutdown made a response that extends to the end of the connection look complete. */
     @ParameterizedTest
     @CsvSource({"chunked,1.0", "end,1.0", "end,1.1", "length,1.1"})
     void responseCutShortByShutdownIsSeenAsTruncated(String framing, String version) throws Exception {
@@ -148,7 +149,7 @@
                 .isInstanceOf(version.equals("1.0") ? SocketException.class : IOException.class);
     }
 
-    /** Of a long one the first bytes are timed; and what has moved since its time ended may go on. */
+    /** Only the first bytes of a long response are timed, and one that makes progress may continue. */
     @ParameterizedTest
     @CsvSource({"length,99995", "much,5", "moving,5"})
     void responseThatMayStillCompleteContinuesAfterTheDeadline(String framing, int left) throws Exception {
@@ -176,7 +177,7 @@
         assertThat(readRest(body)).isEqualTo(length - 1);
     }
 
-    /** Nobody read its connection, and nothing was written to it, while the host stood still. */
+    /** While the host was stalled, the client's connection was neither read nor written, so its end went unnoticed. */
     @ParameterizedTest
     @CsvSource({"close,,false", "close,,true", "reset,,true", "half,,true", "close,behind,false", "close,behind,true",
         "half,behind,true"})
@@ -193,13 +194,13 @@
             client.socket.setSoLinger(how.equals("reset"), 0);
             client.close();
         }
-        assertThat(host.closed.poll(TIMEOUT_S, TimeUnit.SECONDS)).as("given up").isTrue();
+        assertThat(host.closed.poll(TIMEOUT_S, TimeUnit.SECONDS)).as("the attempt is given up").isTrue();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         host.next();
-        assertThat(host.seen).as("served for nobody").isEmpty();
+        assertThat(host.seen).as("no request is served after the client has left").isEmpty();
     }
 
-    /** Its connection was closed over them, so that the reset took with it what the client had not read yet. */
+    /** Closing the connection with these bytes unread caused a reset, and the client lost unread response bytes. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void bytesAfterTheRequestDoNotTruncateTheResponse(boolean late) throws Exception {
@@ -213,10 +214,10 @@
         assertThat(connectionEnds.await(TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         client.send("and more");
         assertThat(readRest(body)).isEqualTo(LENGTH - 5);
-        assertThat(reader.await()).as("more than the end, which is no reset").isFalse();
+        assertThat(reader.await()).as("only the end of the stream, and no reset, follows").isFalse();
         client.close();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         host.next();
-        assertThat(host.seen).as("served behind the last answer").isEmpty();
+        assertThat(host.seen).as("no request is served after the last response").isEmpty();
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/SpareConnectionPolicyTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SpareConnectionPolicyTest.java
@@ -21,20 +21,22 @@
         }
     }
 
-    /** A handshake is work for the upstream: a connection that would be closed again unused is not worth it. */
+    /** A handshake costs the upstream time: a connection that would be closed unused is not worth it. */
     @Test
     void wantsSpareConnectionOnlyAtASteadyHighRate() {
         sendAttempts(upstream, SpareConnectionPolicy.WINDOW_ATTEMPTS, 10 * SpareConnectionPolicy.MAX_MEAN_GAP_US);
-        assertThat(policy.wantsSpare(upstream, nowUs, 1)).as("too slow").isFalse();
+        assertThat(policy.wantsSpare(upstream, nowUs, 1)).as("mean gap too long").isFalse();
         sendAttempts(upstream, SpareConnectionPolicy.WINDOW_ATTEMPTS - 1, SpareConnectionPolicy.MAX_MEAN_GAP_US / 2);
-        assertThat(policy.wantsSpare(upstream, nowUs, 1)).as("too few").isFalse();
+        assertThat(policy.wantsSpare(upstream, nowUs, 1)).as("too few attempts").isFalse();
         sendAttempts(upstream, 1, 0);
         assertThat(policy.wantsSpare(upstream, nowUs, 1)).isTrue();
         assertThat(policy.wantsSpare(endpoint(2), nowUs, 1)).as("another upstream").isFalse();
-        assertThat(policy.wantsSpare(upstream, nowUs + SpareConnectionPolicy.WINDOW_ATTEMPTS * SpareConnectionPolicy.MAX_MEAN_GAP_US, 1)).as("later").isFalse();
+        assertThat(policy.wantsSpare(upstream,
+                nowUs + SpareConnectionPolicy.WINDOW_ATTEMPTS * SpareConnectionPolicy.MAX_MEAN_GAP_US, 1))
+                .as("after a pause").isFalse();
     }
 
-    /** Where connections come up late, each attempt that waits would open a further one. */
+    /** If connects are slow, each waiting attempt would open a further connection. */
     @Test
     void limitsConnectionsThatAreOpeningAtTheSameTime() {
         sendAttempts(upstream, SpareConnectionPolicy.WINDOW_ATTEMPTS, 1_000);
@@ -46,7 +48,7 @@
         assertThat(policy.wantsSpare(upstream, nowUs, 2)).isTrue();
     }
 
-    /** An upstream that takes no more connections is not asked for one by each attempt. */
+    /** An upstream that accepts no more connections must not get a connect for each attempt. */
     @Test
     void opensNoneForAWhileAfterAFailedConnect() {
         policy.openStarted(upstream);
--- a/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
@@ -26,11 +26,13 @@
 import org.junit.jupiter.api.Test;
 
 class UpstreamPoolTest {
-    private static final SettingsReader.Setup SETUP = new SettingsReader.Setup(null, Map.of(), Map.of(), 10_000_000, 30_000_000);
+    private static final SettingsReader.Setup SETUP =
+            new SettingsReader.Setup(null, Map.of(), Map.of(), 10_000_000, 30_000_000);
 
     private static void restoreList(Endpoints table, int port, String state) {
         try {
-            table.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\"127.0.0.1:"
+            table.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,"
+                    + "\"targets\":[{\"uid\":\"s1\",\"endpoint\":\"127.0.0.1:"
                     + port + "\",\"az\":\"a\",\"state\":\"" + state + "\"}]}").getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -57,7 +59,7 @@
         return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), pool.now());
     }
 
-    /** What a host sends behind an answer would else be taken for the next one; a new connection costs the host. */
+    /** Else bytes after a response would count as the next response; a new connection would cost the host time. */
     @Test
     void connectionIsReusedOnlyAfterTheSettleTime() throws Exception {
         Endpoints table = new Endpoints();
@@ -81,7 +83,7 @@
         }
     }
 
-    /** Each instance kept what its busiest moment had opened; hosts at their cap turned all others away. */
+    /** Instances kept all connections of their busiest moment; hosts at their limit then refused other instances. */
     @Test
     void spareConnectionIsClosedSoonAndTheLastOneIsKept() throws Exception {
         Endpoints table = new Endpoints();
@@ -99,7 +101,7 @@
             for (long pauseUs : new long[] {0, UpstreamPool.SPARE_IDLE_US + 1}) {
                 now.addAndGet(pauseUs);
                 deadlines.sweep();
-                for (int i = 0; i < 2; i++) {           // two at once
+                for (int i = 0; i < 2; i++) {           // two at a time
                     pool.send(attempt(pool));
                     used.add(host.next().socket());
                 }
@@ -110,11 +112,11 @@
             }
             assertThat(used.get(1)).isNotSameAs(used.get(0));
             assertThat(used.get(2)).isIn(used.get(0), used.get(1));
-            assertThat(used.get(3)).as("the spare one is gone").isNotIn(used.get(0), used.get(1));
+            assertThat(used.get(3)).as("the spare connection was closed").isNotIn(used.get(0), used.get(1));
         }
     }
 
-    /** The connecting thread reads the clock between the pick and the connect: there the drain is told. */
+    /** The list changes when the connecting thread reads the clock, between the decision and the connect. */
     @Test
     void attemptIsNotSentIfItsHostBeginsToDrainDuringTheConnect() throws Exception {
         Endpoints table = new Endpoints();
