--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public synchronized void answered(DiscoveryConnection its, Endpoints.ListUpdate update, long receivedUs,
+    public synchronized void answered(DiscoveryConnection its, Endpoints.EndpointUpdate update, long receivedUs,
             boolean stays) {
         boolean isCurrent = isCurrent(its);
         Call call = isCurrent ? current : takeSuperseded(its);
@@ -336,7 +336,7 @@
     }
 
     /** Takes in an answer: the table first, which is asked at each write, then the module. */
-    private void apply(Endpoints.ListUpdate update, Call call, long receivedUs, boolean isCurrent) {
+    private void apply(Endpoints.EndpointUpdate update, Call call, long receivedUs, boolean isCurrent) {
         boolean wasRegressed = table.isRegressed();
         long known = table.revision();
         Endpoints.ApplyResult applied = table.apply(update, call.id(), receivedUs, clock.graceLeftUs(receivedUs));
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
@@ -23,7 +23,7 @@
         void answering(DiscoveryConnection connection);
 
         /** An answer was read whole at that time; {@code stays}: another call may follow on this connection. */
-        void answered(DiscoveryConnection connection, Endpoints.ListUpdate update, long receivedUs, boolean stays);
+        void answered(DiscoveryConnection connection, Endpoints.EndpointUpdate update, long receivedUs, boolean stays);
 
         /** The call failed, and with it the connection; {@code answered}: by an answer that can't be used. */
         void failed(DiscoveryConnection connection, Throwable failure, boolean answered);
@@ -121,7 +121,7 @@
             throw new IOException("discovery answered " + head.start[1]);
         }
         hasAnswered = true;
-        Endpoints.ListUpdate update = Endpoints.parse(body);
+        Endpoints.EndpointUpdate update = Endpoints.parse(body);
         // Bytes that nobody asked for would be read as the next answer.
         boolean stays = !head.closes(head.start[0]) && !MessageReader.lastsToTheEnd(head) && !reader.hasBytes();
         owner.answered(this, update, receivedUs, stays);
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -34,7 +34,7 @@
     record Endpoint(String uid, InetSocketAddress address, long bootMs) { }
 
     /** One parsed list of discovery, checked as a whole before any of it is applied. */
-    record ListUpdate(long revision, ListNews news, Map<String, InetSocketAddress> addresses) { }
+    record EndpointUpdate(long revision, ListNews news, Map<String, InetSocketAddress> addresses) { }
 
     /** The result of applying a list, and the endpoints that accept no new work any more. */
     record ApplyResult(ServerRegistry.Outcome outcome, Set<Endpoint> retired) { }
@@ -49,12 +49,12 @@
         registry = new ServerRegistry(anyRevision);
     }
 
-    static ListUpdate parse(byte[] text) throws IOException {
+    static EndpointUpdate parse(byte[] text) throws IOException {
         return parse(Json.parse(text));
     }
 
     /** Throws an IOException if the JSON tree is not a list of discovery. */
-    static ListUpdate parse(Object tree) throws IOException {
+    static EndpointUpdate parse(Object tree) throws IOException {
         try {
             Map<?, ?> map = (Map<?, ?>) tree;
             boolean isWhole = (Boolean) map.get("all");
@@ -78,7 +78,7 @@
                         state, number(entry, "capacity_hint", 1), (long) number(entry, "boot_ms", 0)));
             }
             ListNews.Kind kind = isWhole ? ListNews.Kind.WHOLE : ListNews.Kind.CHANGES;
-            return new ListUpdate(revision(map.get("rev")), new ListNews(kind, lines), addresses);
+            return new EndpointUpdate(revision(map.get("rev")), new ListNews(kind, lines), addresses);
         } catch (ClassCastException | NullPointerException | IllegalArgumentException e) {
             throw new IOException("not a list of servers: " + e.getMessage(), e);
         }
@@ -114,7 +114,7 @@
     }
 
     /** Replaces the list without further checks; returns the endpoints that accept no new work any more. */
-    synchronized Set<Endpoint> restore(ListUpdate update) {
+    synchronized Set<Endpoint> restore(EndpointUpdate update) {
         Set<Endpoint> before = serving();
         endpoints.clear();
         updateEndpoints(update);
@@ -124,7 +124,7 @@
     }
 
     /** Applies the answer to {@code call}; {@code graceLeftUs} is what is left of the drain grace for its changes. */
-    synchronized ApplyResult apply(ListUpdate update, ListAnswer.Call call, long receivedUs, long graceLeftUs) {
+    synchronized ApplyResult apply(EndpointUpdate update, ListAnswer.Call call, long receivedUs, long graceLeftUs) {
         Set<Endpoint> before = serving();
         ListAnswer answer = new ListAnswer(update.revision(), update.news(), call, receivedUs);
         ServerRegistry.Outcome outcome = registry.answered(answer, graceLeftUs);
@@ -132,7 +132,7 @@
         outcome.news().lines().forEach(line -> takenOver.add(line.uid()));
         Map<String, InetSocketAddress> addresses = new HashMap<>(update.addresses());
         addresses.keySet().retainAll(takenOver);
-        updateEndpoints(new ListUpdate(update.revision(), outcome.news(), addresses));
+        updateEndpoints(new EndpointUpdate(update.revision(), outcome.news(), addresses));
         return resultOf(outcome, before);
     }
 
@@ -155,7 +155,7 @@
      * Takes over the addresses of the lines. A line without an address keeps the known one; deleted servers are
      * skipped.
      */
-    private void updateEndpoints(ListUpdate update) {
+    private void updateEndpoints(EndpointUpdate update) {
         for (Line line : update.news().lines()) {
             Endpoint known = endpoints.get(line.uid());
             InetSocketAddress address = update.addresses().getOrDefault(line.uid(),
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -173,7 +173,7 @@
         Endpoints table = new Endpoints(!binds);
         List<ListNews.Line> lines = List.of();
         if (plan.known() != null) {
-            Endpoints.ListUpdate known = Endpoints.parse(plan.known());
+            Endpoints.EndpointUpdate known = Endpoints.parse(plan.known());
             table.restore(known);
             lines = known.news().lines();
         }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -159,7 +159,7 @@
         Setup setup = SettingsReader.of(example.get("settings"), "example");
         Facade facade = new Facade(setup, 7, deadlines::now, line -> { });
         Endpoints table = new Endpoints();
-        Endpoints.ListUpdate known = Endpoints.parse(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
+        Endpoints.EndpointUpdate known = Endpoints.parse(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
         table.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         Counts counts = new Counts();
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -126,7 +126,7 @@
                 .replace("\"ask_within_us\"", "\"drain_grace_us\": " + graceUs + ", \"ask_within_us\"");
         Setup setup = SettingsReader.of(((Map<?, ?>) Json.parse(text.getBytes())).get("settings"), "example");
         Facade facade = new Facade(setup, 7, clock::get, line -> { });
-        Endpoints.ListUpdate known = Endpoints.parse(known().getBytes());
+        Endpoints.EndpointUpdate known = Endpoints.parse(known().getBytes());
         table.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         facade.watchAnew();
--- a/sidecar/src/test/java/dapplequay/net/EndpointsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/EndpointsTest.java
@@ -12,7 +12,7 @@
 
 class EndpointsTest {
 
-    private static Endpoints.ListUpdate list(int rev, boolean all, String... targets) throws IOException {
+    private static Endpoints.EndpointUpdate list(int rev, boolean all, String... targets) throws IOException {
         String text = "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
         return Endpoints.parse(text.getBytes(StandardCharsets.UTF_8));
     }
@@ -23,7 +23,7 @@
     }
 
     /** Applies the answer to the current call; returns the endpoints that accept no new work any more. */
-    private static Set<Endpoints.Endpoint> apply(Endpoints table, Endpoints.ListUpdate update) {
+    private static Set<Endpoints.Endpoint> apply(Endpoints table, Endpoints.EndpointUpdate update) {
         return table.apply(update, table.nextCall(0), 0, 0).retired();
     }
 
