--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -49,7 +49,7 @@
     private final ClientSide side;
     private final Socket socket;
     private final OrderlyClose ending;
-    private final BodyReader bodies;
+    private final RequestBodyReader bodies;
     private final long sinceUs;
     private State state = State.IDLE;
     private boolean asked;
@@ -68,7 +68,7 @@
         this.side = side;
         this.socket = socket;
         ending = new OrderlyClose(socket, side.deadlines());
-        bodies = new BodyReader(side.deadlines(), this::requestIsLate);
+        bodies = new RequestBodyReader(side.deadlines(), this::requestIsLate);
         sinceUs = side.deadlines().now();
         idleEnd = side.deadlines().schedule(IDLE_US, () -> side.idleForLong(this));
     }
@@ -101,10 +101,10 @@
         } finally {
             if (current != null) {
                 LOG.fine(() -> "client of " + current.id + " is gone, " + state
-                        + (current.isOver() ? "" : ", unanswered"));
+                        + (current.isClaimed() ? "" : ", unanswered"));
                 side.conductor().clientLeft(current);
             }
-            bodies.over();
+            bodies.finish();
             if (input == null || !input.leave()) {
                 over();
             }
@@ -125,7 +125,7 @@
     /** Whether the answer is still due after so many ms, or a little earlier. */
     private synchronized boolean isBusyAfter(long ms) throws InterruptedIOException {
         if (state == State.BUSY) {
-            Waits.atMost(this, ms);
+            MonitorWaits.atMost(this, ms);
         }
         return state == State.BUSY;
     }
@@ -178,7 +178,7 @@
             if (head.hasToken("Expect", "100-continue") && !version.equals("HTTP/1.0") && !body.isFullyBuffered()) {
                 socket.getOutputStream().write(CONTINUE);
             }
-            held = bodies.held(body);
+            held = bodies.readReplayable(body);
         } catch (BadMessageException e) {
             lastRequest = true;         // where this message ends, and the next begins, nobody can say
             answer(Answers.plain(e.status, e.getMessage()));
@@ -201,12 +201,12 @@
         hasRoom = !counted || side.uploadBegins();
         try {
             if (!uploading) {
-                bodies.over();
+                bodies.finish();
             }
             handle(head, held, body.isComplete() ? null : body, side.deadlines().now());
             if (uploading && current != null) {
                 carry(current, body);
-                bodies.over();
+                bodies.finish();
             }
         } catch (BadMessageException e) {
             answer(Answers.plain(e.status, e.getMessage()));
@@ -215,7 +215,7 @@
             if (current == null) {
                 answer(Answers.plain(500, "failed"));
             } else if (current.claim()) {
-                current.ended(End.FAULTED);
+                current.recordEnd(End.FAULTED);
                 answer(Answers.plain(500, "failed"));
             }
         } finally {
@@ -237,66 +237,66 @@
 
     /** Carries the rest of a long request to the attempt that is out, until it is whole or the request is over. */
     private void carry(Exchange exchange, Body body) throws IOException {
-        byte[] piece = Pieces.take();
+        byte[] piece = BodyBuffers.acquire();
         boolean chunked = exchange.request.isChunked();
-        Progress.Moves moves = new Progress.Moves(side.deadlines(), STALL_US);
-        try (Progress stuck = new Progress(side.deadlines(), moves, () -> {
+        ProgressWatchdog.StallTimeout moves = new ProgressWatchdog.StallTimeout(side.deadlines(), STALL_US);
+        try (ProgressWatchdog stuck = new ProgressWatchdog(side.deadlines(), moves, () -> {
             if (bodies.isWaiting()) {
                 requestIsLate();
             } else {
-                side.conductor().cutStuck(exchange);
+                side.conductor().abortStalledUpload(exchange);
             }
         })) {
             Attempt attempt = null;
-            while (uploading && !exchange.isOver()) {
-                int read = Math.max(0, bodies.read(body, piece, Chunks.ROOM, Pieces.SIZE));
+            while (uploading && !exchange.isClaimed()) {
+                int read = Math.max(0, bodies.read(body, piece, ChunkedFraming.FRAMING_ROOM, BodyBuffers.PIECE_BYTES));
                 boolean last = body.isComplete();
                 uploading = !last;
                 // From the first piece on that is not held, no other attempt can follow: asked for once it is here.
                 while (attempt == null || !exchange.commit(attempt)) {
-                    attempt = exchange.awaitOpen();
+                    attempt = exchange.awaitReadyAttempt();
                     if (attempt == null) {
                         return;
                     }
                     presence.expect(side.deadlines().now(), last);
-                    if (!attempt.connection().beginFor()) {
+                    if (!attempt.connection().connectForUpload()) {
                         attempt = null;
                     }
                 }
                 if (last) {
                     input.expect(reader, true);     // it may have left while this thread was elsewhere
-                    if (!side.conductor().lastPiece(attempt)) {
+                    if (!side.conductor().beginFinalWrite(attempt)) {
                         return;
                     }
                 }
-                moves.moved();
-                Chunks.Span out = Chunks.span(piece, read, chunked, last);
-                if (!attempt.connection().carry(attempt, piece, out, last)) {
+                moves.progressed();
+                ChunkedFraming.Span out = ChunkedFraming.frameIfChunked(piece, read, chunked, last);
+                if (!attempt.connection().writePiece(attempt, piece, out, last)) {
                     return;
                 }
-                moves.moved();
+                moves.progressed();
                 if (last) {
-                    attempt.connection().carried(true);
+                    attempt.connection().uploadEnded(true);
                 }
-                Pieces.gather(read, body, side.pauseMs());
+                BodyBuffers.pauseAfterPiece(read, body, side.pauseMs());
             }
         } catch (BadMessageException e) {
-            side.conductor().spoilt(exchange, Answers.plain(e.status, e.getMessage()));
+            side.conductor().rejectUpload(exchange, Answers.plain(e.status, e.getMessage()));
         } catch (EOFException e) {
             if (!late) {
                 side.conductor().clientLeft(exchange);
                 throw e;
             }
-            side.conductor().spoilt(exchange, Answers.tooLate());
+            side.conductor().rejectUpload(exchange, Answers.tooLate());
         } catch (IOException e) {
             side.conductor().clientLeft(exchange);
             throw e;
         } finally {
-            Pieces.give(piece);
+            BodyBuffers.release(piece);
             // Its end is reported by this thread, if it was this thread's to serve and the answer is not awaited yet.
             Attempt left = exchange.attempt();
             if (left != null && left.connection() != null) {
-                left.connection().carried(false);
+                left.connection().uploadEnded(false);
             }
         }
     }
@@ -318,11 +318,11 @@
             asked = true;
         }
         Exchange exchange = new Exchange(side.nextId(), this, request, side.counts());
-        exchange.dueBy(receivedUs + request.budgetUs());
+        exchange.setDeadline(receivedUs + request.budgetUs());
         LOG.fine(() -> "request " + Long.toHexString(callId) + " is " + exchange.id);
         current = exchange;
         if (side.isOver() && exchange.claim()) {
-            exchange.ended(End.THROTTLED);         // it never ran, and there is no time for it to
+            exchange.recordEnd(End.THROTTLED);         // it never ran, and there is no time for it to
             answer(Answers.refusal(0));
             return;
         }
@@ -377,8 +377,8 @@
         input.handOver();
         try {
             byte[] begun = Answers.begun(upstream, body, start, version, connectionField(true));
-            whole = new LongAnswer(socket, input, ending, side.deadlines(), side::pauseMs)
-                    .pass(begun, start.length, body, Answers.isChunked(body, version), dueUs);
+            whole = new ResponseRelay(socket, input, ending, side.deadlines(), side::pauseMs)
+                    .relay(begun, start.length, body, Answers.isChunked(body, version), dueUs);
         } finally {
             if (!whole) {
                 LOG.fine(() -> "long answer to " + current.id + " broke off");
@@ -449,14 +449,14 @@
     /** Whether a request is in hand whose answer nobody has taken on. */
     boolean holds() {
         Exchange held = current;
-        return held != null && !held.isOver();
+        return held != null && !held.isClaimed();
     }
 
     /** There is no time left to wait for the answer to the request in hand: it fails, better told than cut off. */
     void failHeld() {
         Exchange held = current;
         if (held != null) {
-            side.conductor().spoilt(held, Answers.failure(504));
+            side.conductor().rejectUpload(held, Answers.failure(504));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -57,7 +57,7 @@
 
     private final Endpoints table;
     private final Facade facade;
-    private final UpstreamSide upstreams;
+    private final UpstreamPool upstreams;
     private final Sidecar.Memory memory;
     private final ListCallTiming clock;
     private final LongSupplier now;
@@ -77,7 +77,7 @@
     private boolean isEnded;
 
     /** {@code now}: microseconds, never backwards. */
-    DiscoveryClient(InetSocketAddress discovery, Endpoints table, Facade facade, UpstreamSide upstreams,
+    DiscoveryClient(InetSocketAddress discovery, Endpoints table, Facade facade, UpstreamPool upstreams,
             Sidecar.Memory memory, ListCallTiming clock, LongSupplier now, DiscoveryMetrics figures) {
         this.discovery = discovery;
         this.memory = memory;
@@ -168,7 +168,7 @@
             connection = null;
             notBeforeUs = NEVER;
             wholeListUs = NEVER;
-            table.moved();
+            table.discoveryMoved();
             clock.addressChanged();
         }
         facade.requestListNow();
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public synchronized void answered(DiscoveryConnection its, Endpoints.Update update, long receivedUs,
+    public synchronized void answered(DiscoveryConnection its, Endpoints.EndpointUpdate update, long receivedUs,
             boolean stays) {
         boolean isCurrent = isCurrent(its);
         Call call = isCurrent ? current : takeSuperseded(its);
@@ -336,10 +336,10 @@
     }
 
     /** Takes in an answer: the table first, which is asked at each write, then the module. */
-    private void apply(Endpoints.Update update, Call call, long receivedUs, boolean isCurrent) {
+    private void apply(Endpoints.EndpointUpdate update, Call call, long receivedUs, boolean isCurrent) {
         boolean wasRegressed = table.isRegressed();
         long known = table.revision();
-        Endpoints.Applied applied = table.apply(update, call.id(), receivedUs, clock.graceLeftUs(receivedUs));
+        Endpoints.ApplyResult applied = table.apply(update, call.id(), receivedUs, clock.graceLeftUs(receivedUs));
         if (table.isRegressed() && !wasRegressed) {
             LOG.log(Level.WARNING, "a list with version {0}, older than {1}: what it brings back does not count yet",
                     new Object[] {Long.toString(update.revision()), Long.toString(known)});
@@ -365,7 +365,7 @@
         }
     }
 
-    private void take(Endpoints.Applied applied, boolean isNews) {
+    private void take(Endpoints.ApplyResult applied, boolean isNews) {
         try {
             if (isNews) {
                 facade.applyListUpdate(applied.outcome().update());
@@ -374,9 +374,9 @@
             table.wantWholeList();
             throw e;
         } finally {
-            upstreams.closeIdle(applied.closed());
+            upstreams.closeIdle(applied.retired());
         }
-        memory.keep().accept(() -> Json.serialize(table.tree()));
+        memory.keep().accept(() -> Json.serialize(table.toJsonTree()));
     }
 
     private void tell(Result outcome, String source) {
@@ -396,7 +396,7 @@
         while (!superseded.isEmpty() && superseded.peek().closeAtUs() <= nowUs) {
             superseded.remove().connection().close();
         }
-        Endpoints.Applied applied = table.expire(nowUs);
+        Endpoints.ApplyResult applied = table.expire(nowUs);
         if (!applied.outcome().transitions().isEmpty()) {
             take(applied, true);
             tell(applied.outcome(), "nothing confirmed or denied it in time");
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -3,113 +3,116 @@
 import dapplequay.facade.RequestBodyState;
 import dapplequay.management.RequestCounts;
 
-/** One request of the client's, until its one answer. Whoever claims it first answers it, or drops it. */
+/** One client request until its only response. Whoever claims it first answers or drops it. */
 class Exchange {
     final long id;
-    final ClientConnection from;
+    final ClientConnection client;
     final ClientRequest request;
     private final RequestCounts counts;
-    private boolean over;
+    private boolean claimed;
     private boolean timedOut;
     private Attempt attempt;
     private boolean committed;
-    private boolean taken;
-    private volatile long dueUs;
+    private boolean received;
+    private volatile long deadlineUs;
 
-    /** Counts as taken from here on; a long one, once its last byte has come. */
-    Exchange(long id, ClientConnection from, ClientRequest request, RequestCounts counts) {
+    /** Counts the request as received now, or, for a long one, once its last byte has come. */
+    Exchange(long id, ClientConnection client, ClientRequest request, RequestCounts counts) {
         this.id = id;
-        this.from = from;
+        this.client = client;
         this.request = request;
         this.counts = counts;
         if (!request.isLong()) {
-            taken();
+            markReceived();
         }
     }
 
-    /** Has its client looked for where that may have left unseen: asked right before an attempt's first byte. */
-    void lookForClient() {
-        from.lookFor(this);
+    /** Checks whether the client is still connected; called right before the first byte of an attempt. */
+    void checkClientPresence() {
+        client.lookFor(this);
     }
 
-    /** It is here whole. */
-    synchronized void taken() {
-        if (!taken) {
-            taken = true;
+    /** Counts the request as received completely. */
+    synchronized void markReceived() {
+        if (!received) {
+            received = true;
             counts.accepted();
         }
     }
 
-    /** When its time ends, us; told again where a long one has become whole. */
-    void dueBy(long us) {
-        dueUs = us;
+    /** Sets the request's deadline, microseconds; set again when a long request has been received completely. */
+    void setDeadline(long newDeadlineUs) {
+        deadlineUs = newDeadlineUs;
     }
 
-    long dueUs() {
-        return dueUs;
+    long deadlineUs() {
+        return deadlineUs;
     }
 
-    /** Only who claimed it calls this, once. */
-    void ended(RequestCounts.End how) {
-        taken();
-        counts.ended(request.className(), how);
+    /** Counts the outcome; called once, by whoever claimed the exchange. */
+    void recordEnd(RequestCounts.End end) {
+        markReceived();
+        counts.ended(request.className(), end);
     }
 
-    /** True for one caller alone: that one answers. */
+    /** Returns true for the first caller only: that one must answer. */
     synchronized boolean claim() {
-        boolean first = !over;
-        over = true;
+        boolean first = !claimed;
+        claimed = true;
         notifyAll();
         return first;
     }
 
-    synchronized boolean isOver() {
-        return over;
+    synchronized boolean isClaimed() {
+        return claimed;
     }
 
-    /** The attempt that is out from now on; false if the client has left meanwhile, and nothing may go out. */
+    /** Sets the attempt in progress; returns false if the exchange is claimed and nothing may be sent. */
     synchronized boolean attach(Attempt next) {
-        if (over) {
+        if (claimed) {
             return false;
         }
         attempt = next;
         return true;
     }
 
-    /** Waits for the attempt that takes the rest of a long request; null once the exchange is over. */
-    synchronized Attempt awaitOpen() {
-        Waits.whileTrue(this, () -> !over && (attempt == null || !attempt.isOpen()));
-        return over ? null : attempt;
+    /** Waits for an attempt that is ready for the rest of a long request; null once the exchange is claimed. */
+    synchronized Attempt awaitReadyAttempt() {
+        MonitorWaits.whileTrue(this, () -> !claimed && (attempt == null || !attempt.isReadyForBody()));
+        return claimed ? null : attempt;
     }
 
-    /** More than is held goes to this attempt, and no other can follow; false where it has ended meanwhile. */
+    /**
+     * Called before more of a long request is sent than is kept for another attempt: none can follow. Returns false if
+     * this attempt has ended.
+     */
     synchronized boolean commit(Attempt to) {
-        committed |= !over && attempt == to;
-        return !over && attempt == to;
+        committed |= !claimed && attempt == to;
+        return !claimed && attempt == to;
     }
 
-    /** The attempt has ended; how far a long request was passed on by then. */
-    synchronized RequestBodyState attemptOver(Attempt ended) {
+    /** Called when the attempt has ended; returns how far a long request had been passed on. */
+    synchronized RequestBodyState detach(Attempt ended) {
         if (attempt == ended) {
             attempt = null;
         }
-        return committed ? RequestBodyState.STREAMING_UNREPLAYABLE
-                : request.isLong() ? RequestBodyState.STREAMING_REPLAYABLE : RequestBodyState.BUFFERED;
+        return committed ? RequestBodyState.STREAMING_UNREPLAYABLE : request.isLong()
+                ? RequestBodyState.STREAMING_REPLAYABLE : RequestBodyState.BUFFERED;
     }
 
-    /** Has those look again who wait for an attempt. */
-    synchronized void attemptOpened() {
+    /** Wakes the threads in {@link #awaitReadyAttempt}. */
+    synchronized void attemptReady() {
         notifyAll();
     }
 
-    /** The attempt now out, or null; asked for once the exchange is claimed, when none can follow. */
+    /** Returns the attempt in progress, or null; called once the exchange is claimed and none can follow. */
     synchronized Attempt attempt() {
         return attempt;
     }
 
-    /** What a failed answer says: that time ran out, or that the upstreams failed. */
-    synchronized void lastAttemptTimedOut(boolean so) {
-        timedOut = so;
+    /** Selects the status of a failure: timeout (504) or upstream failure (502). */
+    synchronized void lastAttemptTimedOut(boolean isTimeout) {
+        timedOut = isTimeout;
     }
 
     synchronized int failureStatus() {
--- a/sidecar/src/main/java/dapplequay/net/LoadText.java
+++ b/sidecar/src/main/java/dapplequay/net/LoadReportParser.java
@@ -4,24 +4,24 @@
 import dapplequay.http.BadMessageException;
 import dapplequay.http.Head;
 
-/** Reads {@code X-Load-Report}. */
-final class LoadText {
-    private LoadText() { }
+/** Parses the header {@code X-Load-Report}. */
+final class LoadReportParser {
+    private LoadReportParser() { }
 
     /**
-     * Null where there is no report. One that can't be read, or contradicts another, spoils no answer: it is
-     * passed over.
+     * Returns null if there is no report. A report that can't be parsed, or contradicts another, is ignored: the
+     * response stays valid.
      */
-    static HostLoad read(Head answer) {
+    static HostLoad parse(Head answer) {
         try {
-            return read(answer.get("X-Load-Report"));
+            return parse(answer.get("X-Load-Report"));
         } catch (BadMessageException e) {
             return null;
         }
     }
 
-    /** Null where there is no report; what is no number counts as not told. */
-    static HostLoad read(String text) {
+    /** Returns null for null; a value that is missing or no number becomes NaN. */
+    static HostLoad parse(String text) {
         if (text == null) {
             return null;
         }
--- /dev/null
+++ b/sidecar/src/main/java/dapplequay/net/RequestBodyReader.java
@@ -0,0 +1,75 @@
+package dapplequay.net;
+
+import dapplequay.http.Body;
+import dapplequay.http.MessageReader;
+import dapplequay.time.DeadlineQueue;
+import java.io.IOException;
+import java.util.Arrays;
+
+/** Reads the request bodies of one client connection, one after the other, and enforces a minimum rate. */
+final class RequestBodyReader {
+    /** Bytes kept of a body known to be long, so that another attempt can start if a host can't be reached. */
+    private static final int REPLAYABLE_BYTES = 8 * 1024;
+    private static final int INITIAL_BUFFER_BYTES = 2 * 1024;
+    /** Time allowed for a body in addition to its length at the minimum rate; only time spent waiting counts. */
+    private static final long BASE_ALLOWANCE_US = 1_500_000;
+    private static final long MIN_BYTES_PER_S = 48_000;
+
+    private final DeadlineQueue deadlines;
+    private final Runnable onTooSlow;
+    private volatile ProgressWatchdog.MinimumRate rate;
+    private ProgressWatchdog watchdog;
+
+    /** {@code onTooSlow} is called once the client has fallen behind the minimum rate. */
+    RequestBodyReader(DeadlineQueue deadlines, Runnable onTooSlow) {
+        this.deadlines = deadlines;
+        this.onTooSlow = onTooSlow;
+    }
+
+    /**
+     * Reads all of a short body, or the part of a long one that is kept for another attempt. The buffer grows as the
+     * body comes.
+     */
+    byte[] readReplayable(Body body) throws IOException {
+        int maxBytes = body.length() < 0 ? MessageReader.SHORT_BODY_BYTES
+                : body.length() > MessageReader.SHORT_BODY_BYTES ? REPLAYABLE_BYTES : (int) body.length();
+        byte[] buffer = new byte[Math.min(maxBytes, INITIAL_BUFFER_BYTES)];
+        int size = 0;
+        while (size < maxBytes && !body.isComplete()) {
+            if (size == buffer.length) {
+                buffer = Arrays.copyOf(buffer, Math.min(maxBytes, 2 * size));
+            }
+            size += Math.max(0, read(body, buffer, size, buffer.length - size));
+        }
+        return size == buffer.length ? buffer : Arrays.copyOf(buffer, size);
+    }
+
+    /** Reads up to {@code maxBytes} of the next bytes, as {@link Body#read} does. */
+    int read(Body body, byte[] to, int offset, int maxBytes) throws IOException {
+        if (body.isFullyBuffered()) {
+            return body.read(to, offset, maxBytes);
+        }
+        if (rate == null) {
+            rate = new ProgressWatchdog.MinimumRate(deadlines, BASE_ALLOWANCE_US, MIN_BYTES_PER_S);
+            watchdog = new ProgressWatchdog(deadlines, rate, onTooSlow);
+        }
+        rate.waitStarted();
+        int read = body.read(to, offset, maxBytes);
+        rate.waitEnded(Math.max(0, read));
+        return read;
+    }
+
+    /** Returns whether a thread waits for the client's next bytes; may be called by any thread. */
+    boolean isWaiting() {
+        ProgressWatchdog.MinimumRate current = rate;
+        return current != null && current.isWaiting();
+    }
+
+    /** Stops the watchdog: the body has ended, or is not read any further. */
+    void finish() {
+        if (rate != null) {
+            watchdog.close();
+            rate = null;
+        }
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
@@ -0,0 +1,175 @@
+package dapplequay.net;
+
+import dapplequay.facade.AttemptEnd;
+import dapplequay.facade.Decision;
+import dapplequay.facade.Facade;
+import dapplequay.facade.HostLoad;
+import dapplequay.facade.RequestBodyState;
+import dapplequay.facade.RequestInfo;
+import dapplequay.http.Body;
+import dapplequay.http.Head;
+import dapplequay.management.RequestCounts.End;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/** Carries out the decisions of the facade: sends attempts to upstreams and responses to clients. */
+class RequestDispatcher {
+    private static final Logger LOG = Logger.getLogger(RequestDispatcher.class.getName());
+
+    private final Facade facade;
+    private final UpstreamPool upstreams;
+    /** Attempts in progress, by the id of their exchange. */
+    private final Map<Long, Attempt> activeAttempts = new ConcurrentHashMap<>();
+
+    RequestDispatcher(Facade facade, UpstreamPool upstreams) {
+        this.facade = facade;
+        this.upstreams = upstreams;
+    }
+
+    void begin(Exchange exchange, RequestInfo call) {
+        runGuarded(exchange, () -> execute(exchange, facade.pick(exchange.id, call)));
+    }
+
+    private void execute(Exchange exchange, Decision decision) {
+        if (decision instanceof Decision.Send send) {
+            Attempt attempt = new Attempt(exchange, send, upstreams.now());
+            activeAttempts.put(exchange.id, attempt);
+            upstreams.send(attempt);
+        } else if (decision instanceof Decision.Refuse refuse && exchange.claim()) {
+            LOG.fine(() -> "refused " + exchange.id);
+            finish(exchange, End.THROTTLED, Answers.refusal(refuse.retryAfterUs()));
+        } else if (decision instanceof Decision.Fail && exchange.claim()) {
+            LOG.fine(() -> "failed " + exchange.id);
+            finish(exchange, End.FAULTED, Answers.failure(exchange.failureStatus()));
+        }
+    }
+
+    /** Sends the only response; called by whoever claimed the exchange. Counted before the client can see it. */
+    private static void finish(Exchange exchange, End end, Answers.Answer answer) {
+        exchange.recordEnd(end);
+        exchange.client.answer(answer);
+    }
+
+    /** Called when an attempt is no longer held back: from now on it is being connected or written. */
+    void attemptStarted(Attempt attempt) {
+        facade.attemptStarted(attempt.exchange.id);
+    }
+
+    /** Called when an attempt has ended; {@code load}, {@code head} and {@code body} are null without a response. */
+    void attemptEnded(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
+        Exchange exchange = attempt.exchange;
+        activeAttempts.remove(exchange.id, attempt);
+        RequestBodyState upload = exchange.detach(attempt);
+        if (LOG.isLoggable(Level.FINE)) {       // runs for each attempt: build the text only if it is logged
+            LOG.fine("attempt " + attempt.decision.host() + ' ' + end + ' ' + (upstreams.now() - attempt.startUs())
+                    + ' ' + attempt.connectionIdleUs() + ' ' + exchange.id);
+        }
+        runGuarded(exchange, () -> {
+            // A request that one host rejects as invalid would be rejected by any other.
+            boolean answersClient = (end == AttemptEnd.SERVED || end == AttemptEnd.NOT_ACCEPTED) && exchange.claim();
+            exchange.lastAttemptTimedOut(end == AttemptEnd.TIMED_OUT);
+            Decision next = facade.reportAttempt(exchange.id, attempt.decision.attempt(), attempt.decision.host(), end,
+                    attempt.durationUs(end, upstreams.now()), exchange.isClaimed(), load, upload);
+            if (answersClient) {
+                if (end == AttemptEnd.SERVED) {
+                    finish(exchange, End.FULFILLED, Answers.served(head, body));
+                } else {
+                    finish(exchange, End.FAULTED, Answers.plain(400, "not accepted"));
+                }
+            } else {
+                execute(exchange, next);
+            }
+        });
+    }
+
+    /**
+     * Relays a long response that has begun, and returns whether all of it reached the client. The decision module is
+     * told at once that the attempt was served, as only the transfer is left.
+     */
+    boolean relay(Attempt attempt, HostLoad load, Head head, Body body, byte[] start) {
+        Exchange exchange = attempt.exchange;
+        activeAttempts.remove(exchange.id, attempt);
+        RequestBodyState upload = exchange.detach(attempt);
+        boolean claimed = exchange.claim();
+        facade.reportAttempt(exchange.id, attempt.decision.attempt(), attempt.decision.host(), AttemptEnd.SERVED,
+                attempt.durationUs(AttemptEnd.SERVED, upstreams.now()), true, load, upload);
+        if (!claimed) {
+            return false;
+        }
+        boolean whole = false;
+        try {
+            whole = exchange.client.relay(head, body, start, exchange.deadlineUs());
+        } finally {
+            exchange.recordEnd(whole ? End.FULFILLED : End.FAULTED);
+        }
+        return whole;
+    }
+
+    /**
+     * Called when the last byte of a long request has come and is about to be sent: its deadline counts from now on.
+     * Returns false if the attempt has ended.
+     */
+    boolean beginFinalWrite(Attempt attempt) {
+        if (!upstreams.beginFinalWrite(attempt, attempt.exchange.request.budgetUs())) {
+            return false;
+        }
+        attempt.exchange.markReceived();
+        attempt.exchange.setDeadline(attempt.expiresAtUs());
+        facade.requestBodySent(attempt.exchange.id);
+        return true;
+    }
+
+    /** Aborts the attempt of a long request whose host has stopped reading. */
+    void abortStalledUpload(Exchange exchange) {
+        Attempt attempt = exchange.attempt();
+        if (attempt != null) {
+            attempt.abort(AttemptEnd.TIMED_OUT);
+        }
+    }
+
+    /** Answers a long request that can't continue through its client's fault, and gives up the attempt. */
+    void rejectUpload(Exchange exchange, Answers.Answer answer) {
+        giveUp(exchange, () -> finish(exchange, End.FAULTED, answer));
+    }
+
+    /** Aborts these attempts as silent; each is reported by the thread of its connection. */
+    void abort(List<Facade.AttemptCancellation> cuts) {
+        for (Facade.AttemptCancellation cut : cuts) {
+            Attempt attempt = activeAttempts.get(cut.id());
+            if (attempt != null && attempt.decision.attempt() == cut.attempt()) {
+                attempt.abort(AttemptEnd.SILENT);
+            }
+        }
+    }
+
+    /** Called when the client has disconnected: no response is sent, and the attempt in progress is given up. */
+    void clientLeft(Exchange exchange) {
+        giveUp(exchange, () -> exchange.recordEnd(End.FAULTED));
+    }
+
+    private void giveUp(Exchange exchange, Runnable end) {
+        if (exchange.claim()) {
+            end.run();
+            facade.clientGone(exchange.id);
+            Attempt attempt = exchange.attempt();
+            if (attempt != null) {
+                attempt.abort(AttemptEnd.GIVEN_UP);
+            }
+        }
+    }
+
+    /** Runs a step so that a bug in it neither leaves the client without a response nor ends the calling thread. */
+    private void runGuarded(Exchange exchange, Runnable step) {
+        try {
+            step.run();
+        } catch (RuntimeException e) {
+            LOG.log(Level.SEVERE, "exchange failed", e);
+            if (exchange.claim()) {
+                finish(exchange, End.FAULTED, Answers.failure(500));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/dapplequay/net/ResponseRelay.java
@@ -0,0 +1,117 @@
+package dapplequay.net;
+
+import dapplequay.http.Body;
+import dapplequay.http.MessageReader;
+import dapplequay.time.DeadlineQueue;
+import java.io.EOFException;
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.util.function.LongSupplier;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * Relays a long response as it comes, and no faster than the client reads it, on the thread that reads from the host.
+ * The read from the host times out every {@link #CHECK_INTERVAL_MS}: then the thread checks whether the client is still
+ * connected and whether the response is overdue.
+ */
+final class ResponseRelay {
+    private static final Logger LOG = Logger.getLogger(ResponseRelay.class.getName());
+    /** Read timeout for the host, after which the relay checks whether the response is still worth waiting for. */
+    static final int CHECK_INTERVAL_MS = 50;
+    /** How long after the request's deadline a response ends whose host has stalled; up to 0.5 s is allowed. */
+    private static final long STALLED_GRACE_US = 300_000;
+    /**
+     * Time without any progress after which a transfer is given up; peers may take seconds for a piece of a long body.
+     */
+    private static final long STALL_TIMEOUT_US = 10_000_000;
+
+    private final Socket client;
+    private final ClientInput clientInput;
+    private final OrderlyClose clientClose;
+    private final DeadlineQueue deadlines;
+    private final LongSupplier pauseMs;
+    private long hostProgressUs;
+    private long relayedBytes;
+
+    /** {@code pauseMs} is how long to pause after a piece in favour of other requests, milliseconds. */
+    ResponseRelay(Socket client, ClientInput clientInput, OrderlyClose clientClose, DeadlineQueue deadlines,
+            LongSupplier pauseMs) {
+        this.client = client;
+        this.clientInput = clientInput;
+        this.clientClose = clientClose;
+        this.deadlines = deadlines;
+        this.pauseMs = pauseMs;
+    }
+
+    /**
+     * Returns true if all of the response was relayed. If it fails, the client's connection is closed so that the
+     * client sees a truncated response: the body is shorter than its length, its last chunk is missing, or, if the body
+     * extends to the end of the connection, the connection is reset.
+     *
+     * @param start          the head and the first bytes of the body, as the client gets them
+     * @param startBodyBytes number of body bytes in {@code start}
+     * @param chunked        whether the client gets the body in chunks
+     * @param deadlineUs     the request's deadline, microseconds
+     */
+    boolean relay(byte[] start, int startBodyBytes, Body body, boolean chunked, long deadlineUs) {
+        byte[] piece = BodyBuffers.acquire();
+        ProgressWatchdog.StallTimeout stallTimeout = new ProgressWatchdog.StallTimeout(deadlines, STALL_TIMEOUT_US);
+        clientClose.breaksOff(body.length() < 0 && !chunked);
+        hostProgressUs = deadlines.now();
+        relayedBytes = startBodyBytes;
+        try (ProgressWatchdog watchdog = new ProgressWatchdog(deadlines, stallTimeout, clientClose::close)) {
+            client.getOutputStream().write(start);
+            while (!body.isComplete()) {
+                stallTimeout.progressed();
+                int read = readPiece(body, piece, stallTimeout, deadlineUs);
+                stallTimeout.progressed();
+                ChunkedFraming.Span framed = ChunkedFraming.frameIfChunked(piece, read, chunked, body.isComplete());
+                client.getOutputStream().write(piece, framed.from(), framed.length());
+                relayedBytes += read;
+                BodyBuffers.pauseAfterPiece(read, body, pauseMs.getAsLong());
+            }
+            clientClose.breaksOff(false);
+            return true;
+        } catch (IOException e) {
+            LOG.log(Level.FINE, "relay of a long response failed: {0}", e.toString());
+            clientClose.close();
+            return false;
+        } finally {
+            BodyBuffers.release(piece);
+        }
+    }
+
+    private int readPiece(Body body, byte[] piece, ProgressWatchdog.StallTimeout stallTimeout, long deadlineUs)
+            throws IOException {
+        while (true) {
+            try {
+                int read = Math.max(0, body.read(piece, ChunkedFraming.FRAMING_ROOM, BodyBuffers.PIECE_BYTES));
+                hostProgressUs = deadlines.now();
+                return read;
+            } catch (SocketTimeoutException e) {
+                if (!clientInput.isThere()) {
+                    throw new EOFException("client closed the connection");
+                }
+                if (isHostStalled(body, deadlineUs)) {
+                    throw new IOException("host stalled within the response");
+                }
+                stallTimeout.progressed();          // a stalled host is handled here; the watchdog is for the client
+            }
+        }
+    }
+
+    /**
+     * Returns whether the response is given up because its host has stalled. A slow client is no cause: what the host
+     * had sent meanwhile would have been read. For a body over 64 KiB only the first bytes are timed, and a body that
+     * makes progress may still complete.
+     */
+    private boolean isHostStalled(Body body, long deadlineUs) {
+        long now = deadlines.now();
+        boolean isTimed = relayedBytes <= (body.length() > MessageReader.SHORT_BODY_BYTES ? 0
+                : MessageReader.SHORT_BODY_BYTES);
+        return isTimed && hostProgressUs <= deadlineUs && now >= deadlineUs + STALLED_GRACE_US
+                || now - hostProgressUs >= STALL_TIMEOUT_US;
+    }
+}
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -51,14 +51,14 @@
     private final DeadlineQueue deadlines;
     private final Facade facade;
     private final Plan plan;
-    private final Conductor conductor;
+    private final RequestDispatcher conductor;
     private final Endpoints table;
     private final DiscoveryClient discovery;
     private final DiscoveryMetrics figures = new DiscoveryMetrics();
-    private final UpstreamSide upstreams;
+    private final UpstreamPool upstreams;
     private final RequestCounts counts = new RequestCounts();
     private final Lifetime lifetime;
-    private final Headroom headroom;
+    private final LongBodyThrottle headroom;
     private final ThreadReserve threads;
     private long lookedUs;
     private long usedUs;
@@ -153,13 +153,13 @@
         setup = plan.setup();
         facade = new Facade(setup, plan.seed(), clock, Sidecar::tell);
         lifetime = new Lifetime(clock);
-        headroom = new Headroom(plan.cores());
+        headroom = new LongBodyThrottle(plan.cores());
         threads = new ThreadReserve(clock);
         counts.addClasses(setup.classes().keySet());
         table = restored(plan, facade, memory.binds());
-        upstreams = new UpstreamSide(table, deadlines, () -> setup, plan.mostUpstreams(), counts, figures);
-        conductor = new Conductor(facade, upstreams);
-        upstreams.conductor(conductor);
+        upstreams = new UpstreamPool(table, deadlines, () -> setup, plan.mostUpstreams(), counts, figures);
+        conductor = new RequestDispatcher(facade, upstreams);
+        upstreams.setDispatcher(conductor);
         upstreams.onThreadShortage(threads::shortage);
         ListCallTiming listClock = new ListCallTiming(() -> setup.settings().discovery(),
                 new SplittableRandom(plan.seed()));
@@ -174,7 +174,7 @@
         Endpoints table = new Endpoints(!binds);
         List<ListUpdate.ServerEntry> lines = List.of();
         if (plan.known() != null) {
-            Endpoints.Update known = Endpoints.read(plan.known());
+            Endpoints.EndpointUpdate known = Endpoints.parse(plan.known());
             table.restore(known);
             lines = known.news().entries();
         }
@@ -293,7 +293,7 @@
     private void keepTime() {
         for (long turn = 0; ; turn++) {
             try {
-                conductor.cut(facade.tick());
+                conductor.abort(facade.tick());
                 deadlines.runExpired();
                 discovery.turn(deadlines.now());
                 threads.turn();
@@ -304,7 +304,7 @@
                 if (side != null) {
                     side.turn();
                 }
-                headroom.turn(deadlines.awaitNext(TURN_US));
+                headroom.recordWakeUp(deadlines.awaitNext(TURN_US));
                 lookAtHeadroom();
             } catch (InterruptedException e) {
                 return;
@@ -327,12 +327,12 @@
     /** Only while long bodies pass: nobody else gives way. */
     private void lookAtHeadroom() {
         long now = deadlines.now();
-        if (now - lookedUs < LOOK_US || !Pieces.areInUse()) {
+        if (now - lookedUs < LOOK_US || !BodyBuffers.areInUse()) {
             return;
         }
         long used = ProcessCpuTime.usedUs();
         if (now - lookedUs < 2 * LOOK_US) {
-            headroom.used(used - usedUs, now - lookedUs);
+            headroom.recordCpuUse(used - usedUs, now - lookedUs);
         }
         lookedUs = now;
         usedUs = used;
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -79,7 +79,7 @@
             Head answer = back.readResponseHead();
             byte[] body = back.readResponseBody(answer);
             facade.reportAttempt(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
-                    LoadText.read(answer));
+                    LoadReportParser.parse(answer));
             Answers.served(answer, body).bytes("");
             deadlines.cancel(deadline);
         }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -159,24 +159,25 @@
         Setup setup = SettingsReader.of(example.get("settings"), "example");
         Facade facade = new Facade(setup, 7, deadlines::now, line -> { });
         Endpoints table = new Endpoints();
-        Endpoints.Update known = Endpoints.read(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
+        Endpoints.EndpointUpdate known = Endpoints.parse(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
         table.restore(known);
         facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
         RequestCounts counts = new RequestCounts();
         counts.addClasses(setup.classes().keySet());
         lifetime = new Lifetime(deadlines::now);
-        UpstreamSide upstreams = new UpstreamSide(table, deadlines, () -> setup, 100, counts, new DiscoveryMetrics(),
+        UpstreamPool upstreams = new UpstreamPool(table, deadlines, () -> setup, 100, counts, new DiscoveryMetrics(),
                 sockets);
-        Conductor conductor = new Conductor(facade, upstreams);
-        upstreams.conductor(conductor);
+        RequestDispatcher conductor = new RequestDispatcher(facade, upstreams);
+        upstreams.setDispatcher(conductor);
         Door door = door(hooks, accepted);
-        side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime, new Headroom(1),
+        side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime,
+                new LongBodyThrottle(1),
                 most, crowd, 10, new ThreadReserve(deadlines::now));
         Host.daemon(side::run);
         lifetime.listening();
         Host.daemon(() -> {
             while (!closed) {
-                conductor.cut(facade.tick());
+                conductor.abort(facade.tick());
                 deadlines.runExpired();
                 if (tellsTurns) {
                     side.turn();
--- a/sidecar/src/test/java/dapplequay/net/UpstreamSideTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
@@ -2,12 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import dapplequay.facade.AttemptEnd;
 import dapplequay.facade.Decision;
 import dapplequay.facade.HostLoad;
-import dapplequay.facade.AttemptEnd;
 import dapplequay.http.Head;
-import dapplequay.management.RequestCounts;
 import dapplequay.management.DiscoveryMetrics;
+import dapplequay.management.RequestCounts;
 import dapplequay.settings.SettingsReader;
 import dapplequay.time.DeadlineQueue;
 import java.io.IOException;
@@ -25,22 +25,24 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-class UpstreamSideTest {
-    private static final SettingsReader.Setup SETUP = new SettingsReader.Setup(null, Map.of(), Map.of(), 10_000_000, 30_000_000);
+class UpstreamPoolTest {
+    private static final SettingsReader.Setup SETUP =
+            new SettingsReader.Setup(null, Map.of(), Map.of(), 10_000_000, 30_000_000);
 
-    private static void list(Endpoints table, int port, String state) {
+    private static void restoreList(Endpoints table, int port, String state) {
         try {
-            table.restore(Endpoints.read(("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"s1\",\"endpoint\":\"127.0.0.1:"
+            table.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,"
+                    + "\"targets\":[{\"uid\":\"s1\",\"endpoint\":\"127.0.0.1:"
                     + port + "\",\"az\":\"a\",\"state\":\"" + state + "\"}]}").getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private static UpstreamSide side(Endpoints table, DeadlineQueue deadlines, BlockingQueue<AttemptEnd> ends) {
-        UpstreamSide side = new UpstreamSide(table, deadlines, () -> SETUP, 10, new RequestCounts(),
+    private static UpstreamPool pool(Endpoints table, DeadlineQueue deadlines, BlockingQueue<AttemptEnd> ends) {
+        UpstreamPool pool = new UpstreamPool(table, deadlines, () -> SETUP, 10, new RequestCounts(),
                 new DiscoveryMetrics());
-        side.conductor(new Conductor(null, side) {
+        pool.setDispatcher(new RequestDispatcher(null, pool) {
             @Override
             void attemptStarted(Attempt attempt) { }
 
@@ -49,42 +51,42 @@
                 ends.add(end);
             }
         });
-        return side;
+        return pool;
     }
 
-    private static Attempt attempt(UpstreamSide side) throws IOException {
+    private static Attempt attempt(UpstreamPool pool) throws IOException {
         Head head = Head.parseRequest("POST /pay HTTP/1.1".getBytes(StandardCharsets.US_ASCII));
         ClientRequest request = new ClientRequest(head, new byte[0], null, "pay", null, null, 10_000_000);
-        return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), side.now());
+        return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), pool.now());
     }
 
-    /** What a host sends behind an answer would else be taken for the next one; a new connection costs the host. */
+    /** Else bytes after a response would count as the next response; a new connection would cost the host time. */
     @Test
-    void connectionRestsAfterAnAnswerBeforeItIsUsedAgain() throws Exception {
+    void connectionIsReusedOnlyAfterTheSettleTime() throws Exception {
         Endpoints table = new Endpoints();
         BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
-        List<Long> cameUs = new CopyOnWriteArrayList<>();
+        List<Long> receivedUs = new CopyOnWriteArrayList<>();
         try (Host host = new Host((head, seen) -> {
-            cameUs.add(System.nanoTime() / 1000);
+            receivedUs.add(System.nanoTime() / 1000);
             return Host.ok("done");
         })) {
-            list(table, host.port(), "SERVING");
-            UpstreamSide side = side(table, new DeadlineQueue(() -> System.nanoTime() / 1000), ends);
+            restoreList(table, host.port(), "SERVING");
+            UpstreamPool pool = pool(table, new DeadlineQueue(() -> System.nanoTime() / 1000), ends);
             List<Socket> used = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                side.send(attempt(side));
+                pool.send(attempt(pool));
                 assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
                 used.add(host.next().socket());
             }
-            assertThat(cameUs.get(1) - cameUs.get(0)).isGreaterThanOrEqualTo(UpstreamSide.REST_US);
-            assertThat(cameUs.get(2) - cameUs.get(1)).isGreaterThanOrEqualTo(UpstreamSide.REST_US);
+            assertThat(receivedUs.get(1) - receivedUs.get(0)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
+            assertThat(receivedUs.get(2) - receivedUs.get(1)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
             assertThat(used).containsOnly(used.get(0));
         }
     }
 
-    /** Each instance kept what its busiest moment had opened; hosts at their cap turned all others away. */
+    /** Instances kept all connections of their busiest moment; hosts at their limit then refused other instances. */
     @Test
-    void spareConnectionIsClosedSoonAndTheLastOneStays() throws Exception {
+    void spareConnectionIsClosedSoonAndTheLastOneIsKept() throws Exception {
         Endpoints table = new Endpoints();
         BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
         AtomicLong now = new AtomicLong(1_000_000);
@@ -94,14 +96,14 @@
             answers.acquire();
             return Host.ok("done");
         })) {
-            list(table, host.port(), "SERVING");
-            UpstreamSide side = side(table, deadlines, ends);
+            restoreList(table, host.port(), "SERVING");
+            UpstreamPool pool = pool(table, deadlines, ends);
             List<Socket> used = new ArrayList<>();
-            for (long pauseUs : new long[] {0, UpstreamSide.SPARE_US + 1}) {
+            for (long pauseUs : new long[] {0, UpstreamPool.SPARE_IDLE_US + 1}) {
                 now.addAndGet(pauseUs);
                 deadlines.runExpired();
-                for (int i = 0; i < 2; i++) {           // two at once
-                    side.send(attempt(side));
+                for (int i = 0; i < 2; i++) {           // two at a time
+                    pool.send(attempt(pool));
                     used.add(host.next().socket());
                 }
                 answers.release(2);
@@ -111,25 +113,25 @@
             }
             assertThat(used.get(1)).isNotSameAs(used.get(0));
             assertThat(used.get(2)).isIn(used.get(0), used.get(1));
-            assertThat(used.get(3)).as("the spare one is gone").isNotIn(used.get(0), used.get(1));
+            assertThat(used.get(3)).as("the spare connection was closed").isNotIn(used.get(0), used.get(1));
         }
     }
 
-    /** The connecting thread reads the clock between the pick and the connect: there the drain is told. */
+    /** The list changes when the connecting thread reads the clock, between the decision and the connect. */
     @Test
-    void attemptThatWaitedForItsConnectIsNotSentToAHostThatDrainsMeanwhile() throws Exception {
+    void attemptIsNotSentIfItsHostBeginsToDrainDuringTheConnect() throws Exception {
         Endpoints table = new Endpoints();
         BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
         try (Host host = new Host((head, seen) -> Host.ok("done"))) {
-            list(table, host.port(), "SERVING");
+            restoreList(table, host.port(), "SERVING");
             DeadlineQueue deadlines = new DeadlineQueue(() -> {
                 if (Thread.currentThread().getName().startsWith("upstream")) {
-                    list(table, host.port(), "DRAINING");
+                    restoreList(table, host.port(), "DRAINING");
                 }
                 return System.nanoTime() / 1000;
             });
-            UpstreamSide side = side(table, deadlines, ends);
-            side.send(attempt(side));
+            UpstreamPool pool = pool(table, deadlines, ends);
+            pool.send(attempt(pool));
             assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.NOT_SENT);
             assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
             assertThat(host.seen).isEmpty();
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -49,7 +49,7 @@
         }
 
         @Override
-        void lookForClient() { }
+        void checkClientPresence() { }
     }
 
     final AtomicLong now = new AtomicLong(1_000_000_000);
@@ -58,7 +58,7 @@
     /** The attempts that are held back no longer, in the order told. */
     final BlockingQueue<Attempt> started = new LinkedBlockingQueue<>();
     final DeadlineQueue deadlines = new DeadlineQueue(this::look);
-    final UpstreamSide side;
+    final UpstreamPool side;
     volatile Consumer<Ended> atEnd = ended -> { };
     /** When the listed hosts started, as the next list says. */
     long bootMs;
@@ -69,8 +69,8 @@
 
     UpstreamRig(int most) {
         SettingsReader.Setup setup = new SettingsReader.Setup(null, Map.of(), Map.of(), TIME_US, 3 * TIME_US);
-        side = new UpstreamSide(table, deadlines, () -> setup, most, new RequestCounts(), new DiscoveryMetrics());
-        side.conductor(new Conductor(null, side) {
+        side = new UpstreamPool(table, deadlines, () -> setup, most, new RequestCounts(), new DiscoveryMetrics());
+        side.setDispatcher(new RequestDispatcher(null, side) {
             @Override
             void attemptStarted(Attempt attempt) {
                 started.add(attempt);
@@ -114,7 +114,7 @@
                     + "\"boot_ms\":" + bootMs + ",\"state\":\"" + state + "\"}");
         }
         try {
-            table.restore(Endpoints.read(("{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}")
+            table.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}")
                     .getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new AssertionError(e);
