--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -151,7 +151,7 @@
             throw new EOFException("made room");
         }
         state = State.BUSY;
-        input.answerDue(true);
+        input.setResponseDue(true);
     }
 
     /** Ends the wait for the rest of a request; its thread finds the end of the stream and answers. */
@@ -181,14 +181,14 @@
             held = bodies.held(body);
         } catch (BadMessage e) {
             lastRequest = true;         // where this message ends, and the next begins, nobody can say
-            answer(Answers.plain(e.status, e.getMessage()));
+            writeResponse(ClientResponses.plainText(e.status, e.getMessage()));
             return;
         } catch (EOFException e) {
             if (!late) {
                 throw e;
             }
             lastRequest = true;
-            answer(Answers.tooLate());
+            writeResponse(ClientResponses.requestTimeout());
             return;
         } finally {
             side.deadlines().cancel(whole);
@@ -209,14 +209,14 @@
                 bodies.over();
             }
         } catch (BadMessage e) {
-            answer(Answers.plain(e.status, e.getMessage()));
+            writeResponse(ClientResponses.plainText(e.status, e.getMessage()));
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "request could not be handled", e);
             if (current == null) {
-                answer(Answers.plain(500, "failed"));
+                writeResponse(ClientResponses.plainText(500, "failed"));
             } else if (current.claim()) {
                 current.ended(End.FAULTED);
-                answer(Answers.plain(500, "failed"));
+                writeResponse(ClientResponses.plainText(500, "failed"));
             }
         } finally {
             if (counted) {
@@ -281,13 +281,13 @@
                 Pieces.gather(read, body, side.pauseMs());
             }
         } catch (BadMessage e) {
-            side.conductor().spoilt(exchange, Answers.plain(e.status, e.getMessage()));
+            side.conductor().spoilt(exchange, ClientResponses.plainText(e.status, e.getMessage()));
         } catch (EOFException e) {
             if (!late) {
                 side.conductor().clientLeft(exchange);
                 throw e;
             }
-            side.conductor().spoilt(exchange, Answers.tooLate());
+            side.conductor().spoilt(exchange, ClientResponses.requestTimeout());
         } catch (IOException e) {
             side.conductor().clientLeft(exchange);
             throw e;
@@ -303,7 +303,7 @@
 
     private void handle(Head head, byte[] held, Body rest, long receivedUs) throws IOException {
         if (head.start[1].equals("/healthz")) {
-            answer(head.start[0].equals("GET") ? side.health() : Answers.plain(405, "only GET"));
+            writeResponse(head.start[0].equals("GET") ? side.health() : ClientResponses.plainText(405, "only GET"));
             return;
         }
         ClientRequest request = ClientRequest.check(head, held, rest, side.setup());
@@ -323,7 +323,7 @@
         current = exchange;
         if (side.isOver() && exchange.claim()) {
             exchange.ended(End.THROTTLED);         // it never ran, and there is no time for it to
-            answer(Answers.refusal(0));
+            writeResponse(ClientResponses.refusal(0));
             return;
         }
         Call call = request.call(request.budgetUs() - (side.deadlines().now() - receivedUs));
@@ -331,7 +331,7 @@
     }
 
     /** Whether the answer in hand is this connection's last; one that comes while its request does, has to be. */
-    private boolean isLast() {
+    private boolean isLastResponse() {
         return lastRequest || uploading || input.isOverfull() || side.empties() || side.isCrowded();
     }
 
@@ -340,11 +340,11 @@
     }
 
     /** Writes the answer to the request in hand. Only who claimed the exchange may call this. */
-    void answer(Answers.Answer answer) {
-        boolean last = isLast();
+    void writeResponse(ClientResponses.Response response) {
+        boolean last = isLastResponse();
         Deadlines.Deadline stuck = side.deadlines().after(WRITE_US, this::close);
         try {
-            socket.getOutputStream().write(answer.bytes(connectionField(last)));
+            socket.getOutputStream().write(response.toBytes(connectionField(last)));
             if (last) {
                 ending.begin(uploading ? LONG_LINGER_US : LINGER_US);
             }
@@ -355,12 +355,12 @@
         } finally {
             side.deadlines().cancel(stuck);
         }
-        answered(last);
+        responseWritten(last);
     }
 
-    private synchronized void answered(boolean last) {
+    private synchronized void responseWritten(boolean last) {
         state = last ? State.CLOSED : State.IDLE;
-        input.answerDue(false);
+        input.setResponseDue(false);
         if (!last) {
             idleEnd = side.deadlines().after(IDLE_US, () -> side.idleForLong(this));
         }
@@ -372,25 +372,25 @@
      * The thread that reads this connection ends meanwhile: where a process is held to a share of a core each thread
      * costs some of that share, and long answers come many at once. This answer is the connection's last.
      */
-    boolean relay(Head upstream, Body body, byte[] start, long dueUs) {
+    boolean relayResponse(Head upstreamHead, Body body, byte[] start, long dueUs) {
         boolean whole = false;
         input.handOver();
         try {
-            byte[] begun = Answers.begun(upstream, body, start, version, connectionField(true));
+            byte[] responseStart = ClientResponses.streamStart(upstreamHead, body, start, version, connectionField(true));
             whole = new LongAnswer(socket, input, ending, side.deadlines(), side::pauseMs)
-                    .pass(begun, start.length, body, Answers.isChunked(body, version), dueUs);
+                    .pass(responseStart, start.length, body, ClientResponses.isChunked(body, version), dueUs);
         } finally {
             if (!whole) {
                 LOG.fine(() -> "long answer to " + current.id + " broke off");
             }
-            answered(true);
-            endAfterLong(whole);
+            responseWritten(true);
+            endAfterRelay(whole);
         }
         return whole;
     }
 
     /** Ended by the reading thread where that is still there; else one takes its place until the client closes too. */
-    private void endAfterLong(boolean whole) {
+    private void endAfterRelay(boolean whole) {
         if (whole) {
             ending.begin(LINGER_US);
         }
@@ -456,7 +456,7 @@
     void failHeld() {
         Exchange held = current;
         if (held != null) {
-            side.conductor().spoilt(held, Answers.failure(504));
+            side.conductor().spoilt(held, ClientResponses.failure(504));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/ClientInput.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientInput.java
@@ -41,7 +41,7 @@
     private long heardUs;
     private volatile long spiltBytes;
     private volatile boolean isInHand;
-    private volatile boolean answerDue;
+    private volatile boolean isResponseDue;
     private volatile boolean gone;
     private boolean looks;
     /** This and the next: under this object's own lock. */
@@ -79,7 +79,7 @@
     private int await(byte[] into, int from, int length) throws IOException {
         while (true) {
             checkOwn();
-            socket.setSoTimeout(answerDue ? OWN_MS : 0);
+            socket.setSoTimeout(isResponseDue ? OWN_MS : 0);
             try {
                 return receive(into, from, length);
             } catch (SocketTimeoutException e) {
@@ -108,8 +108,8 @@
     }
 
     /** Whether an answer is due: the reading may be handed over then alone, and its thread waits accordingly. */
-    void answerDue(boolean so) {
-        answerDue = so;
+    void setResponseDue(boolean due) {
+        isResponseDue = due;
     }
 
     /** The reading is the caller's, from the moment on at which the reading thread has left. */
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientSide.java
@@ -146,8 +146,8 @@
         return lifetime.empties();
     }
 
-    Answers.Answer health() {
-        return lifetime.wantsClients() ? Answers.plain(200, "ok") : Answers.plain(503, "takes no clients");
+    ClientResponses.Response health() {
+        return lifetime.wantsClients() ? ClientResponses.plainText(200, "ok") : ClientResponses.plainText(503, "takes no clients");
     }
 
     /** Accepts until the door is shut; whatever else goes wrong, the next connection is tried. */
--- a/sidecar/src/main/java/dapplequay/net/Conductor.java
+++ b/sidecar/src/main/java/dapplequay/net/Conductor.java
@@ -40,17 +40,17 @@
             upstreams.send(attempt);
         } else if (decision instanceof Decision.Refuse refuse && exchange.claim()) {
             LOG.fine(() -> "refused " + exchange.id);
-            finish(exchange, End.THROTTLED, Answers.refusal(refuse.pauseUs()));
+            finish(exchange, End.THROTTLED, ClientResponses.refusal(refuse.pauseUs()));
         } else if (decision instanceof Decision.Fail && exchange.claim()) {
             LOG.fine(() -> "failed " + exchange.id);
-            finish(exchange, End.FAULTED, Answers.failure(exchange.failureStatus()));
+            finish(exchange, End.FAULTED, ClientResponses.failure(exchange.failureStatus()));
         }
     }
 
     /** The one answer, by who claimed it; it is counted before the client can see it. */
-    private static void finish(Exchange exchange, End how, Answers.Answer answer) {
+    private static void finish(Exchange exchange, End how, ClientResponses.Response answer) {
         exchange.ended(how);
-        exchange.from.answer(answer);
+        exchange.from.writeResponse(answer);
     }
 
     /** An attempt is held back no longer: it is connected for or written from now on. */
@@ -75,9 +75,9 @@
                     attempt.tookUs(end, upstreams.now()), exchange.isOver(), load, upload);
             if (serves) {
                 if (end == AttemptEnd.SERVED) {
-                    finish(exchange, End.FULFILLED, Answers.served(head, body));
+                    finish(exchange, End.FULFILLED, ClientResponses.fromUpstream(head, body));
                 } else {
-                    finish(exchange, End.FAULTED, Answers.plain(400, "not accepted"));
+                    finish(exchange, End.FAULTED, ClientResponses.plainText(400, "not accepted"));
                 }
             } else {
                 carryOut(exchange, next);
@@ -101,7 +101,7 @@
         }
         boolean whole = false;
         try {
-            whole = exchange.from.relay(head, body, start, exchange.dueUs());
+            whole = exchange.from.relayResponse(head, body, start, exchange.dueUs());
         } finally {
             exchange.ended(whole ? End.FULFILLED : End.FAULTED);
         }
@@ -130,7 +130,7 @@
     }
 
     /** The client is at fault for a long request that can't go on: it is told so, and the attempt is given up. */
-    void spoilt(Exchange exchange, Answers.Answer answer) {
+    void spoilt(Exchange exchange, ClientResponses.Response answer) {
         giveUp(exchange, () -> finish(exchange, End.FAULTED, answer));
     }
 
@@ -167,7 +167,7 @@
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "exchange failed", e);
             if (exchange.claim()) {
-                finish(exchange, End.FAULTED, Answers.failure(500));
+                finish(exchange, End.FAULTED, ClientResponses.failure(500));
             }
         }
     }
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -80,7 +80,7 @@
             byte[] body = back.responseBody(answer);
             facade.report(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
                     LoadText.read(answer));
-            Answers.served(answer, body).bytes("");
+            ClientResponses.fromUpstream(answer, body).toBytes("");
             deadlines.cancel(deadline);
         }
         facade.tick();
