--- a/sidecar/src/main/java/dapplequay/net/Attempt.java
+++ b/sidecar/src/main/java/dapplequay/net/Attempt.java
@@ -30,7 +30,7 @@
         this.order = order;
         this.startUs = startUs;
         untilUs = startUs + order.timeoutUs();
-        uploading = exchange.request.isLong();
+        uploading = exchange.request.isStreamed();
     }
 
     /** When it was decided on, or, where it had to wait for a connection to have rested, when that was over. */
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -301,17 +301,17 @@
         }
     }
 
-    private void handle(Head head, byte[] held, Body rest, long receivedUs) throws IOException {
+    private void handle(Head head, byte[] held, Body remainingBody, long receivedUs) throws IOException {
         if (head.start[1].equals("/healthz")) {
             writeResponse(head.start[0].equals("GET") ? side.health() : ClientResponses.plainText(405, "only GET"));
             return;
         }
-        ClientRequest request = ClientRequest.check(head, held, rest, side.setup());
-        if (rest == null) {
+        ClientRequest request = ClientRequest.parse(head, held, remainingBody, side.setup());
+        if (remainingBody == null) {
             presence.expect(receivedUs, true);
         }
         long callId = request.callId();
-        if (!side.isNewId(callId, receivedUs)) {
+        if (!side.registerCallId(callId, receivedUs)) {
             throw new BadMessage(409, "X-Call-Id of another request");
         }
         synchronized (this) {
@@ -326,8 +326,8 @@
             writeResponse(ClientResponses.refusal(0));
             return;
         }
-        Call call = request.call(request.budgetUs() - (side.deadlines().now() - receivedUs));
-        presence.away(exchange, rest == null, () -> side.conductor().begin(exchange, call));
+        Call call = request.toCall(request.budgetUs() - (side.deadlines().now() - receivedUs));
+        presence.away(exchange, remainingBody == null, () -> side.conductor().begin(exchange, call));
     }
 
     /** Whether the answer in hand is this connection's last; one that comes while its request does, has to be. */
--- a/sidecar/src/main/java/dapplequay/net/ClientRequest.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientRequest.java
@@ -17,13 +17,13 @@
  * all of a short one's; of a long one the part that is held, and {@code rest} is what is still to come (else null).
  * {@code about}: the key that hosts may remember, or null.
  */
-record ClientRequest(Head head, byte[] body, Body rest, String className, String tenant, String about,
+record ClientRequest(Head head, byte[] body, Body remainingBody, String className, String tenant, String objectKey,
                        long budgetUs) {
-    private static final List<String> REPLACED = List.of("host", "x-budget-ms");
-    private static final String ABOUT = "obj=";
-    private static final int LONGEST_ABOUT = 1_024;
+    private static final List<String> REPLACED_FIELDS = List.of("host", "x-budget-ms");
+    private static final String OBJECT_PARAMETER = "obj=";
+    private static final int MAX_OBJECT_PARAMETER_LENGTH = 1_024;
 
-    static ClientRequest check(Head head, byte[] body, Body rest, Setup setup) throws BadMessage {
+    static ClientRequest parse(Head head, byte[] body, Body remainingBody, Setup setup) throws BadMessage {
         String[] target = head.start[1].split("\\?", 2);
         String className = target[0].substring(1).split("/", 2)[0];
         Integer serviceClass = setup.classes().get(className);
@@ -34,7 +34,7 @@
         if (!head.start[0].equals(semantics == Semantics.RETRYABLE ? "GET" : "POST")) {
             throw new BadMessage(400, "wrong method for this class");
         }
-        if (semantics == Semantics.RETRYABLE && (rest != null || body.length > 0)) {
+        if (semantics == Semantics.RETRYABLE && (remainingBody != null || body.length > 0)) {
             throw new BadMessage(400, "a body with a class that is safe to repeat");
         }
         String key = head.get("Idempotency-Key");
@@ -51,23 +51,23 @@
         }
         // No client waits for longer than its class grants: a greater figure would hold an attempt for good, and
         // make all others look like later tries to the module.
-        long longestUs = setup.settings().classes().get(serviceClass).deadlineUs();
-        return new ClientRequest(head, body, rest, className, tenant(head, setup), about(target),
-                Math.min(Long.parseLong(budget) * 1000, longestUs));
+        long maxBudgetUs = setup.settings().classes().get(serviceClass).deadlineUs();
+        return new ClientRequest(head, body, remainingBody, className, tenant(head, setup), objectKey(target),
+                Math.min(Long.parseLong(budget) * 1000, maxBudgetUs));
     }
 
     /** What the request is about, as its query says; null where it does not. */
-    private static String about(String[] target) throws BadMessage {
-        String found = null;
+    private static String objectKey(String[] target) throws BadMessage {
+        String objectKey = null;
         for (String pair : target.length < 2 ? new String[0] : target[1].split("&")) {
-            if (pair.startsWith(ABOUT)) {
-                if (found != null || pair.length() == ABOUT.length() || pair.length() > LONGEST_ABOUT) {
+            if (pair.startsWith(OBJECT_PARAMETER)) {
+                if (objectKey != null || pair.length() == OBJECT_PARAMETER.length() || pair.length() > MAX_OBJECT_PARAMETER_LENGTH) {
                     throw new BadMessage(400, "obj is empty, too long or there twice");
                 }
-                found = pair.substring(ABOUT.length());
+                objectKey = pair.substring(OBJECT_PARAMETER.length());
             }
         }
-        return found;
+        return objectKey;
     }
 
     private static String tenant(Head head, Setup setup) throws BadMessage {
@@ -86,52 +86,52 @@
         return Long.parseUnsignedLong(head.get("X-Call-Id"), 16);
     }
 
-    Call call(long leftUs) throws BadMessage {
-        long hint = 0;
-        String info = head.get("X-Call-Info");
-        if (info != null) {
-            for (String pair : info.split(",")) {
+    Call toCall(long leftUs) throws BadMessage {
+        long estimateUs = 0;
+        String callInfo = head.get("X-Call-Info");
+        if (callInfo != null) {
+            for (String pair : callInfo.split(",")) {
                 if (pair.strip().matches("estimate_us=[0-9]{1,15}")) {
-                    hint = Long.parseLong(pair.strip().substring("estimate_us=".length()));
+                    estimateUs = Long.parseLong(pair.strip().substring("estimate_us=".length()));
                 }
             }
         }
-        return new Call(className, tenant, about, leftUs, hint,
-                "1".equals(head.get("X-Again")), isLong());
+        return new Call(className, tenant, objectKey, leftUs, estimateUs,
+                "1".equals(head.get("X-Again")), isStreamed());
     }
 
     /** Whether its body passes through, as it is too long to be held. */
-    boolean isLong() {
-        return rest != null;
+    boolean isStreamed() {
+        return remainingBody != null;
     }
 
     /** Whether the upstream gets its body in chunks, as nobody knows yet how long it is. */
     boolean isChunked() {
-        return rest != null && rest.length() < 0;
+        return remainingBody != null && remainingBody.length() < 0;
     }
 
     /**
      * The bytes for the upstream: as the client sent it, but for what concerns one connection alone. Of a long
      * request this is the beginning.
      */
-    byte[] bytesFor(InetSocketAddress endpoint, long leftUs) {
+    byte[] toBytes(InetSocketAddress endpoint, long leftUs) {
         StringBuilder out = new StringBuilder(512);
         out.append(head.start[0]).append(' ').append(head.start[1]).append(" HTTP/1.1\r\nHost: ")
                 .append(Sockets.text(endpoint)).append("\r\n");
-        head.passOn(out, REPLACED);
+        head.passOn(out, REPLACED_FIELDS);
         out.append("X-Budget-Ms: ").append(Math.max(1, leftUs / 1000)).append("\r\n");
         if (isChunked()) {
             out.append("Transfer-Encoding: chunked\r\n");
-            return message(out, Chunks.of(body));
+            return toMessage(out, Chunks.of(body));
         }
         if (body.length > 0 || !head.start[0].equals("GET")) {
-            out.append("Content-Length: ").append(isLong() ? rest.length() : body.length).append("\r\n");
+            out.append("Content-Length: ").append(isStreamed() ? remainingBody.length() : body.length).append("\r\n");
         }
-        return message(out, body);
+        return toMessage(out, body);
     }
 
     /** A whole message in one piece, so that it leaves in one write. */
-    static byte[] message(StringBuilder head, byte[] body) {
+    static byte[] toMessage(StringBuilder head, byte[] body) {
         byte[] text = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
         ByteArrayOutputStream out = new ByteArrayOutputStream(text.length + body.length);
         out.writeBytes(text);
--- a/sidecar/src/main/java/dapplequay/net/ClientResponses.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientResponses.java
@@ -25,7 +25,7 @@
         /** {@code connection}: what is said of the connection, with its line's end, or nothing. */
         byte[] toBytes(String connectionField) {
             head.append("Content-Length: ").append(body.length).append("\r\n").append(connectionField);
-            return ClientRequest.message(head, body);
+            return ClientRequest.toMessage(head, body);
         }
     }
 
@@ -49,7 +49,7 @@
         } else if (!httpVersion.equals("HTTP/1.0")) {
             head.append("Transfer-Encoding: chunked\r\n");
         }
-        return ClientRequest.message(head.append(connectionField), isChunked(body, httpVersion)
+        return ClientRequest.toMessage(head.append(connectionField), isChunked(body, httpVersion)
                 ? Chunks.of(bodyStart) : bodyStart);
     }
 
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientSide.java
@@ -50,7 +50,7 @@
     private final Door door;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private final CallIds callIds = new CallIds();
+    private final RecentCallIds recentCallIds = new RecentCallIds();
     private final Counts counts;
     private final Lifetime lifetime;
     private volatile boolean isOver;
@@ -92,8 +92,8 @@
     }
 
     /** Whether no request of late has this id. */
-    boolean isNewId(long callId, long nowUs) {
-        return callIds.isNew(callId, nowUs, 2 * setup().longestDeadlineUs());
+    boolean registerCallId(long callId, long nowUs) {
+        return recentCallIds.addIfNew(callId, nowUs, 2 * setup().longestDeadlineUs());
     }
 
     long nextId() {
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -22,7 +22,7 @@
         this.from = from;
         this.request = request;
         this.counts = counts;
-        if (!request.isLong()) {
+        if (!request.isStreamed()) {
             taken();
         }
     }
@@ -93,7 +93,7 @@
         if (attempt == ended) {
             attempt = null;
         }
-        return committed ? Upload.PASSED_ON : request.isLong() ? Upload.COMING : Upload.NONE;
+        return committed ? Upload.PASSED_ON : request.isStreamed() ? Upload.COMING : Upload.NONE;
     }
 
     /** Has those look again who wait for an attempt. */
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -119,7 +119,7 @@
     Begin write(Attempt now) {
         now.exchange.lookForClient();       // first, as it may take its time
         ClientRequest request = now.exchange.request;
-        byte[] message = request.bytesFor(endpoint.address(), now.untilUs() - side.now());
+        byte[] message = request.toBytes(endpoint.address(), now.untilUs() - side.now());
         if (!side.mayBegin(now, endpoint)) {
             return Begin.STOPPED;
         }
@@ -130,7 +130,7 @@
         boolean begins = false;
         try {
             socket.getOutputStream().write(message);
-            begins = request.isLong();
+            begins = request.isStreamed();
             whole = !begins;
         } catch (IOException e) {
             LOG.log(Level.FINE, "attempt could not be written to {0}: {1}", new Object[] {endpoint.address(), e});
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -69,12 +69,12 @@
         MessageReader in = reader(requestText(number));
         in.await();
         Head head = in.request();
-        ClientRequest request = ClientRequest.check(head, in.requestBody(head), null, setup);
+        ClientRequest request = ClientRequest.parse(head, in.requestBody(head), null, setup);
         long id = facade.nextId();
-        Decision decision = facade.pick(id, request.call(request.budgetUs()));
+        Decision decision = facade.pick(id, request.toCall(request.budgetUs()));
         if (decision instanceof Decision.Send send) {
             Deadlines.Deadline deadline = deadlines.after(send.timeoutUs(), () -> { });
-            request.bytesFor(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), send.timeoutUs());
+            request.toBytes(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), send.timeoutUs());
             MessageReader back = reader(ANSWER);
             Head answer = back.response();
             byte[] body = back.responseBody(answer);
