--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -46,7 +46,7 @@
     /** READING: a request has begun to come; BUSY: it is whole and its answer is due. */
     private enum State { IDLE, READING, BUSY, CLOSED }
 
-    private final ClientSide side;
+    private final ClientListener listener;
     private final Socket socket;
     private final OrderlyClose ending;
     private final BodyReader bodies;
@@ -64,13 +64,13 @@
     private volatile Presence presence;
     private volatile Exchange current;
 
-    ClientConnection(ClientSide side, Socket socket) {
-        this.side = side;
+    ClientConnection(ClientListener listener, Socket socket) {
+        this.listener = listener;
         this.socket = socket;
-        ending = new OrderlyClose(socket, side.deadlines());
-        bodies = new BodyReader(side.deadlines(), this::requestIsLate);
-        sinceUs = side.deadlines().now();
-        idleEnd = side.deadlines().after(IDLE_US, () -> side.idleForLong(this));
+        ending = new OrderlyClose(socket, listener.deadlines());
+        bodies = new BodyReader(listener.deadlines(), this::requestIsLate);
+        sinceUs = listener.deadlines().now();
+        idleEnd = listener.deadlines().after(IDLE_US, () -> listener.idleForLong(this));
     }
 
     void close() {
@@ -80,18 +80,18 @@
     private void over() {
         close();
         synchronized (this) {
-            side.deadlines().cancel(idleEnd);
+            listener.deadlines().cancel(idleEnd);
         }
-        side.ended(this);
+        listener.ended(this);
     }
 
     @Override
     public void run() {
         try {
             socket.setTcpNoDelay(true);
-            input = new ClientInput(socket, side.deadlines()::now);
+            input = new ClientInput(socket, listener.deadlines()::now);
             reader = new MessageReader(input, MessageReader.LONGEST_BODY);
-            presence = new Presence(side, input, reader);
+            presence = new Presence(listener, input, reader);
             while (reader.awaitRequest() && beginRequest()) {
                 readRequest();
             }
@@ -102,7 +102,7 @@
             if (current != null) {
                 LOG.fine(() -> "client of " + current.id + " is gone, " + state
                         + (current.isOver() ? "" : ", unanswered"));
-                side.conductor().clientLeft(current);
+                listener.conductor().clientLeft(current);
             }
             bodies.over();
             if (input == null || !input.leave()) {
@@ -140,7 +140,7 @@
             return false;
         }
         state = State.READING;
-        side.deadlines().cancel(idleEnd);
+        listener.deadlines().cancel(idleEnd);
         current = null;
         return true;
     }
@@ -165,14 +165,14 @@
     }
 
     private void readRequest() throws IOException {
-        Deadlines.Deadline whole = side.deadlines().after(HEAD_US, this::requestIsLate);
+        Deadlines.Deadline whole = listener.deadlines().after(HEAD_US, this::requestIsLate);
         Head head;
         Body body;
         byte[] held;
         try {
             version = "HTTP/1.1";
             head = reader.request();
-            side.deadlines().cancel(whole);
+            listener.deadlines().cancel(whole);
             version = head.start[2];
             body = reader.body(head);
             if (head.lists("Expect", "100-continue") && !version.equals("HTTP/1.0") && !body.isBuffered()) {
@@ -191,19 +191,19 @@
             writeResponse(ClientResponses.requestTimeout());
             return;
         } finally {
-            side.deadlines().cancel(whole);
+            listener.deadlines().cancel(whole);
         }
         requestIsWhole();
         // An answer to HEAD ends after its head, whatever length it names: not a method that is served here.
         lastRequest = head.closes(version) || head.start[0].equals("HEAD");
         uploading = !body.isWhole();
         boolean counted = uploading;
-        hasRoom = !counted || side.uploadBegins();
+        hasRoom = !counted || listener.uploadBegins();
         try {
             if (!uploading) {
                 bodies.over();
             }
-            handle(head, held, body.isWhole() ? null : body, side.deadlines().now());
+            handle(head, held, body.isWhole() ? null : body, listener.deadlines().now());
             if (uploading && current != null) {
                 carry(current, body);
                 bodies.over();
@@ -220,7 +220,7 @@
             }
         } finally {
             if (counted) {
-                side.uploadEnds();
+                listener.uploadEnds();
             }
         }
     }
@@ -239,12 +239,12 @@
     private void carry(Exchange exchange, Body body) throws IOException {
         byte[] piece = Pieces.take();
         boolean chunked = exchange.request.isChunked();
-        Progress.Moves moves = new Progress.Moves(side.deadlines(), STALL_US);
-        try (Progress stuck = new Progress(side.deadlines(), moves, () -> {
+        Progress.Moves moves = new Progress.Moves(listener.deadlines(), STALL_US);
+        try (Progress stuck = new Progress(listener.deadlines(), moves, () -> {
             if (bodies.isWaiting()) {
                 requestIsLate();
             } else {
-                side.conductor().cutStuck(exchange);
+                listener.conductor().cutStuck(exchange);
             }
         })) {
             Attempt attempt = null;
@@ -258,14 +258,14 @@
                     if (attempt == null) {
                         return;
                     }
-                    presence.expect(side.deadlines().now(), last);
+                    presence.expect(listener.deadlines().now(), last);
                     if (!attempt.connection().beginFor()) {
                         attempt = null;
                     }
                 }
                 if (last) {
                     input.expect(reader, true);     // it may have left while this thread was elsewhere
-                    if (!side.conductor().lastPiece(attempt)) {
+                    if (!listener.conductor().lastPiece(attempt)) {
                         return;
                     }
                 }
@@ -278,18 +278,18 @@
                 if (last) {
                     attempt.connection().carried(true);
                 }
-                Pieces.gather(read, body, side.pauseMs());
+                Pieces.gather(read, body, listener.pauseMs());
             }
         } catch (BadMessage e) {
-            side.conductor().spoilt(exchange, ClientResponses.plainText(e.status, e.getMessage()));
+            listener.conductor().spoilt(exchange, ClientResponses.plainText(e.status, e.getMessage()));
         } catch (EOFException e) {
             if (!late) {
-                side.conductor().clientLeft(exchange);
+                listener.conductor().clientLeft(exchange);
                 throw e;
             }
-            side.conductor().spoilt(exchange, ClientResponses.requestTimeout());
+            listener.conductor().spoilt(exchange, ClientResponses.requestTimeout());
         } catch (IOException e) {
-            side.conductor().clientLeft(exchange);
+            listener.conductor().clientLeft(exchange);
             throw e;
         } finally {
             Pieces.give(piece);
@@ -303,36 +303,36 @@
 
     private void handle(Head head, byte[] held, Body remainingBody, long receivedUs) throws IOException {
         if (head.start[1].equals("/healthz")) {
-            writeResponse(head.start[0].equals("GET") ? side.health() : ClientResponses.plainText(405, "only GET"));
+            writeResponse(head.start[0].equals("GET") ? listener.health() : ClientResponses.plainText(405, "only GET"));
             return;
         }
-        ClientRequest request = ClientRequest.parse(head, held, remainingBody, side.setup());
+        ClientRequest request = ClientRequest.parse(head, held, remainingBody, listener.setup());
         if (remainingBody == null) {
             presence.expect(receivedUs, true);
         }
         long callId = request.callId();
-        if (!side.registerCallId(callId, receivedUs)) {
+        if (!listener.registerCallId(callId, receivedUs)) {
             throw new BadMessage(409, "X-Call-Id of another request");
         }
         synchronized (this) {
             asked = true;
         }
-        Exchange exchange = new Exchange(side.nextId(), this, request, side.counts());
+        Exchange exchange = new Exchange(listener.nextId(), this, request, listener.counts());
         exchange.dueBy(receivedUs + request.budgetUs());
         LOG.fine(() -> "request " + Long.toHexString(callId) + " is " + exchange.id);
         current = exchange;
-        if (side.isOver() && exchange.claim()) {
+        if (listener.isOver() && exchange.claim()) {
             exchange.ended(End.THROTTLED);         // it never ran, and there is no time for it to
             writeResponse(ClientResponses.refusal(0));
             return;
         }
-        Call call = request.toCall(request.budgetUs() - (side.deadlines().now() - receivedUs));
-        presence.away(exchange, remainingBody == null, () -> side.conductor().begin(exchange, call));
+        Call call = request.toCall(request.budgetUs() - (listener.deadlines().now() - receivedUs));
+        presence.away(exchange, remainingBody == null, () -> listener.conductor().begin(exchange, call));
     }
 
     /** Whether the answer in hand is this connection's last; one that comes while its request does, has to be. */
     private boolean isLastResponse() {
-        return lastRequest || uploading || input.isOverfull() || side.empties() || side.isCrowded();
+        return lastRequest || uploading || input.isOverfull() || listener.empties() || listener.isCrowded();
     }
 
     private String connectionField(boolean last) {
@@ -342,7 +342,7 @@
     /** Writes the answer to the request in hand. Only who claimed the exchange may call this. */
     void writeResponse(ClientResponses.Response response) {
         boolean last = isLastResponse();
-        Deadlines.Deadline stuck = side.deadlines().after(WRITE_US, this::close);
+        Deadlines.Deadline stuck = listener.deadlines().after(WRITE_US, this::close);
         try {
             socket.getOutputStream().write(response.toBytes(connectionField(last)));
             if (last) {
@@ -353,7 +353,7 @@
             last = true;
             close();
         } finally {
-            side.deadlines().cancel(stuck);
+            listener.deadlines().cancel(stuck);
         }
         responseWritten(last);
     }
@@ -362,7 +362,7 @@
         state = last ? State.CLOSED : State.IDLE;
         input.setResponseDue(false);
         if (!last) {
-            idleEnd = side.deadlines().after(IDLE_US, () -> side.idleForLong(this));
+            idleEnd = listener.deadlines().after(IDLE_US, () -> listener.idleForLong(this));
         }
         notifyAll();
     }
@@ -377,7 +377,7 @@
         input.handOver();
         try {
             byte[] responseStart = ClientResponses.streamStart(upstreamHead, body, start, version, connectionField(true));
-            whole = new LongAnswer(socket, input, ending, side.deadlines(), side::pauseMs)
+            whole = new LongAnswer(socket, input, ending, listener.deadlines(), listener::pauseMs)
                     .pass(responseStart, start.length, body, ClientResponses.isChunked(body, version), dueUs);
         } finally {
             if (!whole) {
@@ -419,7 +419,7 @@
     /** It has rested for too long; what has just come, and may be no request, is waited for once more. */
     synchronized void restedTooLong(long lingerUs) {
         if (!closeIfIdle(lingerUs) && state == State.IDLE) {
-            idleEnd = side.deadlines().after(lingerUs, () -> side.idleForLong(this));
+            idleEnd = listener.deadlines().after(lingerUs, () -> listener.idleForLong(this));
         }
     }
 
@@ -456,13 +456,13 @@
     void failHeld() {
         Exchange held = current;
         if (held != null) {
-            side.conductor().spoilt(held, ClientResponses.failure(504));
+            listener.conductor().spoilt(held, ClientResponses.failure(504));
         }
     }
 
     /** The same where the sidecar is being emptied: one that has just come is given the time to ask. */
     synchronized void closeToEmpty(long lingerUs) {
-        if (asked || side.deadlines().now() - sinceUs >= FRESH_US) {
+        if (asked || listener.deadlines().now() - sinceUs >= FRESH_US) {
             closeIfIdle(lingerUs);
         }
     }
@@ -480,7 +480,7 @@
         if (!isStranger()) {
             return false;
         }
-        long ageUs = side.deadlines().now() - sinceUs;
+        long ageUs = listener.deadlines().now() - sinceUs;
         boolean waits = state == State.READING && !flood || hasUnread();
         if (ageUs < (waits ? HALF_US : STRANGER_US) || isInHand()) {
             return false;           // what is in hand may be a whole request
--- a/sidecar/src/main/java/dapplequay/net/ClientSide.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientListener.java
@@ -20,8 +20,8 @@
 import java.util.logging.Logger;
 
 /** The listener, and the client's connections. */
-final class ClientSide implements Runnable {
-    private static final Logger LOG = Logger.getLogger(ClientSide.class.getName());
+final class ClientListener implements Runnable {
+    private static final Logger LOG = Logger.getLogger(ClientListener.class.getName());
     private static final long PAUSE_MS = 20;
     /** The accepting thread leaves a door that was shut at once; were it stuck, the ending must not be. */
     private static final long STOP_MS = 500;
@@ -47,7 +47,7 @@
     private final int crowd;
     private final int mostUploads;
     private final AtomicInteger uploads = new AtomicInteger();
-    private final Door door;
+    private final ListeningSocket listeningSocket;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final RecentCallIds recentCallIds = new RecentCallIds();
@@ -62,11 +62,11 @@
     /** How many there may be at present: fewer than {@link #most} after threads were short. Under the lock. */
     private int bound;
 
-    ClientSide(Door door, Supplier<Setup> setup, Facade facade, Conductor conductor,
+    ClientListener(ListeningSocket listeningSocket, Supplier<Setup> setup, Facade facade, Conductor conductor,
                  Deadlines deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int most,
                  int crowd, int mostUploads, ThreadReserve threads) {
         this.mostUploads = mostUploads;
-        this.door = door;
+        this.listeningSocket = listeningSocket;
         this.setup = setup;
         this.facade = facade;
         this.conductor = conductor;
@@ -83,7 +83,7 @@
     }
 
     InetSocketAddress address() {
-        return door.address();
+        return listeningSocket.address();
     }
 
     /** The settings of the moment. */
@@ -161,21 +161,21 @@
     }
 
     private void acceptAll() {
-        while (!door.isShut()) {
+        while (!listeningSocket.isStopped()) {
             Socket socket = null;
             try {
                 awaitRoom();
                 if (leavesCrowd()) {
-                    door.shut();
+                    listeningSocket.stopAccepting();
                     return;
                 }
-                socket = door.accept();
+                socket = listeningSocket.accept();
                 if (socket == null) {
                     return;
                 }
                 if (leavesCrowd()) {
                     Sockets.close(socket);
-                    door.shut();
+                    listeningSocket.stopAccepting();
                     return;
                 }
                 ClientConnection connection = new ClientConnection(this, socket);
@@ -185,7 +185,7 @@
                 start(connection);
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
                 // Out of descriptors, threads or memory: others are about to end and give theirs back.
-                if (!door.isShut()) {
+                if (!listeningSocket.isStopped()) {
                     Sockets.close(socket);
                     LOG.log(Level.SEVERE, "connection could not be accepted: {0}", e.toString());
                     pause();
@@ -251,7 +251,7 @@
             return;
         }
         long sinceUs = deadlines.now();
-        while (connections.size() >= bound && !door.isShut()) {
+        while (connections.size() >= bound && !listeningSocket.isStopped()) {
             boolean someAreEnding = false;
             for (ClientConnection connection : connections) {
                 someAreEnding |= connection.hurry(SHORT_LINGER_US);
@@ -304,11 +304,11 @@
      * accepted until then is among its connections when this returns.
      */
     boolean handsOver() throws InterruptedException {
-        if (!door.isShared()) {
-            door.endsSoon();
+        if (!listeningSocket.isShared()) {
+            listeningSocket.prepareToStop();
             return false;
         }
-        door.shut();
+        listeningSocket.stopAccepting();
         stopped.await(STOP_MS, TimeUnit.MILLISECONDS);
         return true;
     }
@@ -329,12 +329,12 @@
     void awaitEmpty(long lateUs, long untilUs, long closedUs) throws InterruptedException {
         if (!isEmptyBy(lateUs, untilUs) || !hasLetInAll(untilUs) || !isEmptyBy(lateUs, untilUs)) {
             isOver = true;          // before those that are held are gone over: each is seen here or sees this
-            left().stream().filter(ClientConnection::holds).forEach(ClientSide::fail);
+            left().stream().filter(ClientConnection::holds).forEach(ClientListener::fail);
             if (hasLetInAll(closedUs)) {
                 isEmptyBy(lateUs, closedUs);
             }
         }
-        door.shut();
+        listeningSocket.stopAccepting();
         // The exit would close them in the same way, but only once threads that sit in their reads were waited for.
         left().forEach(ClientConnection::close);
     }
@@ -352,7 +352,7 @@
 
     /** Has the door shut behind whoever waits there; true once all of these are among the connections. */
     private boolean hasLetInAll(long untilUs) throws InterruptedException {
-        door.shutOnceEmpty();
+        listeningSocket.stopOnceQueueEmpty();
         return stopped.await(Math.max(0, untilUs - deadlines.now()), TimeUnit.MICROSECONDS);
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Door.java
+++ b/sidecar/src/main/java/dapplequay/net/ListeningSocket.java
@@ -14,10 +14,10 @@
 import java.nio.channels.SocketChannel;
 
 /** Where clients come in: a listening socket, this process's own or one that it shares with its successor. */
-interface Door {
+interface ListeningSocket {
     /** Opens it; IOException where it is not to be had. */
     interface Opener {
-        Door open() throws IOException;
+        ListeningSocket open() throws IOException;
     }
 
     InetSocketAddress address();
@@ -29,37 +29,37 @@
     boolean isShared();
 
     /** No connection is accepted any more; those that wait are left to whom else the door belongs. */
-    void shut();
+    void stopAccepting();
 
     /** An end has been ordered: whoever waits at the door looks more often whether it is to be shut. */
-    void endsSoon();
+    void prepareToStop();
 
     /** {@link #shut}, but only once nobody waits any more: who waits already is still accepted, one after the other. */
-    void shutOnceEmpty();
+    void stopOnceQueueEmpty();
 
     /** True once it was shut. */
-    boolean isShut();
+    boolean isStopped();
 
     /** A door of this process alone: what the system has accepted before it is shut is this process's to answer. */
-    final class Own implements Door {
+    final class Owned implements ListeningSocket {
         private static final int BACKLOG = 1024;
 
         /** So often, ms, a thread that waits looks whether the door is to be shut, and so long where it is. */
-        private static final int LOOK_MS = 100;
-        private static final int ENDING_LOOK_MS = 20;
-        private static final int LAST_LOOK_MS = 1;
+        private static final int POLL_MS = 100;
+        private static final int ENDING_POLL_MS = 20;
+        private static final int LAST_POLL_MS = 1;
 
         private final ServerSocket listener;
-        private volatile int lookMs = LOOK_MS;
-        private volatile boolean isLast;
+        private volatile int pollMs = POLL_MS;
+        private volatile boolean stopsOnceQueueEmpty;
 
-        Own(InetSocketAddress listen) throws IOException {
+        Owned(InetSocketAddress listen) throws IOException {
             this(new ServerSocket());
             listener.bind(listen, BACKLOG);
         }
 
         /** With a listener that is bound, or is going to be. */
-        Own(ServerSocket listener) {
+        Owned(ServerSocket listener) {
             this.listener = listener;
         }
 
@@ -71,17 +71,17 @@
         @Override
         public Socket accept() throws IOException {
             while (true) {
-                boolean last = isLast;      // asked first: only who came behind this moment may be left out
+                boolean isLastPoll = stopsOnceQueueEmpty;      // asked first: only who came behind this moment may be left out
                 try {
-                    listener.setSoTimeout(last ? LAST_LOOK_MS : lookMs);
+                    listener.setSoTimeout(isLastPoll ? LAST_POLL_MS : pollMs);
                     return listener.accept();
                 } catch (SocketTimeoutException e) {
-                    if (last) {
-                        shut();
+                    if (isLastPoll) {
+                        stopAccepting();
                         return null;
                     }
                 } catch (IOException e) {
-                    if (isShut()) {
+                    if (isStopped()) {
                         return null;
                     }
                     throw e;
@@ -95,22 +95,22 @@
         }
 
         @Override
-        public void shut() {
+        public void stopAccepting() {
             Sockets.close(listener);
         }
 
         @Override
-        public void endsSoon() {
-            lookMs = ENDING_LOOK_MS;
+        public void prepareToStop() {
+            pollMs = ENDING_POLL_MS;
         }
 
         @Override
-        public void shutOnceEmpty() {
-            isLast = true;
+        public void stopOnceQueueEmpty() {
+            stopsOnceQueueEmpty = true;
         }
 
         @Override
-        public boolean isShut() {
+        public boolean isStopped() {
             return listener.isClosed();
         }
     }
@@ -119,10 +119,10 @@
      * A listening socket that the platform holds and every process inherits as descriptor 0. It is never closed here:
      * that would close the standard streams too, and nothing may be done to it that its other users would feel.
      */
-    final class Inherited implements Door {
+    final class Inherited implements ListeningSocket {
         private final ServerSocketChannel channel;
         private final Selector selector;
-        private volatile boolean shut;
+        private volatile boolean isStopped;
 
         /** IOException where descriptor 0 is no listening socket. */
         Inherited() throws IOException {
@@ -147,7 +147,7 @@
 
         @Override
         public Socket accept() throws IOException {
-            while (!shut) {
+            while (!isStopped) {
                 SocketChannel accepted = channel.accept();
                 if (accepted != null) {
                     return accepted.socket();
@@ -168,23 +168,23 @@
         }
 
         @Override
-        public void shut() {
-            shut = true;
+        public void stopAccepting() {
+            isStopped = true;
             selector.wakeup();
         }
 
         @Override
-        public void endsSoon() { }
+        public void prepareToStop() { }
 
         /** Who waits is the others' to accept. */
         @Override
-        public void shutOnceEmpty() {
-            shut();
+        public void stopOnceQueueEmpty() {
+            stopAccepting();
         }
 
         @Override
-        public boolean isShut() {
-            return shut;
+        public boolean isStopped() {
+            return isStopped;
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/Presence.java
+++ b/sidecar/src/main/java/dapplequay/net/Presence.java
@@ -17,15 +17,15 @@
     /** So long after it was last heard of, us, a client may have gone without having been missed. */
     private static final long KNOWN_US = 20_000;
 
-    private final ClientSide side;
+    private final ClientListener listener;
     private final ClientInput input;
     private final MessageReader reader;
     private final Thread thread = Thread.currentThread();
     /** Since when, us, the thread has been with an attempt and does not read; -1: it reads. */
     private volatile long awaySinceUs = -1;
 
-    Presence(ClientSide side, ClientInput input, MessageReader reader) {
-        this.side = side;
+    Presence(ClientListener listener, ClientInput input, MessageReader reader) {
+        this.listener = listener;
         this.input = input;
         this.reader = reader;
     }
@@ -39,7 +39,7 @@
      * perhaps in the socket, as this process came late. Else nothing is asked. EOFException: it has left.
      */
     void expect(long nowUs, boolean isWhole) throws IOException {
-        if (isUnheard(nowUs) || side.isLate(nowUs)) {
+        if (isUnheard(nowUs) || listener.isLate(nowUs)) {
             input.expect(reader, isWhole);
         }
     }
@@ -49,14 +49,14 @@
      * then. Who is about to do more for the client meanwhile is made to wait for that.
      */
     void away(Exchange exchange, boolean isWhole, Runnable work) throws IOException {
-        awaySinceUs = side.deadlines().now();
+        awaySinceUs = listener.deadlines().now();
         try {
             work.run();
-            if (isUnheard(side.deadlines().now())) {
+            if (isUnheard(listener.deadlines().now())) {
                 input.expect(reader, isWhole);
             }
         } catch (IOException e) {
-            side.conductor().clientLeft(exchange);      // before anybody who waits goes on
+            listener.conductor().clientLeft(exchange);      // before anybody who waits goes on
             throw e;
         } finally {
             isBack();
@@ -77,18 +77,18 @@
         try {
             if (Thread.currentThread() != thread) {
                 awaitThread(exchange);
-            } else if (isUnheard(side.deadlines().now())) {
+            } else if (isUnheard(listener.deadlines().now())) {
                 input.expect(reader, isWhole);
             }
         } catch (IOException e) {
             LOG.log(Level.FINE, "the client has gone: {0}", e.toString());
-            side.conductor().clientLeft(exchange);
+            listener.conductor().clientLeft(exchange);
         }
     }
 
     private synchronized void awaitThread(Exchange exchange) {
         try {
-            while (awaySinceUs >= 0 && side.deadlines().now() - awaySinceUs > KNOWN_US && !exchange.isOver()) {
+            while (awaySinceUs >= 0 && listener.deadlines().now() - awaySinceUs > KNOWN_US && !exchange.isOver()) {
                 Waits.atMost(this, AHEAD_MS);
             }
         } catch (InterruptedIOException e) {
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -66,9 +66,9 @@
     private final AtomicLong cfgInvalid = new AtomicLong();
     private volatile Setup setup;
     private volatile int passedOver;
-    private volatile ClientSide clients;
+    private volatile ClientListener clientListener;
     private volatile ManagementSide management;
-    private final Door.Opener opener;
+    private final ListeningSocket.Opener opener;
     /** Held while the door is opened, and while an ending begins: one of the two comes first. */
     private final Object opening = new Object();
     /** When the end was ordered, us; 0 while it was not. */
@@ -141,11 +141,11 @@
 
     /** Listens at no address yet; IOException where the known list is no good. */
     public Sidecar(Plan plan, Memory memory) throws IOException {
-        this(plan, memory, () -> plan.inherits() ? new Door.Inherited() : new Door.Own(plan.listen()));
+        this(plan, memory, () -> plan.inherits() ? new ListeningSocket.Inherited() : new ListeningSocket.Owned(plan.listen()));
     }
 
     /** With another way to open the door, as tests have it. */
-    Sidecar(Plan plan, Memory memory, Door.Opener opener) throws IOException {
+    Sidecar(Plan plan, Memory memory, ListeningSocket.Opener opener) throws IOException {
         this.plan = plan;
         this.opener = opener;
         UnixClock clock = new UnixClock();
@@ -187,7 +187,7 @@
     }
 
     public InetSocketAddress address() {
-        return clients.address();
+        return clientListener.address();
     }
 
     /** The second address, or null. */
@@ -212,10 +212,10 @@
                 LOG.info("told to end before it served");
                 return;
             }
-            clients = new ClientSide(opener.open(), () -> setup, facade, conductor, deadlines, counts, lifetime,
+            clientListener = new ClientListener(opener.open(), () -> setup, facade, conductor, deadlines, counts, lifetime,
                     headroom, plan.mostClients(), plan.crowd(), plan.mostUploads(), threads);
             daemon(discovery, "discovery");
-            new Thread(clients, "listener").start();
+            new Thread(clientListener, "listener").start();
             lifetime.listening();
         }
         LOG.log(Level.INFO, "serving on {0}", Sockets.text(address()));
@@ -299,9 +299,9 @@
                 if (management != null && turn % PASSED_OVER_TURNS == 0) {
                     passedOver = facade.passedOver();
                 }
-                ClientSide side = clients;
-                if (side != null) {
-                    side.turn();
+                ClientListener listener = clientListener;
+                if (listener != null) {
+                    listener.turn();
                 }
                 headroom.turn(deadlines.await(TURN_US));
                 lookAtHeadroom();
@@ -353,19 +353,19 @@
 
     void end(Ending ordered) throws InterruptedException {
         long now = deadlines.now();
-        ClientSide side;
+        ClientListener listener;
         synchronized (opening) {
             endingSinceUs = endingSinceUs == 0 ? now : endingSinceUs;
             now = endingSinceUs;
-            side = clients;
+            listener = clientListener;
         }
-        if (side != null) {
-            boolean handsOver = side.handsOver();
+        if (listener != null) {
+            boolean handsOver = listener.handsOver();
             Ending ending = handsOver ? ordered.handingOver() : ordered;
             LOG.info(handsOver ? "ending: a successor takes the clients"
                     : "ending: who has a connection is still served");
             lifetime.end(ending.serveUs());
-            side.awaitEmpty(now + ending.lateUs(), now + ending.heldUs(), now + ending.closedUs());
+            listener.awaitEmpty(now + ending.lateUs(), now + ending.heldUs(), now + ending.closedUs());
         }
         // A process whose threads stay in their reads is gone only a third of a second later.
         discovery.end();
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -115,7 +115,7 @@
     }
 
     /** The process's own door, with hooks. */
-    private static Door door(Hooks hooks, BlockingQueue<Accepted> accepted) throws IOException {
+    private static ListeningSocket door(Hooks hooks, BlockingQueue<Accepted> accepted) throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress()) {
             @Override
             public Socket accept() throws IOException {
@@ -126,13 +126,13 @@
             }
         };
         listener.setReceiveBufferSize(BUFFER);
-        return new Door.Own(listener);
+        return new ListeningSocket.Owned(listener);
     }
 
     final BlockingQueue<Accepted> accepted = new LinkedBlockingQueue<>();
     final Lifetime lifetime;
     private final List<AutoCloseable> toClose = new ArrayList<>();
-    private final ClientSide side;
+    private final ClientListener side;
     private final Deadlines deadlines;
     private final UnixClock running = new UnixClock();
     private volatile long stoppedUs = -1;
@@ -168,8 +168,8 @@
         UpstreamSide upstreams = new UpstreamSide(table, deadlines, () -> setup, 100, counts, new DiscoveryFigures(), sockets);
         Conductor conductor = new Conductor(facade, upstreams);
         upstreams.conductor(conductor);
-        Door door = door(hooks, accepted);
-        side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime, new Headroom(1),
+        ListeningSocket door = door(hooks, accepted);
+        side = new ClientListener(door, () -> setup, facade, conductor, deadlines, counts, lifetime, new Headroom(1),
                 most, crowd, 10, new ThreadReserve(deadlines::now));
         Host.daemon(side::run);
         lifetime.listening();
@@ -183,7 +183,7 @@
                 deadlines.await(10_000);
             }
         });
-        toClose.add(door::shut);
+        toClose.add(door::stopAccepting);
     }
 
     private static String list(int... ports) {
--- a/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
@@ -59,7 +59,7 @@
         InetSocketAddress[] address = new InetSocketAddress[1];
         try (Host host = new Host((head, seen) -> Host.ok("done"))) {
             Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.Memory.NONE, () -> {
-                Door door = new Door.Own(ANY);
+                ListeningSocket door = new ListeningSocket.Owned(ANY);
                 address[0] = door.address();
                 bound.countDown();
                 try {
@@ -110,8 +110,8 @@
     }
 
     /** A door whose accepting thread does not get to accept before somebody shuts the door, in whatever way. */
-    private static final class LateDoor implements Door {
-        private final Door own = new Door.Own(ANY);
+    private static final class LateDoor implements ListeningSocket {
+        private final ListeningSocket own = new ListeningSocket.Owned(ANY);
         private final CountDownLatch shut = new CountDownLatch(1);
 
         LateDoor() throws IOException { }
@@ -137,25 +137,25 @@
         }
 
         @Override
-        public void shut() {
-            own.shut();
+        public void stopAccepting() {
+            own.stopAccepting();
             shut.countDown();
         }
 
         @Override
-        public void endsSoon() {
-            own.endsSoon();
+        public void prepareToStop() {
+            own.prepareToStop();
         }
 
         @Override
-        public void shutOnceEmpty() {
-            own.shutOnceEmpty();
+        public void stopOnceQueueEmpty() {
+            own.stopOnceQueueEmpty();
             shut.countDown();
         }
 
         @Override
-        public boolean isShut() {
-            return own.isShut();
+        public boolean isStopped() {
+            return own.isStopped();
         }
     }
 
@@ -182,7 +182,7 @@
         AtomicBoolean opened = new AtomicBoolean();
         Sidecar sidecar = new Sidecar(plan(1), Sidecar.Memory.NONE, () -> {
             opened.set(true);
-            return new Door.Own(ANY);
+            return new ListeningSocket.Owned(ANY);
         });
         sidecar.end(ENDING);
         sidecar.start();
