--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -48,7 +48,7 @@
 
     private final ClientListener listener;
     private final Socket socket;
-    private final OrderlyClose ending;
+    private final LingeringClose lingeringClose;
     private final BodyReader bodies;
     private final long sinceUs;
     private State state = State.IDLE;
@@ -61,20 +61,20 @@
     private volatile String version = "HTTP/1.1";
     private volatile ClientInput input;
     private MessageReader reader;
-    private volatile Presence presence;
+    private volatile ClientPresence presence;
     private volatile Exchange current;
 
     ClientConnection(ClientListener listener, Socket socket) {
         this.listener = listener;
         this.socket = socket;
-        ending = new OrderlyClose(socket, listener.deadlines());
+        lingeringClose = new LingeringClose(socket, listener.deadlines());
         bodies = new BodyReader(listener.deadlines(), this::requestIsLate);
         sinceUs = listener.deadlines().now();
         idleEnd = listener.deadlines().after(IDLE_US, () -> listener.idleForLong(this));
     }
 
     void close() {
-        ending.close();
+        lingeringClose.close();
     }
 
     private void over() {
@@ -91,11 +91,11 @@
             socket.setTcpNoDelay(true);
             input = new ClientInput(socket, listener.deadlines()::now);
             reader = new MessageReader(input, MessageReader.LONGEST_BODY);
-            presence = new Presence(listener, input, reader);
+            presence = new ClientPresence(listener, input, reader);
             while (reader.awaitRequest() && beginRequest()) {
                 readRequest();
             }
-            ending.throwAway(uploading ? LONG_DRAINED : 0);
+            lingeringClose.discardInput(uploading ? LONG_DRAINED : 0);
         } catch (IOException e) {
             LOG.log(Level.FINE, "client connection ended: {0}", e.toString());
         } finally {
@@ -116,8 +116,8 @@
      * more is looked for meanwhile, as its end would lie behind that.
      */
     private boolean beginRequest() throws IOException {
-        while (isBusyAfter(Presence.AHEAD_MS)) {
-            input.expect(reader, true);
+        while (isBusyAfter(ClientPresence.POLL_WHILE_BUSY_MS)) {
+            input.checkPresent(reader, true);
         }
         return begins();
     }
@@ -131,9 +131,9 @@
     }
 
     private synchronized boolean begins() {
-        if (state == State.IDLE && input.isOverfull()) {
+        if (state == State.IDLE && input.hasDiscardedBytes()) {
             state = State.CLOSED;
-            ending.begin(LINGER_US);
+            lingeringClose.begin(LINGER_US);
         }
         if (state != State.IDLE) {
             LOG.fine("a request crossed the end of its connection");
@@ -226,8 +226,8 @@
     }
 
     /** Right before an attempt's first byte: has the client looked for, where it may have left unseen. */
-    void lookFor(Exchange exchange) {
-        presence.lookFor(exchange, !uploading);
+    void checkClientPresent(Exchange exchange) {
+        presence.checkBeforeSend(exchange, !uploading);
     }
 
     /** Whether a long request is among as many as may come at once. */
@@ -258,13 +258,13 @@
                     if (attempt == null) {
                         return;
                     }
-                    presence.expect(listener.deadlines().now(), last);
+                    presence.checkPresent(listener.deadlines().now(), last);
                     if (!attempt.connection().beginFor()) {
                         attempt = null;
                     }
                 }
                 if (last) {
-                    input.expect(reader, true);     // it may have left while this thread was elsewhere
+                    input.checkPresent(reader, true);     // it may have left while this thread was elsewhere
                     if (!listener.conductor().lastPiece(attempt)) {
                         return;
                     }
@@ -308,7 +308,7 @@
         }
         ClientRequest request = ClientRequest.parse(head, held, remainingBody, listener.setup());
         if (remainingBody == null) {
-            presence.expect(receivedUs, true);
+            presence.checkPresent(receivedUs, true);
         }
         long callId = request.callId();
         if (!listener.registerCallId(callId, receivedUs)) {
@@ -327,12 +327,12 @@
             return;
         }
         Call call = request.toCall(request.budgetUs() - (listener.deadlines().now() - receivedUs));
-        presence.away(exchange, remainingBody == null, () -> listener.conductor().begin(exchange, call));
+        presence.runWhileAway(exchange, remainingBody == null, () -> listener.conductor().begin(exchange, call));
     }
 
     /** Whether the answer in hand is this connection's last; one that comes while its request does, has to be. */
     private boolean isLastResponse() {
-        return lastRequest || uploading || input.isOverfull() || listener.empties() || listener.isCrowded();
+        return lastRequest || uploading || input.hasDiscardedBytes() || listener.empties() || listener.isCrowded();
     }
 
     private String connectionField(boolean last) {
@@ -346,7 +346,7 @@
         try {
             socket.getOutputStream().write(response.toBytes(connectionField(last)));
             if (last) {
-                ending.begin(uploading ? LONG_LINGER_US : LINGER_US);
+                lingeringClose.begin(uploading ? LONG_LINGER_US : LINGER_US);
             }
         } catch (IOException e) {
             LOG.log(Level.FINE, "answer could not be written: {0}", e.toString());
@@ -377,7 +377,7 @@
         input.handOver();
         try {
             byte[] responseStart = ClientResponses.streamStart(upstreamHead, body, start, version, connectionField(true));
-            whole = new LongAnswer(socket, input, ending, listener.deadlines(), listener::pauseMs)
+            whole = new LongAnswer(socket, input, lingeringClose, listener.deadlines(), listener::pauseMs)
                     .pass(responseStart, start.length, body, ClientResponses.isChunked(body, version), dueUs);
         } finally {
             if (!whole) {
@@ -392,7 +392,7 @@
     /** Ended by the reading thread where that is still there; else one takes its place until the client closes too. */
     private void endAfterRelay(boolean whole) {
         if (whole) {
-            ending.begin(LINGER_US);
+            lingeringClose.begin(LINGER_US);
         }
         if (input.giveBack()) {
             return;
@@ -400,7 +400,7 @@
         if (!whole || input.isGone()) {
             over();
         } else {
-            ending.throwAwayApart(this::over);
+            lingeringClose.discardInputInBackground(this::over);
         }
     }
 
@@ -411,7 +411,7 @@
     synchronized boolean closeIfIdle(long lingerUs) {
         if (state == State.IDLE && !hasUnread()) {
             state = State.CLOSED;
-            ending.begin(lingerUs);
+            lingeringClose.begin(lingerUs);
         }
         return state == State.CLOSED;
     }
@@ -426,7 +426,7 @@
     /** Whether the reading thread has something that it is about to use. */
     private boolean isInHand() {
         ClientInput from = input;
-        return from != null && from.isInHand();
+        return from != null && from.hasUnprocessedBytes();
     }
 
     /** Whether something has come that was not looked at. */
@@ -441,9 +441,9 @@
     /** Has an end that has begun take no longer than this from now on, us; false where none has, or it is over. */
     synchronized boolean hurry(long lingerUs) {
         if (state == State.CLOSED) {
-            ending.begin(lingerUs);
+            lingeringClose.begin(lingerUs);
         }
-        return state == State.CLOSED && !ending.isClosed();
+        return state == State.CLOSED && !lingeringClose.isClosed();
     }
 
     /** Whether a request is in hand whose answer nobody has taken on. */
--- a/sidecar/src/main/java/dapplequay/net/ClientInput.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientInput.java
@@ -16,21 +16,21 @@
  */
 final class ClientInput extends InputStream {
     /** A look waits for so long where nothing has come, ms; a socket knows no shorter time. */
-    private static final int LOOK_MS = 1;
+    private static final int POLL_MS = 1;
     /** So much is taken in by one look, bytes: who sends without end must not keep its thread from the answer, ... */
-    private static final int MOST_AT_ONCE = 1 << 20;
+    private static final int MAX_POLL_BYTES = 1 << 20;
     /** ... nor many of them the process from its work: from so many spilt bytes on, a look takes only so much. */
-    private static final int FLOOD = 2 << 20;
-    private static final int FLOOD_AT_ONCE = 64 * 1024;
-    private static final int PIECE = 8 * 1024;
+    private static final int DISCARD_FLOOD_BYTES = 2 << 20;
+    private static final int MAX_FLOOD_POLL_BYTES = 64 * 1024;
+    private static final int DISCARD_BUFFER_BYTES = 8 * 1024;
     /** While an answer is due, the reading thread asks so often, ms, whether the reading is still its own. */
-    private static final int OWN_MS = 200;
+    private static final int OWNERSHIP_CHECK_MS = 200;
 
     /** The reading is another thread's from here on. */
-    static final class HandedOver extends IOException {
+    static final class HandedOverException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        HandedOver() {
+        HandedOverException() {
             super("handed over");
         }
     }
@@ -38,48 +38,48 @@
     private final Socket socket;
     private final InputStream in;
     private final LongSupplier clock;
-    private long heardUs;
-    private volatile long spiltBytes;
-    private volatile boolean isInHand;
+    private long lastSeenUs;
+    private volatile long discardedBytes;
+    private volatile boolean hasUnprocessedBytes;
     private volatile boolean isResponseDue;
-    private volatile boolean gone;
-    private boolean looks;
+    private volatile boolean isGone;
+    private boolean isPolling;
     /** This and the next: under this object's own lock. */
-    private boolean handedOver;
-    private boolean left;
+    private boolean isHandedOver;
+    private boolean readerHasLeft;
 
     /** {@code clock}: microseconds. */
     ClientInput(Socket socket, LongSupplier clock) throws IOException {
         this.socket = socket;
         in = socket.getInputStream();
         this.clock = clock;
-        heardUs = clock.getAsLong();
+        lastSeenUs = clock.getAsLong();
     }
 
     @Override
     public int read() throws IOException {
-        byte[] one = new byte[1];
-        return read(one, 0, 1) < 0 ? -1 : one[0] & 0xFF;
+        byte[] single = new byte[1];
+        return read(single, 0, 1) < 0 ? -1 : single[0] & 0xFF;
     }
 
     @Override
     public int read(byte[] into, int from, int length) throws IOException {
-        isInHand = false;
+        hasUnprocessedBytes = false;
         // One byte first: until this thread has said that it has it, the rest still lies with the system, where whoever
         // wants to close a quiet connection finds it.
-        int count = looks ? receive(into, from, Math.min(1, length)) : await(into, from, Math.min(1, length));
-        isInHand = count > 0;
+        int count = isPolling ? receive(into, from, Math.min(1, length)) : awaitBytes(into, from, Math.min(1, length));
+        hasUnprocessedBytes = count > 0;
         if (count > 0 && length > 1 && in.available() > 0) {
             count += Math.max(0, receive(into, from + 1, length - 1));
         }
-        heardUs = clock.getAsLong();
+        lastSeenUs = clock.getAsLong();
         return count;
     }
 
-    private int await(byte[] into, int from, int length) throws IOException {
+    private int awaitBytes(byte[] into, int from, int length) throws IOException {
         while (true) {
-            checkOwn();
-            socket.setSoTimeout(isResponseDue ? OWN_MS : 0);
+            checkOwnership();
+            socket.setSoTimeout(isResponseDue ? OWNERSHIP_CHECK_MS : 0);
             try {
                 return receive(into, from, length);
             } catch (SocketTimeoutException e) {
@@ -91,19 +91,19 @@
     private int receive(byte[] into, int from, int length) throws IOException {
         try {
             int count = in.read(into, from, length);
-            gone |= count < 0;
+            isGone |= count < 0;
             return count;
         } catch (SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
-            gone = true;
+            isGone = true;
             throw e;
         }
     }
 
-    private synchronized void checkOwn() throws HandedOver {
-        if (handedOver) {
-            throw new HandedOver();
+    private synchronized void checkOwnership() throws HandedOverException {
+        if (isHandedOver) {
+            throw new HandedOverException();
         }
     }
 
@@ -114,48 +114,48 @@
 
     /** The reading is the caller's, from the moment on at which the reading thread has left. */
     synchronized void handOver() {
-        handedOver = true;
+        isHandedOver = true;
     }
 
     /** The reading thread leaves; whether the reading, and the connection, were handed over. */
     synchronized boolean leave() {
-        left = true;
-        return handedOver;
+        readerHasLeft = true;
+        return isHandedOver;
     }
 
     /** Gives the reading back to its thread; false where that has left, and what is still to do is the caller's. */
     synchronized boolean giveBack() {
-        handedOver &= left;
-        return !left;
+        isHandedOver &= readerHasLeft;
+        return !readerHasLeft;
     }
 
-    private synchronized boolean hasLeft() {
-        return left;
+    private synchronized boolean hasReaderLeft() {
+        return readerHasLeft;
     }
 
     /** Whether the end of the stream was seen, or a break; any thread may ask. */
     boolean isGone() {
-        return gone;
+        return isGone;
     }
 
     /** For the thread that it was handed over to: whether the client is there. What has come is thrown away. */
-    boolean isThere() throws IOException {
-        return hasLeft() ? look(null, true) : !gone;
+    boolean isClientPresent() throws IOException {
+        return hasReaderLeft() ? poll(null, true) : !isGone;
     }
 
     /** When the client was last known to be there, microseconds. */
-    long heardUs() {
-        return heardUs;
+    long lastSeenUs() {
+        return lastSeenUs;
     }
 
     /** Whether something was read that the reading thread is about to use; any thread may ask. */
-    boolean isInHand() {
-        return isInHand;
+    boolean hasUnprocessedBytes() {
+        return hasUnprocessedBytes;
     }
 
     /** Whether something was thrown away, so that nobody can say where the next request begins; any thread may ask. */
-    boolean isOverfull() {
-        return spiltBytes > 0;
+    boolean hasDiscardedBytes() {
+        return discardedBytes > 0;
     }
 
     /**
@@ -163,26 +163,26 @@
      * read into the reader's buffer; what does not fit there is thrown away if {@code spills}, and else left unread,
      * with what is behind it.
      */
-    void expect(MessageReader reader, boolean spills) throws IOException {
-        checkOwn();
-        if (!look(reader, spills)) {
+    void checkPresent(MessageReader reader, boolean discardsOverflow) throws IOException {
+        checkOwnership();
+        if (!poll(reader, discardsOverflow)) {
             throw new EOFException("the client has left");
         }
     }
 
-    private boolean look(MessageReader reader, boolean spills) throws IOException {
-        byte[] spilt = null;
-        int most = spiltBytes < FLOOD ? MOST_AT_ONCE : FLOOD_AT_ONCE;
-        looks = true;
-        socket.setSoTimeout(LOOK_MS);
+    private boolean poll(MessageReader reader, boolean discardsOverflow) throws IOException {
+        byte[] discardBuffer = null;
+        int maxBytes = discardedBytes < DISCARD_FLOOD_BYTES ? MAX_POLL_BYTES : MAX_FLOOD_POLL_BYTES;
+        isPolling = true;
+        socket.setSoTimeout(POLL_MS);
         try {
-            for (int sum = 0, count; sum < most; sum += count) {
+            for (int total = 0, count; total < maxBytes; total += count) {
                 if (reader != null && !reader.isFull()) {
                     count = reader.readAhead();
-                } else if (spills) {
-                    spilt = spilt == null ? new byte[PIECE] : spilt;
-                    count = read(spilt, 0, PIECE);
-                    spiltBytes += Math.max(0, count);
+                } else if (discardsOverflow) {
+                    discardBuffer = discardBuffer == null ? new byte[DISCARD_BUFFER_BYTES] : discardBuffer;
+                    count = read(discardBuffer, 0, DISCARD_BUFFER_BYTES);
+                    discardedBytes += Math.max(0, count);
                 } else {
                     return true;
                 }
@@ -191,10 +191,10 @@
                 }
             }
         } catch (SocketTimeoutException e) {
-            heardUs = clock.getAsLong();        // nothing more, and no end: it is there
+            lastSeenUs = clock.getAsLong();        // nothing more, and no end: it is there
         } finally {
-            isInHand = reader != null && reader.hasBytes();
-            looks = false;
+            hasUnprocessedBytes = reader != null && reader.hasBytes();
+            isPolling = false;
         }
         return true;
     }
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -29,7 +29,7 @@
 
     /** Has its client looked for where that may have left unseen: asked right before an attempt's first byte. */
     void lookForClient() {
-        from.lookFor(this);
+        from.checkClientPresent(this);
     }
 
     /** It is here whole. */
--- a/sidecar/src/main/java/dapplequay/net/OrderlyClose.java
+++ b/sidecar/src/main/java/dapplequay/net/LingeringClose.java
@@ -14,20 +14,20 @@
  * and thrown away, and the descriptor comes back when the client has closed too, or after a bound of bytes and of
  * time. Nothing that is read after {@link #begin} may be served: whoever calls it sees to that.
  */
-final class OrderlyClose {
-    private static final Logger LOG = Logger.getLogger(OrderlyClose.class.getName());
+final class LingeringClose {
+    private static final Logger LOG = Logger.getLogger(LingeringClose.class.getName());
     /** What is still read: clients that send without end are not waited for. */
-    private static final int MOST = 256 * 1024;
-    private static final int PIECE = 4 * 1024;
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
+    private static final int BUFFER_BYTES = 4 * 1024;
 
     private final Socket socket;
     private final Deadlines deadlines;
-    private Deadlines.Deadline bound;
-    private long boundUs = Long.MAX_VALUE;
-    private boolean closed;
-    private boolean breaksOff;
+    private Deadlines.Deadline deadline;
+    private long deadlineUs = Long.MAX_VALUE;
+    private boolean isClosed;
+    private boolean resetOnClose;
 
-    OrderlyClose(Socket socket, Deadlines deadlines) {
+    LingeringClose(Socket socket, Deadlines deadlines) {
         this.socket = socket;
         this.deadlines = deadlines;
     }
@@ -37,72 +37,72 @@
      * hurries it, and no call grants more.
      */
     synchronized void begin(long lingerUs) {
-        long untilUs = deadlines.now() + lingerUs;
-        if (closed || untilUs >= boundUs) {
+        long newDeadlineUs = deadlines.now() + lingerUs;
+        if (isClosed || newDeadlineUs >= deadlineUs) {
             return;
         }
         try {
-            if (bound == null) {
+            if (deadline == null) {
                 socket.shutdownOutput();
             }
         } catch (IOException e) {
             close();
             return;
         }
-        deadlines.cancel(bound);
-        boundUs = untilUs;
-        bound = deadlines.after(lingerUs, this::close);
+        deadlines.cancel(deadline);
+        deadlineUs = newDeadlineUs;
+        deadline = deadlines.after(lingerUs, this::close);
     }
 
     /** At once. */
     synchronized void close() {
         try {
-            if (breaksOff && !closed) {
+            if (resetOnClose && !isClosed) {
                 socket.setSoLinger(true, 0);
             }
         } catch (IOException e) {
             LOG.log(Level.FINE, "no reset: {0}", e.toString());
         }
-        closed = true;
-        deadlines.cancel(bound);
+        isClosed = true;
+        deadlines.cancel(deadline);
         Sockets.close(socket);
     }
 
     /** Whether an answer is on its way that a plain end would be taken for the end of: a close is a reset then. */
-    synchronized void breaksOff(boolean so) {
-        breaksOff = so;
+    synchronized void setResetOnClose(boolean reset) {
+        resetOnClose = reset;
     }
 
     synchronized boolean isClosed() {
-        return closed;
+        return isClosed;
     }
 
     /** {@link #throwAway} by a thread of its own, where nobody else reads; {@code over} is called at the end. */
-    void throwAwayApart(Runnable over) {
+    void discardInputInBackground(Runnable onEnd) {
         Thread thread = new Thread(() -> {
             try {
-                throwAway(0);
+                discardInput(0);
             } catch (IOException e) {
                 LOG.log(Level.FINE, "client connection ended: {0}", e.toString());
             } finally {
-                over.run();
+                onEnd.run();
             }
         }, "client");
         try {
             thread.start();
         } catch (OutOfMemoryError e) {
-            over.run();
+            onEnd.run();
         }
     }
 
     /** Reads on until the client ends, or the time is over; {@code more}: bytes beyond what is usual. */
-    void throwAway(int more) throws IOException {
+    void discardInput(int extraBytes) throws IOException {
         socket.setSoTimeout(0);
         InputStream in = socket.getInputStream();
-        byte[] unread = new byte[PIECE];
+        byte[] buffer = new byte[BUFFER_BYTES];
         int read = 0;
-        for (int sum = 0; read >= 0 && sum < MOST + more; sum += read) {
-            read = in.read(unread);
+        for (int total = 0; read >= 0 && total < MAX_DISCARDED_BYTES + extraBytes; total += read) {
+            read = in.read(buffer);
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/LongAnswer.java
+++ b/sidecar/src/main/java/dapplequay/net/LongAnswer.java
@@ -26,14 +26,14 @@
 
     private final Socket client;
     private final ClientInput input;
-    private final OrderlyClose ending;
+    private final LingeringClose ending;
     private final Deadlines deadlines;
     private final LongSupplier pauseMs;
     private long hostMovedUs;
     private long passed;
 
     /** {@code pauseMs}: how long to pause after a piece, for the sake of others, ms. */
-    LongAnswer(Socket client, ClientInput input, OrderlyClose ending, Deadlines deadlines, LongSupplier pauseMs) {
+    LongAnswer(Socket client, ClientInput input, LingeringClose ending, Deadlines deadlines, LongSupplier pauseMs) {
         this.client = client;
         this.input = input;
         this.ending = ending;
@@ -54,7 +54,7 @@
     boolean pass(byte[] begun, int held, Body body, boolean chunked, long dueUs) {
         byte[] piece = Pieces.take();
         Progress.Moves moves = new Progress.Moves(deadlines, STALL_US);
-        ending.breaksOff(body.length() < 0 && !chunked);
+        ending.setResetOnClose(body.length() < 0 && !chunked);
         hostMovedUs = deadlines.now();
         passed = held;
         try (Progress stuck = new Progress(deadlines, moves, ending::close)) {
@@ -68,7 +68,7 @@
                 passed += read;
                 Pieces.gather(read, body, pauseMs.getAsLong());
             }
-            ending.breaksOff(false);
+            ending.setResetOnClose(false);
             return true;
         } catch (IOException e) {
             LOG.log(Level.FINE, "long answer broke: {0}", e.toString());
@@ -86,7 +86,7 @@
                 hostMovedUs = deadlines.now();
                 return read;
             } catch (SocketTimeoutException e) {
-                if (!input.isThere()) {
+                if (!input.isClientPresent()) {
                     throw new EOFException("the client has left");
                 }
                 if (isGivenUp(body, dueUs)) {
--- a/sidecar/src/test/java/dapplequay/net/OrderlyCloseTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LingeringCloseTest.java
@@ -14,7 +14,7 @@
 
 /** How a client's connection ends, with bytes that come in the very moment. */
 @Timeout(90)
-class OrderlyCloseTest extends ClosesWhatItOpened {
+class LingeringCloseTest extends ClosesWhatItOpened {
     private volatile Host.Client sender;
 
     private Host host() throws IOException {
