--- a/sidecar/src/main/java/dapplequay/net/ClientListener.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientListener.java
@@ -22,50 +22,50 @@
 /** The listener, and the client's connections. */
 final class ClientListener implements Runnable {
     private static final Logger LOG = Logger.getLogger(ClientListener.class.getName());
-    private static final long PAUSE_MS = 20;
+    private static final long RETRY_PAUSE_MS = 20;
     /** The accepting thread leaves a door that was shut at once; were it stuck, the ending must not be. */
-    private static final long STOP_MS = 500;
+    private static final long STOP_WAIT_MS = 500;
     /** Strangers are a flood from this share of the bound on. */
-    private static final double FLOOD = 0.25;
+    private static final double FLOOD_SHARE = 0.25;
     /** A client that rests and is let go has so long to close too, us; where descriptors are short, so long. */
-    private static final long LINGER_US = 100_000;
+    private static final long IDLE_LINGER_US = 100_000;
     private static final long SHORT_LINGER_US = 10_000;
 
     /** Of the clients that there are when threads are short, so many may stay. */
-    private static final double KEPT_SHARE = 0.8;
-    private static final double NEAR_BOUND = 0.75;
+    private static final double SHORTAGE_KEEP_SHARE = 0.8;
+    private static final double NEAR_LIMIT_SHARE = 0.75;
     /** So many there may always be. */
-    private static final int FEWEST = 4;
+    private static final int MIN_CONNECTIONS = 4;
     /** So long after the last shortage there may be as many as before, us. */
-    private static final long BOUND_US = 60_000_000;
+    private static final long LIMIT_RECOVERY_US = 60_000_000;
 
     private final Supplier<Setup> setup;
     private final Facade facade;
     private final Conductor conductor;
     private final Deadlines deadlines;
-    private final int most;
-    private final int crowd;
-    private final int mostUploads;
+    private final int maxConnections;
+    private final int crowdThreshold;
+    private final int maxUploads;
     private final AtomicInteger uploads = new AtomicInteger();
     private final ListeningSocket listeningSocket;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
-    private final CountDownLatch stopped = new CountDownLatch(1);
+    private final CountDownLatch acceptingStopped = new CountDownLatch(1);
     private final RecentCallIds recentCallIds = new RecentCallIds();
     private final Counts counts;
     private final Lifetime lifetime;
-    private volatile boolean isOver;
+    private volatile boolean isEndingTimeOver;
     /** The accepting thread's: there was a crowd since the ending began. */
-    private boolean endsInCrowd;
+    private boolean endingSawCrowd;
     private final Headroom headroom;
     private final Punctuality punctuality;
     private final ThreadReserve threads;
     /** How many there may be at present: fewer than {@link #most} after threads were short. Under the lock. */
-    private int bound;
+    private int connectionLimit;
 
     ClientListener(ListeningSocket listeningSocket, Supplier<Setup> setup, Facade facade, Conductor conductor,
-                 Deadlines deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int most,
-                 int crowd, int mostUploads, ThreadReserve threads) {
-        this.mostUploads = mostUploads;
+                 Deadlines deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int maxConnections,
+                 int crowdThreshold, int maxUploads, ThreadReserve threads) {
+        this.maxUploads = maxUploads;
         this.listeningSocket = listeningSocket;
         this.setup = setup;
         this.facade = facade;
@@ -74,11 +74,11 @@
         this.counts = counts;
         this.lifetime = lifetime;
         this.headroom = headroom;
-        this.most = most;
+        this.maxConnections = maxConnections;
         this.threads = threads;
-        bound = most;
-        threads.onShortage(this::giveThreadsBack);
-        this.crowd = crowd;
+        connectionLimit = maxConnections;
+        threads.onShortage(this::lowerConnectionLimit);
+        this.crowdThreshold = crowdThreshold;
         punctuality = new Punctuality(deadlines.now());
     }
 
@@ -96,7 +96,7 @@
         return recentCallIds.addIfNew(callId, nowUs, 2 * setup().longestDeadlineUs());
     }
 
-    long nextId() {
+    long nextExchangeId() {
         return facade.nextId();
     }
 
@@ -113,7 +113,7 @@
      * those who ask once and keep it would leave none for the next request.
      */
     synchronized boolean isCrowded() {
-        return connections.size() >= crowd;
+        return connections.size() >= crowdThreshold;
     }
 
     Counts counts() {
@@ -123,16 +123,16 @@
     /**
      * Another long request comes; false where there are as many as may come at once, and no attempt may begin for it.
      */
-    boolean uploadBegins() {
-        return uploads.incrementAndGet() <= mostUploads;
+    boolean beginUpload() {
+        return uploads.incrementAndGet() <= maxUploads;
     }
 
-    void uploadEnds() {
+    void endUpload() {
         uploads.decrementAndGet();
     }
 
     /** How long a carrier of a long body pauses now, ms. */
-    long pauseMs() {
+    long streamPauseMs() {
         return headroom.pauseMs();
     }
 
@@ -142,8 +142,8 @@
     }
 
     /** Whether each answer is its connection's last, as the sidecar is being emptied. */
-    boolean empties() {
-        return lifetime.empties();
+    boolean isEmptying() {
+        return lifetime.isEmptying();
     }
 
     ClientResponses.Response health() {
@@ -156,7 +156,7 @@
         try {
             acceptAll();
         } finally {
-            stopped.countDown();
+            acceptingStopped.countDown();
         }
     }
 
@@ -165,7 +165,7 @@
             Socket socket = null;
             try {
                 awaitRoom();
-                if (leavesCrowd()) {
+                if (stopsForCrowd()) {
                     listeningSocket.stopAccepting();
                     return;
                 }
@@ -173,7 +173,7 @@
                 if (socket == null) {
                     return;
                 }
-                if (leavesCrowd()) {
+                if (stopsForCrowd()) {
                     Sockets.close(socket);
                     listeningSocket.stopAccepting();
                     return;
@@ -182,13 +182,13 @@
                 synchronized (this) {
                     connections.add(connection);
                 }
-                start(connection);
+                startThread(connection);
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
                 // Out of descriptors, threads or memory: others are about to end and give theirs back.
                 if (!listeningSocket.isStopped()) {
                     Sockets.close(socket);
                     LOG.log(Level.SEVERE, "connection could not be accepted: {0}", e.toString());
-                    pause();
+                    pauseBeforeRetry();
                 }
             } catch (InterruptedException e) {
                 return;
@@ -200,46 +200,46 @@
      * In an ending beside a crowd nobody is let in once connections are to go. To let in all who wait at the door, and
      * those who take their places, would take the time in which requests that have been read are answered.
      */
-    private boolean leavesCrowd() {
+    private boolean stopsForCrowd() {
         if (!lifetime.isEnding()) {
             return false;
         }
-        endsInCrowd |= isCrowded() || isNearBound();
-        return endsInCrowd && lifetime.empties();
+        endingSawCrowd |= isCrowded() || isNearLimit();
+        return endingSawCrowd && lifetime.isEmptying();
     }
 
     /** Where memory allows few clients, there may be a crowd for them far below its share of the descriptors. */
-    private synchronized boolean isNearBound() {
-        return connections.size() >= bound * NEAR_BOUND;
+    private synchronized boolean isNearLimit() {
+        return connections.size() >= connectionLimit * NEAR_LIMIT_SHARE;
     }
 
-    private void start(ClientConnection connection) {
+    private void startThread(ClientConnection connection) {
         try {
             new Thread(connection, "client").start();
         } catch (OutOfMemoryError e) {
-            ended(connection);
+            connectionEnded(connection);
             threads.shortage();
             throw e;
         }
     }
 
     /** Each client has a thread: from now on there may be fewer of them, and idle ones make room. */
-    private synchronized void giveThreadsBack() {
-        bound = Math.max(FEWEST, Math.min(bound, (int) (connections.size() * KEPT_SHARE)));
+    private synchronized void lowerConnectionLimit() {
+        connectionLimit = Math.max(MIN_CONNECTIONS, Math.min(connectionLimit, (int) (connections.size() * SHORTAGE_KEEP_SHARE)));
         notifyAll();
     }
 
     /** After a while without a shortage there may be as many as before. */
-    private synchronized void raiseBound() {
-        long shortUs = threads.lastShortageUs();
-        if (bound < most && shortUs != Long.MIN_VALUE && deadlines.now() - shortUs > BOUND_US) {
-            bound = most;
+    private synchronized void restoreConnectionLimit() {
+        long lastShortageUs = threads.lastShortageUs();
+        if (connectionLimit < maxConnections && lastShortageUs != Long.MIN_VALUE && deadlines.now() - lastShortageUs > LIMIT_RECOVERY_US) {
+            connectionLimit = maxConnections;
         }
     }
 
-    private static void pause() {
+    private static void pauseBeforeRetry() {
         try {
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(RETRY_PAUSE_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -247,19 +247,19 @@
 
     /** At the bound the next connection waits until another has ended. */
     private synchronized void awaitRoom() throws InterruptedException {
-        if (connections.size() < bound) {
+        if (connections.size() < connectionLimit) {
             return;
         }
         long sinceUs = deadlines.now();
-        while (connections.size() >= bound && !listeningSocket.isStopped()) {
-            boolean someAreEnding = false;
+        while (connections.size() >= connectionLimit && !listeningSocket.isStopped()) {
+            boolean anyEnding = false;
             for (ClientConnection connection : connections) {
-                someAreEnding |= connection.hurry(SHORT_LINGER_US);
+                anyEnding |= connection.shortenLinger(SHORT_LINGER_US);
             }
-            if (!someAreEnding) {
+            if (!anyEnding) {
                 makeRoom();
             }
-            wait(PAUSE_MS);
+            wait(RETRY_PAUSE_MS);
         }
         punctuality.waited(sinceUs, deadlines.now());
     }
@@ -271,31 +271,31 @@
      * hold up the others.
      */
     private void makeRoom() {
-        boolean flood = connections.stream().filter(ClientConnection::isStranger).count() >= bound * FLOOD;
-        if (connections.stream().noneMatch(c -> c.closeIfStranger(flood)) && !flood) {
+        boolean isFlood = connections.stream().filter(ClientConnection::isUnproven).count() >= connectionLimit * FLOOD_SHARE;
+        if (connections.stream().noneMatch(c -> c.closeIfUnproven(isFlood)) && !isFlood) {
             connections.stream().anyMatch(c -> c.closeIfIdle(SHORT_LINGER_US));
         }
     }
 
-    synchronized void ended(ClientConnection connection) {
+    synchronized void connectionEnded(ClientConnection connection) {
         connections.remove(connection);
         notifyAll();
     }
 
     /** The timekeeper's turn. While the sidecar is being emptied, idle connections are closed. */
-    void turn() {
+    void tick() {
         punctuality.turn(deadlines.now());
-        raiseBound();
-        if (!lifetime.empties()) {
+        restoreConnectionLimit();
+        if (!lifetime.isEmptying()) {
             return;
         }
-        List<ClientConnection> left = left();
-        left.forEach(connection -> connection.closeToEmpty(LINGER_US));
-        lifetime.holds(left.size());
+        List<ClientConnection> remaining = openConnections();
+        remaining.forEach(connection -> connection.closeIfIdleForDrain(IDLE_LINGER_US));
+        lifetime.holds(remaining.size());
     }
 
     /** The connections of the moment, to be called without the lock. */
-    private synchronized List<ClientConnection> left() {
+    private synchronized List<ClientConnection> openConnections() {
         return new ArrayList<>(connections);
     }
 
@@ -303,20 +303,20 @@
      * Whether clients find another process at the same door: then this one stops taking them at once. Whom it had
      * accepted until then is among its connections when this returns.
      */
-    boolean handsOver() throws InterruptedException {
+    boolean stopIfShared() throws InterruptedException {
         if (!listeningSocket.isShared()) {
             listeningSocket.prepareToStop();
             return false;
         }
         listeningSocket.stopAccepting();
-        stopped.await(STOP_MS, TimeUnit.MILLISECONDS);
+        acceptingStopped.await(STOP_WAIT_MS, TimeUnit.MILLISECONDS);
         return true;
     }
 
     /** The connection has been idle for too long; in an ending it stays, as its client can't open another any more. */
-    void idleForLong(ClientConnection connection) {
+    void idleTimeout(ClientConnection connection) {
         if (!lifetime.isEnding()) {
-            connection.restedTooLong(LINGER_US);
+            connection.idleTimeout(IDLE_LINGER_US);
         }
     }
 
@@ -326,47 +326,47 @@
      * process alone stays open meanwhile, as what the system has accepted counts as taken: it is shut once all of that
      * is here, however late the accepting thread is, and at {@code closedUs} in any case.
      */
-    void awaitEmpty(long lateUs, long untilUs, long closedUs) throws InterruptedException {
-        if (!isEmptyBy(lateUs, untilUs) || !hasLetInAll(untilUs) || !isEmptyBy(lateUs, untilUs)) {
-            isOver = true;          // before those that are held are gone over: each is seen here or sees this
-            left().stream().filter(ClientConnection::holds).forEach(ClientListener::fail);
-            if (hasLetInAll(closedUs)) {
-                isEmptyBy(lateUs, closedUs);
+    void awaitEmpty(long newClientsUntilUs, long untilUs, long closeAtUs) throws InterruptedException {
+        if (!awaitNoConnections(newClientsUntilUs, untilUs) || !acceptQueued(untilUs) || !awaitNoConnections(newClientsUntilUs, untilUs)) {
+            isEndingTimeOver = true;          // before those that are held are gone over: each is seen here or sees this
+            openConnections().stream().filter(ClientConnection::hasUnansweredRequest).forEach(ClientListener::failInBackground);
+            if (acceptQueued(closeAtUs)) {
+                awaitNoConnections(newClientsUntilUs, closeAtUs);
             }
         }
         listeningSocket.stopAccepting();
         // The exit would close them in the same way, but only once threads that sit in their reads were waited for.
-        left().forEach(ClientConnection::close);
+        openConnections().forEach(ClientConnection::close);
     }
 
     /** By a thread of its own: a client that takes nothing must not keep the others from their answers. */
-    private static void fail(ClientConnection holding) {
-        Thread writer = new Thread(holding::failHeld, "last failure");
+    private static void failInBackground(ClientConnection connection) {
+        Thread writer = new Thread(connection::failUnansweredRequest, "last failure");
         writer.setDaemon(true);
         try {
             writer.start();
         } catch (OutOfMemoryError e) {
-            holding.failHeld();             // no thread to be had: better one after the other than not at all
+            connection.failUnansweredRequest();             // no thread to be had: better one after the other than not at all
         }
     }
 
     /** Has the door shut behind whoever waits there; true once all of these are among the connections. */
-    private boolean hasLetInAll(long untilUs) throws InterruptedException {
+    private boolean acceptQueued(long untilUs) throws InterruptedException {
         listeningSocket.stopOnceQueueEmpty();
-        return stopped.await(Math.max(0, untilUs - deadlines.now()), TimeUnit.MICROSECONDS);
+        return acceptingStopped.await(Math.max(0, untilUs - deadlines.now()), TimeUnit.MICROSECONDS);
     }
 
     /** Whether what is held has failed for want of time: what becomes whole now could not be answered any more. */
-    boolean isOver() {
-        return isOver;
+    boolean isEndingTimeOver() {
+        return isEndingTimeOver;
     }
 
-    private synchronized boolean isEmptyBy(long lateUs, long untilUs) throws InterruptedException {
-        while (deadlines.now() < lateUs || !connections.isEmpty()) {
+    private synchronized boolean awaitNoConnections(long newClientsUntilUs, long untilUs) throws InterruptedException {
+        while (deadlines.now() < newClientsUntilUs || !connections.isEmpty()) {
             if (deadlines.now() >= untilUs) {
                 return false;
             }
-            wait(PAUSE_MS);
+            wait(RETRY_PAUSE_MS);
         }
         return true;
     }
--- a/sidecar/src/main/java/dapplequay/net/Lifetime.java
+++ b/sidecar/src/main/java/dapplequay/net/Lifetime.java
@@ -19,7 +19,7 @@
         return life.wantsClients();
     }
 
-    synchronized boolean empties() {
+    synchronized boolean isEmptying() {
         return life.empties(clock.getAsLong());
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -301,7 +301,7 @@
                 }
                 ClientListener listener = clientListener;
                 if (listener != null) {
-                    listener.turn();
+                    listener.tick();
                 }
                 headroom.turn(deadlines.await(TURN_US));
                 lookAtHeadroom();
@@ -360,9 +360,9 @@
             listener = clientListener;
         }
         if (listener != null) {
-            boolean handsOver = listener.handsOver();
-            Ending ending = handsOver ? ordered.handingOver() : ordered;
-            LOG.info(handsOver ? "ending: a successor takes the clients"
+            boolean sharesSocket = listener.stopIfShared();
+            Ending ending = sharesSocket ? ordered.handingOver() : ordered;
+            LOG.info(sharesSocket ? "ending: a successor takes the clients"
                     : "ending: who has a connection is still served");
             lifetime.end(ending.serveUs());
             listener.awaitEmpty(now + ending.lateUs(), now + ending.heldUs(), now + ending.closedUs());
--- a/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamSide.java
@@ -119,7 +119,7 @@
         if (endpoint == null) {
             figures.stopped(stoppedBy(attempt));
         }
-        if (endpoint == null || attempt.isUploading() && !attempt.exchange.from.hasRoom()) {
+        if (endpoint == null || attempt.isUploading() && !attempt.exchange.from.isUploadAdmitted()) {
             conductor.attemptEnded(attempt, AttemptEnd.NOT_SENT, null, null, null);
             return;
         }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -178,7 +178,7 @@
                 conductor.cut(facade.tick());
                 deadlines.sweep();
                 if (tellsTurns) {
-                    side.turn();
+                    side.tick();
                 }
                 deadlines.await(10_000);
             }
@@ -197,7 +197,7 @@
 
     /** The timekeeper's turn, by the caller. */
     void turn() {
-        side.turn();
+        side.tick();
     }
 
     /** From now on the timekeeper is not heard of, as in a process that does not get the processor. */
