--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -30,60 +30,60 @@
  * connection stays open for a while. Discovery may have written its answer by then, which makes known what it says, or
  * may yet come to it in its queue. What such an answer takes out counts at once; what it brings in does not.
  */
-final class DiscoveryClient implements Runnable, DiscoveryConnection.Owner {
+final class DiscoveryClient implements Runnable, DiscoveryConnection.Listener {
     private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
     /**
      * A connection that is not there after this, us, is asked for again: what is lost of it is sent anew after a
      * second.
      */
-    private static final long CONNECT_US = 1_000_000;
+    private static final long CONNECT_TIMEOUT_US = 1_000_000;
     /** A superseded call is read for so long, us: by then what it could bring is known in other ways. */
-    static final long SUPERSEDED_US = ListClock.MISSED_US + ListClock.AFTER_WAIT_US;
+    static final long SUPERSEDED_READ_US = ListClock.MISSED_US + ListClock.AFTER_WAIT_US;
     /** More than so many superseded calls are not kept: each holds a descriptor. */
-    static final int MOST_SUPERSEDED = 6;
+    static final int MAX_SUPERSEDED_CALLS = 6;
     /** Calls for a whole list that an answer has made necessary begin at least so long apart, us. */
-    static final long WHOLE_LISTS_APART_US = 1_000_000;
+    static final long WHOLE_LIST_INTERVAL_US = 1_000_000;
     /** For so long, us, after it was heard a version counts: a quiet watch, and as long as an older one is refused. */
-    static final long VERSION_COUNTS_US = ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US
+    static final long VERSION_VALIDITY_US = ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US
             + ServerRegistry.REGRESSION_US;
     private static final long NEVER = Long.MIN_VALUE;
 
     /** A call under way; {@code closeAtUs}: when it is not read any longer, once it is superseded. */
-    private record Call(ListAnswer.Call id, DiscoveryConnection connection, long closeAtUs) {
+    private record Call(ListAnswer.Call listCall, DiscoveryConnection connection, long readUntilUs) {
         Call superseded(long nowUs) {
-            return new Call(id, connection, nowUs + SUPERSEDED_US);
+            return new Call(listCall, connection, nowUs + SUPERSEDED_READ_US);
         }
     }
 
-    private final Endpoints table;
+    private final Endpoints endpoints;
     private final Facade facade;
     private final UpstreamSide upstreams;
     private final Sidecar.Memory memory;
-    private final ListClock clock;
-    private final LongSupplier now;
+    private final ListClock listClock;
+    private final LongSupplier clock;
     private final DiscoveryFigures figures;
 
     // All that follows changes under the lock.
     private InetSocketAddress discovery;
     private boolean hasMoved;                   // since the last call began
     private DiscoveryConnection connection;     // for the next call; null: a new one
-    private Call current;
+    private Call currentCall;
     private final Deque<Call> superseded = new ArrayDeque<>();
-    private int supersededAnswers;              // that were taken over in full
-    private long notBeforeUs = NEVER;
+    private int supersededAnswerCount;              // that were taken over in full
+    private long nextCallNotBeforeUs = NEVER;
     /** When the last call for a whole list began that an answer had made necessary. */
-    private long wholeListUs = NEVER;
-    private String fault;
+    private long lastWholeListCallUs = NEVER;
+    private String lastFault;
     private boolean isEnded;
 
     /** {@code now}: microseconds, never backwards. */
-    DiscoveryClient(InetSocketAddress discovery, Endpoints table, Facade facade, UpstreamSide upstreams,
-            Sidecar.Memory memory, ListClock clock, LongSupplier now, DiscoveryFigures figures) {
+    DiscoveryClient(InetSocketAddress discovery, Endpoints endpoints, Facade facade, UpstreamSide upstreams,
+            Sidecar.Memory memory, ListClock listClock, LongSupplier clock, DiscoveryFigures figures) {
         this.discovery = discovery;
         this.memory = memory;
+        this.listClock = listClock;
         this.clock = clock;
-        this.now = now;
-        this.table = table;
+        this.endpoints = endpoints;
         this.facade = facade;
         this.upstreams = upstreams;
         this.figures = figures;
@@ -94,7 +94,7 @@
         try {
             while (!isEnded()) {
                 awaitNextCall();
-                awaitEnd(begin());
+                awaitCallEnd(beginCall());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -109,39 +109,39 @@
 
     /** Until the next call may begin; a new address is asked at once. */
     private void awaitNextCall() throws InterruptedException {
-        long begunUs = now.getAsLong();
+        long begunUs = clock.getAsLong();
         long pauseUs;
-        int answers;
+        int answersBefore;
         synchronized (this) {
-            pauseUs = clock.longestPauseUs(begunUs);
-            answers = supersededAnswers;
+            pauseUs = listClock.longestPauseUs(begunUs);
+            answersBefore = supersededAnswerCount;
         }
         facade.awaitWatch(pauseUs);
         if (pauseUs != Long.MAX_VALUE) {
-            rest(begunUs + pauseUs, () -> clock.keepsPause() && supersededAnswers == answers);
+            pauseUntil(begunUs + pauseUs, () -> listClock.keepsPause() && supersededAnswerCount == answersBefore);
         }
         synchronized (this) {
-            rest(notBeforeUs, () -> true);
+            pauseUntil(nextCallNotBeforeUs, () -> true);
         }
         awaitMovesApart();
     }
 
-    private synchronized void rest(long untilUs, BooleanSupplier isKept) throws InterruptedException {
-        while (!isEnded && !hasMoved && isKept.getAsBoolean() && waitUntil(untilUs)) {
+    private synchronized void pauseUntil(long untilUs, BooleanSupplier keepsPausing) throws InterruptedException {
+        while (!isEnded && !hasMoved && keepsPausing.getAsBoolean() && waitUntil(untilUs)) {
             continue;
         }
     }
 
     /** Moves in quick succession: what calls for each address would cost a discovery that many ask is kept down. */
     private synchronized void awaitMovesApart() throws InterruptedException {
-        while (!isEnded && hasMoved && waitUntil(clock.moveCallFromUs())) {
+        while (!isEnded && hasMoved && waitUntil(listClock.moveCallFromUs())) {
             continue;
         }
     }
 
     /** Waits until something changes or the time has come; false where it has. Under the lock. */
     private boolean waitUntil(long untilUs) throws InterruptedException {
-        long nowUs = now.getAsLong();
+        long nowUs = clock.getAsLong();
         if (nowUs >= untilUs) {
             return false;
         }
@@ -150,36 +150,36 @@
     }
 
     /** Another address from now on; a call that is out at the old one is superseded. */
-    void moveTo(InetSocketAddress next) {
+    void moveTo(InetSocketAddress newAddress) {
         synchronized (this) {
             notifyAll();            // other settings, too, may end a pause
-            if (next.equals(discovery) || isEnded) {
+            if (newAddress.equals(discovery) || isEnded) {
                 return;
             }
-            LOG.log(Level.INFO, "discovery is at {0} now, {1}", new Object[] {Sockets.text(next),
-                current == null ? "no call was out" : "the call that was out is still read"});
-            discovery = next;
+            LOG.log(Level.INFO, "discovery is at {0} now, {1}", new Object[] {Sockets.text(newAddress),
+                currentCall == null ? "no call was out" : "the call that was out is still read"});
+            discovery = newAddress;
             hasMoved = true;
-            if (current != null) {
+            if (currentCall != null) {
                 supersede();
             } else if (connection != null) {
                 connection.close();
             }
             connection = null;
-            notBeforeUs = NEVER;
-            wholeListUs = NEVER;
-            table.moved();
-            clock.moved();
+            nextCallNotBeforeUs = NEVER;
+            lastWholeListCallUs = NEVER;
+            endpoints.moved();
+            listClock.moved();
         }
         facade.watchAnew();
     }
 
     /** The call under way is not waited for any longer, and still read. */
     private void supersede() {
-        superseded.add(current.superseded(now.getAsLong()));
-        current = null;
+        superseded.add(currentCall.superseded(clock.getAsLong()));
+        currentCall = null;
         connection = null;
-        if (superseded.size() > MOST_SUPERSEDED) {
+        if (superseded.size() > MAX_SUPERSEDED_CALLS) {
             superseded.remove().connection().close();
         }
     }
@@ -190,114 +190,114 @@
         notifyAll();
         superseded.forEach(call -> call.connection().close());
         superseded.clear();
-        current = null;
+        currentCall = null;
         if (connection != null) {
             connection.close();
         }
     }
 
     /** Begins a call; null where it could not, or is not wanted any more. */
-    private synchronized Call begin() {
+    private synchronized Call beginCall() {
         if (isEnded) {
             return null;
         }
         hasMoved = false;
-        long nowUs = now.getAsLong();
-        ListAnswer.Call id = table.nextCall(nowUs);
-        boolean asksForAll = id.after() == ListAnswer.WHOLE_LIST;
-        long waitUs = clock.begin(nowUs, asksForAll);
+        long nowUs = clock.getAsLong();
+        ListAnswer.Call listCall = endpoints.nextCall(nowUs);
+        boolean isWholeList = listCall.after() == ListAnswer.WHOLE_LIST;
+        long waitUs = listClock.begin(nowUs, isWholeList);
         if (connection == null) {
-            connection = new DiscoveryConnection(discovery, this, now);
+            connection = new DiscoveryConnection(discovery, this, clock);
         }
-        current = new Call(id, connection, Long.MAX_VALUE);
-        long connectUs = Math.max(1_000, Math.min(clock.limitUs() - nowUs, CONNECT_US));
+        currentCall = new Call(listCall, connection, Long.MAX_VALUE);
+        long connectUs = Math.max(1_000, Math.min(listClock.limitUs() - nowUs, CONNECT_TIMEOUT_US));
         try {
-            connection.call(asksForAll ? "" : "?after=" + id.after() + "&wait_ms=" + Math.max(1, waitUs / 1_000),
+            connection.call(isWholeList ? "" : "?after=" + listCall.after() + "&wait_ms=" + Math.max(1, waitUs / 1_000),
                     (int) ((connectUs + 999) / 1_000));
         } catch (OutOfMemoryError e) {
-            failed(connection, e, false);       // no thread to be had
+            callFailed(connection, e, false);       // no thread to be had
         }
-        return current;
+        return currentCall;
     }
 
     /** Waits until the call has ended, is superseded, or its time is over. */
-    private synchronized void awaitEnd(Call call) throws InterruptedException {
-        while (call != null && current == call && !isEnded) {
-            if (!waitUntil(clock.limitUs())) {
+    private synchronized void awaitCallEnd(Call call) throws InterruptedException {
+        while (call != null && currentCall == call && !isEnded) {
+            if (!waitUntil(listClock.limitUs())) {
                 supersede();
-                failed(new SocketTimeoutException("no answer in time; it is still read"), false);
+                callFailed(new SocketTimeoutException("no answer in time; it is still read"), false);
             }
         }
     }
 
     @Override
-    public synchronized void answering(DiscoveryConnection its) {
-        if (isCurrent(its)) {
-            clock.answering(now.getAsLong());
+    public synchronized void answerStarted(DiscoveryConnection from) {
+        if (isCurrent(from)) {
+            listClock.answering(clock.getAsLong());
             notifyAll();
         }
     }
 
-    private boolean isCurrent(DiscoveryConnection its) {
-        return current != null && current.connection() == its;
+    private boolean isCurrent(DiscoveryConnection from) {
+        return currentCall != null && currentCall.connection() == from;
     }
 
     @Override
-    public synchronized void answered(DiscoveryConnection its, Endpoints.Update update, long receivedUs,
-            boolean stays) {
-        boolean isCurrent = isCurrent(its);
-        Call call = isCurrent ? current : takeSuperseded(its);
+    public synchronized void answerReceived(DiscoveryConnection from, Endpoints.Update update, long receivedUs,
+            boolean isReusable) {
+        boolean isCurrent = isCurrent(from);
+        Call call = isCurrent ? currentCall : removeSuperseded(from);
         if (call == null || isEnded) {
-            its.close();
+            from.close();
             return;
         }
         // Taken over before anything else is done: a drain counts as told once its bytes came.
         apply(update, call, receivedUs, isCurrent);
         if (isCurrent) {
-            endOfCurrent(call, receivedUs, stays);
+            endOfCurrent(call, receivedUs, isReusable);
         } else {
-            its.close();
+            from.close();
             endOfSuperseded(call);
         }
         notifyAll();
     }
 
-    private void endOfCurrent(Call call, long receivedUs, boolean stays) {
-        current = null;
-        connection = stays ? connection : null;
-        if (table.wantsWholeList()) {
-            boolean first = wholeListUs == NEVER;
-            notBeforeUs = first ? receivedUs + table.pauseBeforeAskingAgainUs(receivedUs)
-                    : wholeListUs + WHOLE_LISTS_APART_US;
-            wholeListUs = Math.max(receivedUs, notBeforeUs);
+    private void endOfCurrent(Call call, long receivedUs, boolean isReusable) {
+        currentCall = null;
+        connection = isReusable ? connection : null;
+        if (endpoints.wantsWholeList()) {
+            boolean isFirst = lastWholeListCallUs == NEVER;
+            nextCallNotBeforeUs = isFirst ? receivedUs + endpoints.pauseBeforeAskingAgainUs(receivedUs)
+                    : lastWholeListCallUs + WHOLE_LIST_INTERVAL_US;
+            lastWholeListCallUs = Math.max(receivedUs, nextCallNotBeforeUs);
         } else {
-            notBeforeUs = clock.watchFromUs(receivedUs);
-            wholeListUs = wholeListUs != NEVER && receivedUs - wholeListUs > WHOLE_LISTS_APART_US ? NEVER : wholeListUs;
+            nextCallNotBeforeUs = listClock.watchFromUs(receivedUs);
+            lastWholeListCallUs = lastWholeListCallUs != NEVER && receivedUs - lastWholeListCallUs > WHOLE_LIST_INTERVAL_US ? NEVER : lastWholeListCallUs;
         }
-        heard();
+        heardFromDiscovery();
     }
 
     /** An answer that came late of where discovery still is: nothing was missed. */
     private void endOfSuperseded(Call call) {
-        if (call.id().generation() == table.nextCall(0).generation()) {
-            heard();
-            supersededAnswers++;
+        if (call.listCall().generation() == endpoints.nextCall(0).generation()) {
+            heardFromDiscovery();
+            supersededAnswerCount++;
             facade.watchAnew();
         }
     }
 
-    private void heard() {
-        clock.heard();
-        if (fault != null) {
-            fault = null;
+    private void heardFromDiscovery() {
+        listClock.heard();
+        if (lastFault != null) {
+            lastFault = null;
             LOG.info("discovery answers again");
         }
     }
 
-    private Call takeSuperseded(DiscoveryConnection its) {
+    private Call removeSuperseded(DiscoveryConnection from) {
         for (Iterator<Call> calls = superseded.iterator(); calls.hasNext(); ) {
             Call call = calls.next();
-            if (call.connection() == its) {
+            if (call.connection() == from) {
                 calls.remove();
                 return call;
             }
@@ -306,27 +306,27 @@
     }
 
     @Override
-    public synchronized void failed(DiscoveryConnection its, Throwable failure, boolean answered) {
-        if (isCurrent(its) && !isEnded) {
-            current = null;
+    public synchronized void callFailed(DiscoveryConnection from, Throwable failure, boolean gotAnswer) {
+        if (isCurrent(from) && !isEnded) {
+            currentCall = null;
             connection = null;
-            failed(failure, answered);
+            callFailed(failure, gotAnswer);
             notifyAll();
-        } else if (takeSuperseded(its) != null) {
+        } else if (removeSuperseded(from) != null) {
             LOG.log(Level.FINE, "superseded discovery call at {0} ended: {1}",
-                    new Object[] {Sockets.text(its.address()), failure});
+                    new Object[] {Sockets.text(from.address()), failure});
         }
     }
 
-    private void failed(Throwable failure, boolean answered) {
+    private void callFailed(Throwable failure, boolean gotAnswer) {
         String text = failure.toString();
-        if (!text.equals(fault)) {              // one line a cause: an agent is asked again very soon
-            fault = text;
+        if (!text.equals(lastFault)) {              // one line a cause: an agent is asked again very soon
+            lastFault = text;
             LOG.log(Level.WARNING, "discovery call failed: {0}", text);
         }
         if (!(failure instanceof SocketTimeoutException)) {
-            clock.failed(now.getAsLong(), answered);
-        } else if (clock.silent()) {
+            listClock.failed(clock.getAsLong(), gotAnswer);
+        } else if (listClock.silent()) {
             return;             // what it may have missed counts soon: the next one is not put off
         }
         facade.news(ListNews.failed());
@@ -337,23 +337,23 @@
 
     /** Takes in an answer: the table first, which is asked at each write, then the module. */
     private void apply(Endpoints.Update update, Call call, long receivedUs, boolean isCurrent) {
-        boolean wasRegressed = table.isRegressed();
-        long known = table.revision();
-        Endpoints.Applied applied = table.apply(update, call.id(), receivedUs, clock.graceLeftUs(receivedUs));
-        if (table.isRegressed() && !wasRegressed) {
+        boolean wasRegressed = endpoints.isRegressed();
+        long knownRevision = endpoints.revision();
+        Endpoints.Applied applied = endpoints.apply(update, call.listCall(), receivedUs, listClock.graceLeftUs(receivedUs));
+        if (endpoints.isRegressed() && !wasRegressed) {
             LOG.log(Level.WARNING, "a list with version {0}, older than {1}: what it brings back does not count yet",
-                    new Object[] {Long.toString(update.revision()), Long.toString(known)});
+                    new Object[] {Long.toString(update.revision()), Long.toString(knownRevision)});
         }
-        tellOfDoubt(applied.outcome());
+        logUnconfirmed(applied.outcome());
         boolean isNews = isCurrent || !applied.outcome().news().lines().isEmpty();
-        take(applied, isNews);
+        applyToModule(applied, isNews);
         String source = "version " + update.revision() + " of " + Sockets.text(call.connection().address())
                 + (isCurrent ? "" : ", on a superseded call") + ", asked for "
-                + (receivedUs - call.id().begunUs()) / 1_000 + " ms before";
-        tell(applied.outcome(), source);
+                + (receivedUs - call.listCall().begunUs()) / 1_000 + " ms before";
+        logAndCount(applied.outcome(), source);
     }
 
-    private static void tellOfDoubt(Outcome outcome) {
+    private static void logUnconfirmed(Outcome outcome) {
         long unconfirmed = outcome.count(Transition.Cause.LEFT_OUT, ServerStatus.UNCONFIRMED);
         if (unconfirmed > 0) {
             LOG.log(Level.WARNING, "a list without {0} servers that served is asked for again before it counts",
@@ -365,21 +365,21 @@
         }
     }
 
-    private void take(Endpoints.Applied applied, boolean isNews) {
+    private void applyToModule(Endpoints.Applied applied, boolean isNews) {
         try {
             if (isNews) {
                 facade.news(applied.outcome().news());
             }
         } catch (RuntimeException e) {
-            table.wantWholeList();
+            endpoints.wantWholeList();
             throw e;
         } finally {
             upstreams.closeIdle(applied.closed());
         }
-        memory.keep().accept(() -> Json.text(table.tree()));
+        memory.keep().accept(() -> Json.text(endpoints.tree()));
     }
 
-    private void tell(Outcome outcome, String source) {
+    private void logAndCount(Outcome outcome, String source) {
         TransitionLog.count(outcome, figures);
         if (!outcome.transitions().isEmpty()) {
             LOG.info(() -> TransitionLog.text(outcome, source));
@@ -387,19 +387,19 @@
     }
 
     /** How many superseded calls are still read. */
-    synchronized int superseded() {
+    synchronized int supersededCount() {
         return superseded.size();
     }
 
     /** To be called at each turn of the timekeeper's: ends superseded calls, and what may be used no longer. */
-    synchronized void turn(long nowUs) {
-        while (!superseded.isEmpty() && superseded.peek().closeAtUs() <= nowUs) {
+    synchronized void tick(long nowUs) {
+        while (!superseded.isEmpty() && superseded.peek().readUntilUs() <= nowUs) {
             superseded.remove().connection().close();
         }
-        Endpoints.Applied applied = table.expire(nowUs);
+        Endpoints.Applied applied = endpoints.expire(nowUs);
         if (!applied.outcome().transitions().isEmpty()) {
-            take(applied, true);
-            tell(applied.outcome(), "nothing confirmed or denied it in time");
+            applyToModule(applied, true);
+            logAndCount(applied.outcome(), "nothing confirmed or denied it in time");
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
@@ -18,34 +18,34 @@
  */
 final class DiscoveryConnection implements Runnable {
     /** Hears how calls end, on the connection's thread. */
-    interface Owner {
+    interface Listener {
         /** The first byte of an answer has come. */
-        void answering(DiscoveryConnection connection);
+        void answerStarted(DiscoveryConnection connection);
 
         /** An answer was read whole at that time; {@code stays}: another call may follow on this connection. */
-        void answered(DiscoveryConnection connection, Endpoints.Update update, long receivedUs, boolean stays);
+        void answerReceived(DiscoveryConnection connection, Endpoints.Update update, long receivedUs, boolean isReusable);
 
         /** The call failed, and with it the connection; {@code answered}: by an answer that can't be used. */
-        void failed(DiscoveryConnection connection, Throwable failure, boolean answered);
+        void callFailed(DiscoveryConnection connection, Throwable failure, boolean gotAnswer);
     }
 
     private final InetSocketAddress address;
-    private final Owner owner;
-    private final LongSupplier now;
+    private final Listener listener;
+    private final LongSupplier clock;
     private final Socket socket = new Socket();
     private MessageReader reader;
-    private boolean answerHasBegun;
-    private boolean hasAnswered;
+    private boolean hasAnswerStarted;
+    private boolean gotAnswer;
     private boolean isStarted;
-    private String query;
-    private int connectWithinMs;
+    private String pendingQuery;
+    private int connectTimeoutMs;
     private boolean isClosed;
 
     /** {@code now}: microseconds, never backwards. */
-    DiscoveryConnection(InetSocketAddress address, Owner owner, LongSupplier now) {
+    DiscoveryConnection(InetSocketAddress address, Listener listener, LongSupplier clock) {
         this.address = address;
-        this.owner = owner;
-        this.now = now;
+        this.listener = listener;
+        this.clock = clock;
     }
 
     InetSocketAddress address() {
@@ -53,9 +53,9 @@
     }
 
     /** Makes a call, the one before being over; {@code itsQuery}: with its question mark, or empty. */
-    synchronized void call(String itsQuery, int itsConnectWithinMs) {
-        query = itsQuery;
-        connectWithinMs = itsConnectWithinMs;
+    synchronized void call(String callQuery, int timeoutMs) {
+        pendingQuery = callQuery;
+        connectTimeoutMs = timeoutMs;
         if (!isStarted) {
             isStarted = true;
             Thread thread = new Thread(this, "discovery " + Sockets.text(address));
@@ -77,15 +77,15 @@
     @Override
     public void run() {
         try {
-            String next = awaitCall();
+            String callQuery = awaitCall();
             connect();
-            while (next != null) {
-                exchange(next);
-                next = awaitCall();
+            while (callQuery != null) {
+                makeCall(callQuery);
+                callQuery = awaitCall();
             }
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
             Sockets.close(socket);
-            owner.failed(this, e, hasAnswered);
+            listener.callFailed(this, e, gotAnswer);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -94,38 +94,38 @@
     }
 
     private void connect() throws IOException {
-        socket.connect(address, connectWithinMs);
+        socket.connect(address, connectTimeoutMs);
         socket.setTcpNoDelay(true);
         reader = new MessageReader(new AnswerInput(socket.getInputStream()), MessageReader.MAX_LIST);
     }
 
     /** Null where the connection was closed. */
     private synchronized String awaitCall() throws InterruptedException {
-        while (query == null && !isClosed) {
+        while (pendingQuery == null && !isClosed) {
             wait();
         }
-        String next = isClosed ? null : query;
-        query = null;
-        return next;
+        String callQuery = isClosed ? null : pendingQuery;
+        pendingQuery = null;
+        return callQuery;
     }
 
-    private void exchange(String itsQuery) throws IOException {
-        hasAnswered = false;
-        answerHasBegun = false;
-        String request = "GET /v1/servers" + itsQuery + " HTTP/1.1\r\nHost: " + Sockets.text(address) + "\r\n\r\n";
+    private void makeCall(String callQuery) throws IOException {
+        gotAnswer = false;
+        hasAnswerStarted = false;
+        String request = "GET /v1/servers" + callQuery + " HTTP/1.1\r\nHost: " + Sockets.text(address) + "\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         Head head = reader.response();
         byte[] body = reader.responseBody(head);
-        long receivedUs = now.getAsLong();
+        long receivedUs = clock.getAsLong();
         if (!head.start[1].equals("200")) {
             throw new IOException("discovery answered " + head.start[1]);
         }
-        hasAnswered = true;
+        gotAnswer = true;
         Endpoints.Update update = Endpoints.read(body);
         // Bytes that nobody asked for would be read as the next answer.
-        boolean stays = !head.closes(head.start[0]) && !MessageReader.lastsToTheEnd(head) && !reader.hasBytes();
-        owner.answered(this, update, receivedUs, stays);
-        if (!stays) {
+        boolean isReusable = !head.closes(head.start[0]) && !MessageReader.lastsToTheEnd(head) && !reader.hasBytes();
+        listener.answerReceived(this, update, receivedUs, isReusable);
+        if (!isReusable) {
             close();
         }
     }
@@ -139,9 +139,9 @@
         @Override
         public int read(byte[] into, int from, int length) throws IOException {
             int count = super.read(into, from, length);
-            if (count > 0 && !answerHasBegun) {
-                answerHasBegun = true;
-                owner.answering(DiscoveryConnection.this);
+            if (count > 0 && !hasAnswerStarted) {
+                hasAnswerStarted = true;
+                listener.answerStarted(DiscoveryConnection.this);
             }
             return count;
         }
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -30,7 +30,7 @@
 public final class Sidecar {
     private static final Logger LOG = Logger.getLogger(Sidecar.class.getName());
     /** Descriptors kept for the program itself, the listener and discovery; the JVM has two dozen open. */
-    private static final int OWN_DESCRIPTORS = 32 + DiscoveryClient.MOST_SUPERSEDED;
+    private static final int OWN_DESCRIPTORS = 32 + DiscoveryClient.MAX_SUPERSEDED_CALLS;
     /** Clients' share of the others. */
     private static final double CLIENT_SHARE = 0.55;
     /** Of all descriptors: once clients hold so many there is a crowd. */
@@ -131,7 +131,7 @@
 
     /** For so long after it was heard, us, a kept list's version counts. */
     public static long versionCountsUs() {
-        return DiscoveryClient.VERSION_COUNTS_US;
+        return DiscoveryClient.VERSION_VALIDITY_US;
     }
 
     /** One that keeps nothing. */
@@ -294,7 +294,7 @@
             try {
                 conductor.cut(facade.tick());
                 deadlines.sweep();
-                discovery.turn(deadlines.now());
+                discovery.tick(deadlines.now());
                 threads.turn();
                 if (management != null && turn % PASSED_OVER_TURNS == 0) {
                     passedOver = facade.passedOver();
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -283,7 +283,7 @@
     @Test
     void fewSupersededCallsAreKept() throws Exception {
         List<Host> hosts = new ArrayList<>();
-        for (int i = 0; i < DiscoveryClient.MOST_SUPERSEDED + 3; i++) {
+        for (int i = 0; i < DiscoveryClient.MAX_SUPERSEDED_CALLS + 3; i++) {
             hosts.add(silent());
         }
         start(hosts.get(0), 250_000);
@@ -293,9 +293,9 @@
             discoveryClient.moveTo(at(host));
             host.next();
         }
-        assertThat(discoveryClient.superseded()).isEqualTo(DiscoveryClient.MOST_SUPERSEDED);
-        discoveryClient.turn(clock.get() + DiscoveryClient.SUPERSEDED_US);
-        assertThat(discoveryClient.superseded()).isZero();
+        assertThat(discoveryClient.supersededCount()).isEqualTo(DiscoveryClient.MAX_SUPERSEDED_CALLS);
+        discoveryClient.tick(clock.get() + DiscoveryClient.SUPERSEDED_READ_US);
+        assertThat(discoveryClient.supersededCount()).isZero();
     }
 
     @Test
