--- a/sidecar/src/main/java/dapplequay/cli/Config.java
+++ b/sidecar/src/main/java/dapplequay/cli/Config.java
@@ -22,12 +22,12 @@
     private Config() { }
 
     /** SettingsException, with one plain line, where the configuration is no good. */
-    static Sidecar.Plan read(Path file, Map<String, String> environment) {
+    static Sidecar.Options read(Path file, Map<String, String> environment) {
         return read(file.toString(), fields(file), environment);
     }
 
     /** The same of a file that has been read. */
-    static Sidecar.Plan read(String place, Map<?, ?> fields, Map<String, String> environment) {
+    static Sidecar.Options read(String place, Map<?, ?> fields, Map<String, String> environment) {
         return plan(place, fields, environment, environment.get("EDGE_DISCOVERY"));
     }
 
@@ -35,7 +35,7 @@
      * The same for a file that replaces the one read before: where discovery is, it says alone, as the environment
      * stays as it was. What {@code before} has, it has to have too, but for a list that was kept.
      */
-    static Sidecar.Plan reread(String place, Map<?, ?> fields, Map<?, ?> before, Map<String, String> environment) {
+    static Sidecar.Options reread(String place, Map<?, ?> fields, Map<?, ?> before, Map<String, String> environment) {
         Map<Object, Object> wanted = new LinkedHashMap<>(before);
         wanted.remove("known");
         String missing = Completeness.missing(wanted, fields);
@@ -45,11 +45,11 @@
         return plan(place, fields, environment, null);
     }
 
-    private static Sidecar.Plan plan(String place, Map<?, ?> fields, Map<String, String> environment,
+    private static Sidecar.Options plan(String place, Map<?, ?> fields, Map<String, String> environment,
                                      String discovery) {
         String management = environment.get("EDGE_MANAGEMENT");
         boolean managed = fields.get("management") != null || management != null && !management.isEmpty();
-        return new Sidecar.Plan(address(place, fields, "listen", environment.get("EDGE_LISTEN")),
+        return new Sidecar.Options(address(place, fields, "listen", environment.get("EDGE_LISTEN")),
                 managed ? address(place, fields, "management", management) : null,
                 address(place, fields, "discovery", discovery), seed(place, fields), cores(place, fields),
                 limit(place, fields, "sockets", SOCKETS), limit(place, fields, "memory_mb", MEMORY_MB),
--- a/sidecar/src/main/java/dapplequay/cli/KeptState.java
+++ b/sidecar/src/main/java/dapplequay/cli/KeptState.java
@@ -31,7 +31,7 @@
     }
 
     /** The sidecar, not started yet; IOException where the platform's list is no good. */
-    Sidecar begin(Sidecar.Plan plan) throws IOException {
+    Sidecar begin(Sidecar.Options plan) throws IOException {
         if (path == null) {
             return new Sidecar(plan);
         }
@@ -40,7 +40,7 @@
         Object tree = kept == null ? null : tree(kept);
         long now = clock.getAsLong();
         Beginning.Known own = tree == null ? null : new Beginning.Known(revision(tree), kept.takenUs());
-        Beginning beginning = Beginning.choose(revision(plan.known()), own, now, Sidecar.versionCountsUs());
+        Beginning beginning = Beginning.choose(revision(plan.knownList()), own, now, Sidecar.versionCountsUs());
         Sidecar.Memory memory = new Sidecar.Memory(beginning.binds(), folder::keep);
         if (beginning.from() != Beginning.From.KEPT) {
             return new Sidecar(plan, memory);
@@ -49,7 +49,7 @@
             (now - kept.takenUs()) / 1_000_000, revision(tree).toString(),
             beginning.binds() ? "" : "; discovery may be older"});
         try {
-            return new Sidecar(plan.beginningWith(tree), memory);
+            return new Sidecar(plan.withKnownList(tree), memory);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "the kept list is no good here and not used: {0}", e.toString());
             return new Sidecar(plan, new Sidecar.Memory(false, folder::keep));
--- a/sidecar/src/main/java/dapplequay/cli/Main.java
+++ b/sidecar/src/main/java/dapplequay/cli/Main.java
@@ -85,7 +85,7 @@
             return operators == null ? Operators.NONE : Operators.read(Path.of(operators));
         }
 
-        Sidecar.Plan plan(Map<String, String> environment) {
+        Sidecar.Options plan(Map<String, String> environment) {
             return Config.read(file(environment), environment);
         }
     }
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -30,17 +30,17 @@
 public final class Sidecar {
     private static final Logger LOG = Logger.getLogger(Sidecar.class.getName());
     /** Descriptors kept for the program itself, the listener and discovery; the JVM has two dozen open. */
-    private static final int OWN_DESCRIPTORS = 32 + DiscoveryClient.MAX_SUPERSEDED_CALLS;
+    private static final int RESERVED_DESCRIPTORS = 32 + DiscoveryClient.MAX_SUPERSEDED_CALLS;
     /** Clients' share of the others. */
     private static final double CLIENT_SHARE = 0.55;
     /** Of all descriptors: once clients hold so many there is a crowd. */
-    private static final double CROWD_SHARE = 0.25;
+    private static final double CROWD_SHARE_OF_DESCRIPTORS = 0.25;
     /** The same of the clients that there may be, for a process that may hold far fewer as it has half of all. */
-    private static final double CROWDED = 0.75;
+    private static final double CROWD_SHARE_OF_CLIENTS = 0.75;
     /** What the process takes without connections, and each of these with its thread and its buffer. */
-    private static final double BASE_MB = 75;
-    private static final double CONNECTION_MB = 0.11;
-    private static final int FEWEST = 4;
+    private static final double BASE_MEMORY_MB = 75;
+    private static final double MEMORY_PER_CONNECTION_MB = 0.11;
+    private static final int MIN_LIMIT = 4;
     private static final int UPLOADS_PER_CORE = 64;
     private static final long TURN_US = 10_000;
     /** Between two looks at the processor time that was used, us: it is counted in steps of 10 ms. */
@@ -50,7 +50,7 @@
 
     private final Deadlines deadlines;
     private final Facade facade;
-    private final Plan plan;
+    private final Options options;
     private final Conductor conductor;
     private final Endpoints table;
     private final DiscoveryClient discovery;
@@ -78,46 +78,46 @@
      * What a start needs. {@code known} is a tree in discovery's form, or null where none was kept; {@code management}
      * is the second address, or null where there is none.
      */
-    public record Plan(InetSocketAddress listen, InetSocketAddress management, InetSocketAddress discovery, long seed,
-                       double cores, int sockets, int memoryMb, Object known, Setup setup, boolean inherits) {
+    public record Options(InetSocketAddress listen, InetSocketAddress management, InetSocketAddress discovery, long seed,
+                       double cores, int sockets, int memoryMb, Object knownList, Setup setup, boolean inheritsListener) {
         /** The same with another list to begin with. */
-        public Plan beginningWith(Object list) {
-            return new Plan(listen, management, discovery, seed, cores, sockets, memoryMb, list, setup, inherits);
+        public Options withKnownList(Object list) {
+            return new Options(listen, management, discovery, seed, cores, sockets, memoryMb, list, setup, inheritsListener);
         }
 
         /**
          * Connections of both sides together that the limits allow this process. Where it shares its door, it has half
          * of what is left for two: neither knows of the other, and idle clients fill what each takes.
          */
-        int mostConnections() {
-            int processes = inherits ? 2 : 1;
-            double byMemory = (memoryMb - processes * BASE_MB) / CONNECTION_MB;
-            int own = OWN_DESCRIPTORS + (management == null ? 0 : ManagementSide.DESCRIPTORS);
-            return (int) Math.max(FEWEST, Math.min(sockets - processes * own, byMemory) / processes);
+        int maxConnections() {
+            int processes = inheritsListener ? 2 : 1;
+            double byMemory = (memoryMb - processes * BASE_MEMORY_MB) / MEMORY_PER_CONNECTION_MB;
+            int reservedDescriptors = RESERVED_DESCRIPTORS + (management == null ? 0 : ManagementSide.DESCRIPTORS);
+            return (int) Math.max(MIN_LIMIT, Math.min(sockets - processes * reservedDescriptors, byMemory) / processes);
         }
 
         /** Of clients. */
-        int mostClients() {
-            return (int) (mostConnections() * CLIENT_SHARE);
+        int maxClients() {
+            return (int) (maxConnections() * CLIENT_SHARE);
         }
 
         /** From so many clients on there is a crowd. */
-        int crowd() {
-            int crowd = (int) (sockets * CROWD_SHARE);
-            return inherits ? Math.min(crowd, (int) (mostClients() * CROWDED)) : crowd;
+        int crowdThreshold() {
+            int crowdThreshold = (int) (sockets * CROWD_SHARE_OF_DESCRIPTORS);
+            return inheritsListener ? Math.min(crowdThreshold, (int) (maxClients() * CROWD_SHARE_OF_CLIENTS)) : crowdThreshold;
         }
 
         /**
          * Long requests that may come at once. Each holds two connections with their threads for as long as its client
          * needs, and where a process is held to a share of a core, each thread costs some of that share.
          */
-        int mostUploads() {
-            return Math.max(FEWEST, (int) (cores * UPLOADS_PER_CORE));
+        int maxUploads() {
+            return Math.max(MIN_LIMIT, (int) (cores * UPLOADS_PER_CORE));
         }
 
         /** To upstreams. */
-        int mostUpstreams() {
-            return mostConnections() - mostClients();
+        int maxUpstreams() {
+            return maxConnections() - maxClients();
         }
     }
 
@@ -135,55 +135,55 @@
     }
 
     /** One that keeps nothing. */
-    public Sidecar(Plan plan) throws IOException {
-        this(plan, Memory.NONE);
+    public Sidecar(Options options) throws IOException {
+        this(options, Memory.NONE);
     }
 
     /** Listens at no address yet; IOException where the known list is no good. */
-    public Sidecar(Plan plan, Memory memory) throws IOException {
-        this(plan, memory, () -> plan.inherits() ? new ListeningSocket.Inherited() : new ListeningSocket.Owned(plan.listen()));
+    public Sidecar(Options options, Memory memory) throws IOException {
+        this(options, memory, () -> options.inheritsListener() ? new ListeningSocket.Inherited() : new ListeningSocket.Owned(options.listen()));
     }
 
     /** With another way to open the door, as tests have it. */
-    Sidecar(Plan plan, Memory memory, ListeningSocket.Opener opener) throws IOException {
-        this.plan = plan;
+    Sidecar(Options options, Memory memory, ListeningSocket.Opener opener) throws IOException {
+        this.options = options;
         this.opener = opener;
         UnixClock clock = new UnixClock();
         deadlines = new Deadlines(clock);
-        setup = plan.setup();
-        facade = new Facade(setup, plan.seed(), clock, Sidecar::tell);
+        setup = options.setup();
+        facade = new Facade(setup, options.seed(), clock, Sidecar::tell);
         lifetime = new Lifetime(clock);
-        headroom = new Headroom(plan.cores());
+        headroom = new Headroom(options.cores());
         threads = new ThreadReserve(clock);
         counts.know(setup.classes().keySet());
-        table = restored(plan, facade, memory.binds());
-        upstreams = new UpstreamSide(table, deadlines, () -> setup, plan.mostUpstreams(), counts, figures);
+        table = restored(options, facade, memory.binds());
+        upstreams = new UpstreamSide(table, deadlines, () -> setup, options.maxUpstreams(), counts, figures);
         conductor = new Conductor(facade, upstreams);
         upstreams.conductor(conductor);
         upstreams.onThreadShortage(threads::shortage);
-        ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(plan.seed()));
-        discovery = new DiscoveryClient(plan.discovery(), table, facade, upstreams, memory, listClock, clock, figures);
+        ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(options.seed()));
+        discovery = new DiscoveryClient(options.discovery(), table, facade, upstreams, memory, listClock, clock, figures);
     }
 
     private static void tell(String line) {
         LOG.log(line.startsWith(Facade.FAULT) ? Level.SEVERE : Level.INFO, "{0}", line);
     }
 
-    private static Endpoints restored(Plan plan, Facade facade, boolean binds) throws IOException {
+    private static Endpoints restored(Options options, Facade facade, boolean binds) throws IOException {
         Endpoints table = new Endpoints(!binds);
         List<ListNews.Line> lines = List.of();
-        if (plan.known() != null) {
-            Endpoints.Update known = Endpoints.read(plan.known());
-            table.restore(known);
-            lines = known.news().lines();
+        if (options.knownList() != null) {
+            Endpoints.Update knownList = Endpoints.read(options.knownList());
+            table.restore(knownList);
+            lines = knownList.news().lines();
         }
         facade.news(new ListNews(ListNews.Kind.RESTORED, lines));
         return table;
     }
 
     /** Whether a sidecar could be made of this, as far as that shows without listening. */
-    public static void check(Plan plan) throws IOException {
-        restored(plan, new Facade(plan.setup(), plan.seed(), new UnixClock(), Sidecar::tell), false);
+    public static void check(Options options) throws IOException {
+        restored(options, new Facade(options.setup(), options.seed(), new UnixClock(), Sidecar::tell), false);
     }
 
     public InetSocketAddress address() {
@@ -202,18 +202,18 @@
      */
     public void start() throws IOException {
         daemon(this::keepTime, "timekeeper");
-        if (plan.management() != null) {
-            management = new ManagementSide(plan.management(), deadlines, new Service());
+        if (options.management() != null) {
+            management = new ManagementSide(options.management(), deadlines, new Service());
             daemon(management, "management");
         }
-        new WarmUp(plan.setup(), deadlines).run();
+        new WarmUp(options.setup(), deadlines).run();
         synchronized (opening) {
             if (endingSinceUs != 0) {
                 LOG.info("told to end before it served");
                 return;
             }
             clientListener = new ClientListener(opener.open(), () -> setup, facade, conductor, deadlines, counts, lifetime,
-                    headroom, plan.mostClients(), plan.crowd(), plan.mostUploads(), threads);
+                    headroom, options.maxClients(), options.crowdThreshold(), options.maxUploads(), threads);
             daemon(discovery, "discovery");
             new Thread(clientListener, "listener").start();
             lifetime.listening();
@@ -264,22 +264,22 @@
      * IllegalArgumentException, and nothing is changed, where the settings make no sense here. Returns what differs
      * and takes a restart.
      */
-    public List<String> retune(Plan next) {
-        facade.retune(next.setup());            // before the clients' side: no class is let in that is not known
-        counts.know(next.setup().classes().keySet());
-        setup = next.setup();
-        discovery.moveTo(next.discovery());
-        List<String> kept = new ArrayList<>();
-        if (!next.listen().equals(plan.listen())) {
-            kept.add("listen");
+    public List<String> retune(Options newOptions) {
+        facade.retune(newOptions.setup());            // before the clients' side: no class is let in that is not known
+        counts.know(newOptions.setup().classes().keySet());
+        setup = newOptions.setup();
+        discovery.moveTo(newOptions.discovery());
+        List<String> restartFields = new ArrayList<>();
+        if (!newOptions.listen().equals(options.listen())) {
+            restartFields.add("listen");
         }
-        if (!Objects.equals(next.management(), plan.management())) {
-            kept.add("management");
+        if (!Objects.equals(newOptions.management(), options.management())) {
+            restartFields.add("management");
         }
-        if (next.sockets() != plan.sockets() || next.memoryMb() != plan.memoryMb()) {
-            kept.add("limits");
+        if (newOptions.sockets() != options.sockets() || newOptions.memoryMb() != options.memoryMb()) {
+            restartFields.add("limits");
         }
-        return kept;
+        return restartFields;
     }
 
     private static void daemon(Runnable work, String name) {
--- a/sidecar/src/test/java/dapplequay/net/BrokenAnswersTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BrokenAnswersTest.java
@@ -52,7 +52,7 @@
         Map<?, ?> example = (Map<?, ?>) Json.parse(text.getBytes(StandardCharsets.UTF_8));
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         String list = "{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}";
-        Sidecar sidecar = new Sidecar(new Sidecar.Plan(any, null, new InetSocketAddress(any.getAddress(), 1), 7, 1,
+        Sidecar sidecar = new Sidecar(new Sidecar.Options(any, null, new InetSocketAddress(any.getAddress(), 1), 7, 1,
                 1024, 192, Json.parse(list.getBytes(StandardCharsets.UTF_8)),
                 SettingsReader.of(example.get("settings"), "example"), false));
         sidecar.start();
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -77,10 +77,10 @@
         return sidecar;
     }
 
-    private Sidecar.Plan plan(String text) throws IOException {
+    private Sidecar.Options plan(String text) throws IOException {
         Map<?, ?> example = (Map<?, ?>) Json.parse(text.getBytes());
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return new Sidecar.Plan(any, isManaged ? any : null, discoveryAt, 7, 1, sockets, 192, Json.parse(known.getBytes()),
+        return new Sidecar.Options(any, isManaged ? any : null, discoveryAt, 7, 1, sockets, 192, Json.parse(known.getBytes()),
                 SettingsReader.of(example.get("settings"), "example"), false);
     }
 
@@ -344,7 +344,7 @@
     @ParameterizedTest
     @CsvSource({"256,128,218", "1024,192,986", "1024,86,100", "384,32,4"})
     void connectionsFitTheLimits(int sockets, int memoryMb, int most) {
-        assertThat(new Sidecar.Plan(null, null, null, 0, 1, sockets, memoryMb, null, null, false).mostConnections()).isEqualTo(most);
+        assertThat(new Sidecar.Options(null, null, null, 0, 1, sockets, memoryMb, null, null, false).maxConnections()).isEqualTo(most);
     }
 
     @Test
--- a/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
@@ -33,7 +33,7 @@
     private static final Ending ENDING = new Ending(100_000, 200_000, 20_000_000);
     private final AtomicInteger calls = new AtomicInteger();
 
-    private static Sidecar.Plan plan(int... ports) throws Exception {
+    private static Sidecar.Options plan(int... ports) throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
         StringBuilder targets = new StringBuilder();
         for (int i = 0; i < ports.length; i++) {
@@ -41,7 +41,7 @@
                     .append(ports[i]).append("\",\"az\":\"north\",\"pod_group\":1,\"state\":\"SERVING\","
                             + "\"capacity_hint\":1,\"boot_ms\":0}");
         }
-        return new Sidecar.Plan(ANY, null, new InetSocketAddress(ANY.getAddress(), 1), 7, 1, 1024, 192,
+        return new Sidecar.Options(ANY, null, new InetSocketAddress(ANY.getAddress(), 1), 7, 1, 1024, 192,
                 Json.parse(("{\"rev\":5,\"all\":true,\"targets\":[" + targets + "]}").getBytes()),
                 SettingsReader.of(example.get("settings"), "example"), false);
     }
