--- a/sidecar/src/main/java/dapplequay/cli/KeptState.java
+++ b/sidecar/src/main/java/dapplequay/cli/KeptState.java
@@ -40,8 +40,8 @@
         Object tree = kept == null ? null : tree(kept);
         long now = clock.getAsLong();
         Beginning.Known own = tree == null ? null : new Beginning.Known(revision(tree), kept.takenUs());
-        Beginning beginning = Beginning.choose(revision(plan.knownList()), own, now, Sidecar.versionCountsUs());
-        Sidecar.Memory memory = new Sidecar.Memory(beginning.binds(), folder::keep);
+        Beginning beginning = Beginning.choose(revision(plan.knownList()), own, now, Sidecar.versionValidityUs());
+        Sidecar.ListPersistence memory = new Sidecar.ListPersistence(beginning.binds(), folder::keep);
         if (beginning.from() != Beginning.From.KEPT) {
             return new Sidecar(plan, memory);
         }
@@ -52,7 +52,7 @@
             return new Sidecar(plan.withKnownList(tree), memory);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "the kept list is no good here and not used: {0}", e.toString());
-            return new Sidecar(plan, new Sidecar.Memory(false, folder::keep));
+            return new Sidecar(plan, new Sidecar.ListPersistence(false, folder::keep));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/cli/Main.java
+++ b/sidecar/src/main/java/dapplequay/cli/Main.java
@@ -107,7 +107,7 @@
             Map<?, ?> fields = Config.fields(file);
             KeptState state = KeptState.in(operators().stateFolder());
             Sidecar sidecar = state.begin(Config.read(file.toString(), fields, environment));
-            OrderlyExit exit = new OrderlyExit(() -> sidecar.endsWithinUs() / 1_000, List.of(sidecar::end, state::end));
+            OrderlyExit exit = new OrderlyExit(() -> sidecar.maxEndingUs() / 1_000, List.of(sidecar::end, state::end));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 exit.run();
                 Logs.awaitWritten(LAST_LINES_MS);
--- a/sidecar/src/main/java/dapplequay/cli/Reload.java
+++ b/sidecar/src/main/java/dapplequay/cli/Reload.java
@@ -30,14 +30,14 @@
     synchronized void run() {
         try {
             Map<?, ?> fields = Config.fields(file);
-            List<String> kept = sidecar.retune(Config.reread(file.toString(), fields, taken, environment));
+            List<String> kept = sidecar.reload(Config.reread(file.toString(), fields, taken, environment));
             taken = fields;
-            sidecar.configurationRead(true);
+            sidecar.recordReload(true);
             LOG.info("configuration read again" + (kept.isEmpty() ? "" : "; these take a restart: "
                     + String.join(", ", kept)));
         } catch (RuntimeException | OutOfMemoryError | StackOverflowError e) {
             // Also a file too large or too deep to be read: the thread that watches the file must live on.
-            sidecar.configurationRead(false);
+            sidecar.recordReload(false);
             LOG.log(Level.WARNING, "configuration kept as it was: {0}",
                     String.valueOf(e.getMessage()).contains(file.toString()) ? e.getMessage()
                             : file + ": " + e.getMessage());
--- a/sidecar/src/main/java/dapplequay/net/ClientListener.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientListener.java
@@ -52,7 +52,7 @@
     private final CountDownLatch acceptingStopped = new CountDownLatch(1);
     private final RecentCallIds recentCallIds = new RecentCallIds();
     private final Counts counts;
-    private final Lifetime lifetime;
+    private final SidecarLifecycle lifecycle;
     private volatile boolean isEndingTimeOver;
     /** The accepting thread's: there was a crowd since the ending began. */
     private boolean endingSawCrowd;
@@ -63,7 +63,7 @@
     private int connectionLimit;
 
     ClientListener(ListeningSocket listeningSocket, Supplier<Setup> setup, Facade facade, Conductor conductor,
-                 Deadlines deadlines, Counts counts, Lifetime lifetime, Headroom headroom, int maxConnections,
+                 Deadlines deadlines, Counts counts, SidecarLifecycle lifecycle, Headroom headroom, int maxConnections,
                  int crowdThreshold, int maxUploads, ThreadReserve threads) {
         this.maxUploads = maxUploads;
         this.listeningSocket = listeningSocket;
@@ -72,7 +72,7 @@
         this.conductor = conductor;
         this.deadlines = deadlines;
         this.counts = counts;
-        this.lifetime = lifetime;
+        this.lifecycle = lifecycle;
         this.headroom = headroom;
         this.maxConnections = maxConnections;
         this.threads = threads;
@@ -143,11 +143,11 @@
 
     /** Whether each answer is its connection's last, as the sidecar is being emptied. */
     boolean isEmptying() {
-        return lifetime.isEmptying();
+        return lifecycle.isEmptying();
     }
 
     ClientResponses.Response health() {
-        return lifetime.wantsClients() ? ClientResponses.plainText(200, "ok") : ClientResponses.plainText(503, "takes no clients");
+        return lifecycle.isReadyForClients() ? ClientResponses.plainText(200, "ok") : ClientResponses.plainText(503, "takes no clients");
     }
 
     /** Accepts until the door is shut; whatever else goes wrong, the next connection is tried. */
@@ -201,11 +201,11 @@
      * those who take their places, would take the time in which requests that have been read are answered.
      */
     private boolean stopsForCrowd() {
-        if (!lifetime.isEnding()) {
+        if (!lifecycle.isEnding()) {
             return false;
         }
         endingSawCrowd |= isCrowded() || isNearLimit();
-        return endingSawCrowd && lifetime.isEmptying();
+        return endingSawCrowd && lifecycle.isEmptying();
     }
 
     /** Where memory allows few clients, there may be a crowd for them far below its share of the descriptors. */
@@ -218,7 +218,7 @@
             new Thread(connection, "client").start();
         } catch (OutOfMemoryError e) {
             connectionEnded(connection);
-            threads.shortage();
+            threads.reportShortage();
             throw e;
         }
     }
@@ -286,12 +286,12 @@
     void tick() {
         punctuality.turn(deadlines.now());
         restoreConnectionLimit();
-        if (!lifetime.isEmptying()) {
+        if (!lifecycle.isEmptying()) {
             return;
         }
         List<ClientConnection> remaining = openConnections();
         remaining.forEach(connection -> connection.closeIfIdleForDrain(IDLE_LINGER_US));
-        lifetime.holds(remaining.size());
+        lifecycle.setOpenConnections(remaining.size());
     }
 
     /** The connections of the moment, to be called without the lock. */
@@ -315,7 +315,7 @@
 
     /** The connection has been idle for too long; in an ending it stays, as its client can't open another any more. */
     void idleTimeout(ClientConnection connection) {
-        if (!lifetime.isEnding()) {
+        if (!lifecycle.isEnding()) {
             connection.idleTimeout(IDLE_LINGER_US);
         }
     }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -58,7 +58,7 @@
     private final Endpoints endpoints;
     private final Facade facade;
     private final UpstreamSide upstreams;
-    private final Sidecar.Memory memory;
+    private final Sidecar.ListPersistence persistence;
     private final ListClock listClock;
     private final LongSupplier clock;
     private final DiscoveryFigures figures;
@@ -78,9 +78,9 @@
 
     /** {@code now}: microseconds, never backwards. */
     DiscoveryClient(InetSocketAddress discovery, Endpoints endpoints, Facade facade, UpstreamSide upstreams,
-            Sidecar.Memory memory, ListClock listClock, LongSupplier clock, DiscoveryFigures figures) {
+            Sidecar.ListPersistence persistence, ListClock listClock, LongSupplier clock, DiscoveryFigures figures) {
         this.discovery = discovery;
-        this.memory = memory;
+        this.persistence = persistence;
         this.listClock = listClock;
         this.clock = clock;
         this.endpoints = endpoints;
@@ -376,13 +376,13 @@
         } finally {
             upstreams.closeIdle(applied.closed());
         }
-        memory.keep().accept(() -> Json.text(endpoints.tree()));
+        persistence.save().accept(() -> Json.text(endpoints.tree()));
     }
 
     private void logAndCount(Outcome outcome, String source) {
-        TransitionLog.count(outcome, figures);
+        TransitionLog.addFigures(outcome, figures);
         if (!outcome.transitions().isEmpty()) {
-            LOG.info(() -> TransitionLog.text(outcome, source));
+            LOG.info(() -> TransitionLog.format(outcome, source));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -42,35 +42,35 @@
     private static final double MEMORY_PER_CONNECTION_MB = 0.11;
     private static final int MIN_LIMIT = 4;
     private static final int UPLOADS_PER_CORE = 64;
-    private static final long TURN_US = 10_000;
+    private static final long TICK_US = 10_000;
     /** Between two looks at the processor time that was used, us: it is counted in steps of 10 ms. */
-    private static final long LOOK_US = 150_000;
+    private static final long PROCESSOR_SAMPLE_US = 150_000;
     /** Turns between two looks at what the module passes over. */
-    private static final int PASSED_OVER_TURNS = 10;
+    private static final int TICKS_PER_PASSED_OVER_CHECK = 10;
 
     private final Deadlines deadlines;
     private final Facade facade;
     private final Options options;
     private final Conductor conductor;
-    private final Endpoints table;
+    private final Endpoints endpoints;
     private final DiscoveryClient discovery;
     private final DiscoveryFigures figures = new DiscoveryFigures();
     private final UpstreamSide upstreams;
     private final Counts counts = new Counts();
-    private final Lifetime lifetime;
+    private final SidecarLifecycle lifecycle;
     private final Headroom headroom;
     private final ThreadReserve threads;
-    private long lookedUs;
-    private long usedUs;
-    private final AtomicLong cfgAccepted = new AtomicLong();
-    private final AtomicLong cfgInvalid = new AtomicLong();
+    private long lastSampleUs;
+    private long lastUsedUs;
+    private final AtomicLong acceptedConfigs = new AtomicLong();
+    private final AtomicLong rejectedConfigs = new AtomicLong();
     private volatile Setup setup;
     private volatile int passedOver;
     private volatile ClientListener clientListener;
     private volatile ManagementSide management;
     private final ListeningSocket.Opener opener;
     /** Held while the door is opened, and while an ending begins: one of the two comes first. */
-    private final Object opening = new Object();
+    private final Object openingLock = new Object();
     /** When the end was ordered, us; 0 while it was not. */
     private long endingSinceUs;
 
@@ -90,10 +90,10 @@
          * of what is left for two: neither knows of the other, and idle clients fill what each takes.
          */
         int maxConnections() {
-            int processes = inheritsListener ? 2 : 1;
-            double byMemory = (memoryMb - processes * BASE_MEMORY_MB) / MEMORY_PER_CONNECTION_MB;
+            int processCount = inheritsListener ? 2 : 1;
+            double byMemory = (memoryMb - processCount * BASE_MEMORY_MB) / MEMORY_PER_CONNECTION_MB;
             int reservedDescriptors = RESERVED_DESCRIPTORS + (management == null ? 0 : ManagementSide.DESCRIPTORS);
-            return (int) Math.max(MIN_LIMIT, Math.min(sockets - processes * reservedDescriptors, byMemory) / processes);
+            return (int) Math.max(MIN_LIMIT, Math.min(sockets - processCount * reservedDescriptors, byMemory) / processCount);
         }
 
         /** Of clients. */
@@ -125,65 +125,65 @@
      * What outlives the process. {@code binds}: the known list is this sidecar's own last word, so that an older one
      * takes nothing back; {@code keep} is given the list in discovery's form whenever it was heard, and may not block.
      */
-    public record Memory(boolean binds, Consumer<Supplier<byte[]>> keep) {
-        public static final Memory NONE = new Memory(false, list -> { });
+    public record ListPersistence(boolean isBinding, Consumer<Supplier<byte[]>> save) {
+        public static final ListPersistence NONE = new ListPersistence(false, list -> { });
     }
 
     /** For so long after it was heard, us, a kept list's version counts. */
-    public static long versionCountsUs() {
+    public static long versionValidityUs() {
         return DiscoveryClient.VERSION_VALIDITY_US;
     }
 
     /** One that keeps nothing. */
     public Sidecar(Options options) throws IOException {
-        this(options, Memory.NONE);
+        this(options, ListPersistence.NONE);
     }
 
     /** Listens at no address yet; IOException where the known list is no good. */
-    public Sidecar(Options options, Memory memory) throws IOException {
-        this(options, memory, () -> options.inheritsListener() ? new ListeningSocket.Inherited() : new ListeningSocket.Owned(options.listen()));
+    public Sidecar(Options options, ListPersistence persistence) throws IOException {
+        this(options, persistence, () -> options.inheritsListener() ? new ListeningSocket.Inherited() : new ListeningSocket.Owned(options.listen()));
     }
 
     /** With another way to open the door, as tests have it. */
-    Sidecar(Options options, Memory memory, ListeningSocket.Opener opener) throws IOException {
+    Sidecar(Options options, ListPersistence persistence, ListeningSocket.Opener opener) throws IOException {
         this.options = options;
         this.opener = opener;
         UnixClock clock = new UnixClock();
         deadlines = new Deadlines(clock);
         setup = options.setup();
-        facade = new Facade(setup, options.seed(), clock, Sidecar::tell);
-        lifetime = new Lifetime(clock);
+        facade = new Facade(setup, options.seed(), clock, Sidecar::logModuleLine);
+        lifecycle = new SidecarLifecycle(clock);
         headroom = new Headroom(options.cores());
         threads = new ThreadReserve(clock);
         counts.know(setup.classes().keySet());
-        table = restored(options, facade, memory.binds());
-        upstreams = new UpstreamSide(table, deadlines, () -> setup, options.maxUpstreams(), counts, figures);
+        endpoints = restoreEndpoints(options, facade, persistence.isBinding());
+        upstreams = new UpstreamSide(endpoints, deadlines, () -> setup, options.maxUpstreams(), counts, figures);
         conductor = new Conductor(facade, upstreams);
         upstreams.conductor(conductor);
-        upstreams.onThreadShortage(threads::shortage);
+        upstreams.onThreadShortage(threads::reportShortage);
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(options.seed()));
-        discovery = new DiscoveryClient(options.discovery(), table, facade, upstreams, memory, listClock, clock, figures);
+        discovery = new DiscoveryClient(options.discovery(), endpoints, facade, upstreams, persistence, listClock, clock, figures);
     }
 
-    private static void tell(String line) {
+    private static void logModuleLine(String line) {
         LOG.log(line.startsWith(Facade.FAULT) ? Level.SEVERE : Level.INFO, "{0}", line);
     }
 
-    private static Endpoints restored(Options options, Facade facade, boolean binds) throws IOException {
-        Endpoints table = new Endpoints(!binds);
+    private static Endpoints restoreEndpoints(Options options, Facade facade, boolean isBinding) throws IOException {
+        Endpoints endpoints = new Endpoints(!isBinding);
         List<ListNews.Line> lines = List.of();
         if (options.knownList() != null) {
             Endpoints.Update knownList = Endpoints.read(options.knownList());
-            table.restore(knownList);
+            endpoints.restore(knownList);
             lines = knownList.news().lines();
         }
         facade.news(new ListNews(ListNews.Kind.RESTORED, lines));
-        return table;
+        return endpoints;
     }
 
     /** Whether a sidecar could be made of this, as far as that shows without listening. */
     public static void check(Options options) throws IOException {
-        restored(options, new Facade(options.setup(), options.seed(), new UnixClock(), Sidecar::tell), false);
+        restoreEndpoints(options, new Facade(options.setup(), options.seed(), new UnixClock(), Sidecar::logModuleLine), false);
     }
 
     public InetSocketAddress address() {
@@ -201,22 +201,22 @@
      * clients are not let in any more: what the system accepts for them counts as taken.
      */
     public void start() throws IOException {
-        daemon(this::keepTime, "timekeeper");
+        startDaemon(this::runTimekeeper, "timekeeper");
         if (options.management() != null) {
             management = new ManagementSide(options.management(), deadlines, new Service());
-            daemon(management, "management");
+            startDaemon(management, "management");
         }
         new WarmUp(options.setup(), deadlines).run();
-        synchronized (opening) {
+        synchronized (openingLock) {
             if (endingSinceUs != 0) {
                 LOG.info("told to end before it served");
                 return;
             }
-            clientListener = new ClientListener(opener.open(), () -> setup, facade, conductor, deadlines, counts, lifetime,
+            clientListener = new ClientListener(opener.open(), () -> setup, facade, conductor, deadlines, counts, lifecycle,
                     headroom, options.maxClients(), options.crowdThreshold(), options.maxUploads(), threads);
-            daemon(discovery, "discovery");
+            startDaemon(discovery, "discovery");
             new Thread(clientListener, "listener").start();
-            lifetime.listening();
+            lifecycle.listening();
         }
         LOG.log(Level.INFO, "serving on {0}", Sockets.text(address()));
     }
@@ -225,26 +225,26 @@
     private final class Service implements ManagementSide.Service {
         @Override
         public boolean isReady() {
-            return lifetime.wantsClients();
+            return lifecycle.isReadyForClients();
         }
 
         @Override
         public String figures() {
             return Exposition.text(counts.read(),
-                    new Exposition.Gauges(table.size(), passedOver, cfgAccepted.get(), cfgInvalid.get(),
+                    new Exposition.Gauges(endpoints.size(), passedOver, acceptedConfigs.get(), rejectedConfigs.get(),
                             facade.faults())) + figures.text();
         }
 
         @Override
         public void drain() {
             LOG.info("drain: clients are sent away");
-            lifetime.drain();
+            lifecycle.drain();
         }
 
         @Override
         public boolean resume() {
             LOG.info("resume");
-            return lifetime.resume();
+            return lifecycle.resume();
         }
     }
 
@@ -255,8 +255,8 @@
     }
 
     /** A configuration was taken over, or turned down. */
-    public void configurationRead(boolean accepted) {
-        (accepted ? cfgAccepted : cfgInvalid).incrementAndGet();
+    public void recordReload(boolean accepted) {
+        (accepted ? acceptedConfigs : rejectedConfigs).incrementAndGet();
     }
 
     /**
@@ -264,7 +264,7 @@
      * IllegalArgumentException, and nothing is changed, where the settings make no sense here. Returns what differs
      * and takes a restart.
      */
-    public List<String> retune(Options newOptions) {
+    public List<String> reload(Options newOptions) {
         facade.retune(newOptions.setup());            // before the clients' side: no class is let in that is not known
         counts.know(newOptions.setup().classes().keySet());
         setup = newOptions.setup();
@@ -282,63 +282,63 @@
         return restartFields;
     }
 
-    private static void daemon(Runnable work, String name) {
+    private static void startDaemon(Runnable work, String name) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Each turn: the module's timers, then the deadlines. One that fails is told, and the next follows. */
-    private void keepTime() {
-        for (long turn = 0; ; turn++) {
+    private void runTimekeeper() {
+        for (long tick = 0; ; tick++) {
             try {
                 conductor.cut(facade.tick());
                 deadlines.sweep();
                 discovery.tick(deadlines.now());
-                threads.turn();
-                if (management != null && turn % PASSED_OVER_TURNS == 0) {
+                threads.tick();
+                if (management != null && tick % TICKS_PER_PASSED_OVER_CHECK == 0) {
                     passedOver = facade.passedOver();
                 }
                 ClientListener listener = clientListener;
                 if (listener != null) {
                     listener.tick();
                 }
-                headroom.turn(deadlines.await(TURN_US));
-                lookAtHeadroom();
+                headroom.turn(deadlines.await(TICK_US));
+                sampleProcessorTime();
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) {
-                turnFailed(e);
+                logTickFailure(e);
             }
         }
     }
 
     /** All deadlines hang on the timekeeper: it goes on also where a fault can't even be told, as memory is short. */
-    private static void turnFailed(Throwable fault) {
+    private static void logTickFailure(Throwable fault) {
         try {
             LOG.log(Level.SEVERE, "the timekeeper's turn failed", fault);
         } catch (RuntimeException | Error e) {
             // The next turn may be able to.
         }
-        LockSupport.parkNanos(TURN_US * 1_000);
+        LockSupport.parkNanos(TICK_US * 1_000);
     }
 
     /** Only while long bodies pass: nobody else gives way. */
-    private void lookAtHeadroom() {
-        long now = deadlines.now();
-        if (now - lookedUs < LOOK_US || !Pieces.areInUse()) {
+    private void sampleProcessorTime() {
+        long nowUs = deadlines.now();
+        if (nowUs - lastSampleUs < PROCESSOR_SAMPLE_US || !Pieces.areInUse()) {
             return;
         }
-        long used = ProcessorTime.usedUs();
-        if (now - lookedUs < 2 * LOOK_US) {
-            headroom.used(used - usedUs, now - lookedUs);
+        long totalUsedUs = ProcessorTime.usedUs();
+        if (nowUs - lastSampleUs < 2 * PROCESSOR_SAMPLE_US) {
+            headroom.used(totalUsedUs - lastUsedUs, nowUs - lastSampleUs);
         }
-        lookedUs = now;
-        usedUs = used;
+        lastSampleUs = nowUs;
+        lastUsedUs = totalUsedUs;
     }
 
     /** By then, us after the order, an ending has to be over whatever stands still. */
-    public long endsWithinUs() {
+    public long maxEndingUs() {
         return ending().latestUs();
     }
 
@@ -351,21 +351,21 @@
         end(ending());
     }
 
-    void end(Ending ordered) throws InterruptedException {
-        long now = deadlines.now();
+    void end(Ending requested) throws InterruptedException {
+        long nowUs = deadlines.now();
         ClientListener listener;
-        synchronized (opening) {
-            endingSinceUs = endingSinceUs == 0 ? now : endingSinceUs;
-            now = endingSinceUs;
+        synchronized (openingLock) {
+            endingSinceUs = endingSinceUs == 0 ? nowUs : endingSinceUs;
+            nowUs = endingSinceUs;
             listener = clientListener;
         }
         if (listener != null) {
             boolean sharesSocket = listener.stopIfShared();
-            Ending ending = sharesSocket ? ordered.handingOver() : ordered;
+            Ending ending = sharesSocket ? requested.handingOver() : requested;
             LOG.info(sharesSocket ? "ending: a successor takes the clients"
                     : "ending: who has a connection is still served");
-            lifetime.end(ending.serveUs());
-            listener.awaitEmpty(now + ending.lateUs(), now + ending.heldUs(), now + ending.closedUs());
+            lifecycle.end(ending.serveUs());
+            listener.awaitEmpty(nowUs + ending.lateUs(), nowUs + ending.heldUs(), nowUs + ending.closedUs());
         }
         // A process whose threads stay in their reads is gone only a third of a second later.
         discovery.end();
--- a/sidecar/src/main/java/dapplequay/net/Lifetime.java
+++ b/sidecar/src/main/java/dapplequay/net/SidecarLifecycle.java
@@ -4,18 +4,18 @@
 import java.util.function.LongSupplier;
 
 /** Whether this sidecar wants clients: the pure machine, with a clock and for many threads. */
-final class Lifetime {
+final class SidecarLifecycle {
     /** After a drain the front asks within 0.1 s, and goes on sending for 0.2 s more. */
-    private static final long FRONT_US = 350_000;
+    private static final long FRONT_END_GRACE_US = 350_000;
 
     private final LongSupplier clock;
-    private final ServiceLife life = new ServiceLife(FRONT_US);
+    private final ServiceLife life = new ServiceLife(FRONT_END_GRACE_US);
 
-    Lifetime(LongSupplier clock) {
+    SidecarLifecycle(LongSupplier clock) {
         this.clock = clock;
     }
 
-    synchronized boolean wantsClients() {
+    synchronized boolean isReadyForClients() {
         return life.wantsClients();
     }
 
@@ -43,7 +43,7 @@
         life.end(clock.getAsLong(), graceUs);
     }
 
-    synchronized void holds(int connections) {
+    synchronized void setOpenConnections(int connections) {
         life.holds(connections, clock.getAsLong());
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/ThreadReserve.java
+++ b/sidecar/src/main/java/dapplequay/net/ThreadReserve.java
@@ -17,17 +17,17 @@
     /** An ending takes three, and one for each answer that it fails; a signal and a call to discovery one each. */
     static final int SIZE = 8;
     /** Between two looks at whether a thread is to be had. */
-    static final long LOOK_US = 1_000_000;
+    static final long CHECK_INTERVAL_US = 1_000_000;
     /** Without a shortage for so long, they are kept again. */
-    static final long QUIET_US = 5_000_000;
+    static final long RECOVERY_US = 5_000_000;
     private static final long NEVER = Long.MIN_VALUE;
 
     private final LongSupplier clock;
     private final ThreadFactory factory;
-    private volatile Runnable giveBack = () -> { };
-    private CountDownLatch held;        // null: they are not kept
-    private long shortUs = NEVER;
-    private long lookedUs = NEVER;
+    private volatile Runnable shortageHandler = () -> { };
+    private CountDownLatch releaseLatch;        // null: they are not kept
+    private long lastShortageUs = NEVER;
+    private long lastCheckUs = NEVER;
 
     ThreadReserve(LongSupplier clock) {
         this(clock, Thread::new);
@@ -40,83 +40,83 @@
     }
 
     /** What is done at a shortage by whoever holds threads that can be spared. */
-    void onShortage(Runnable toGiveBack) {
-        giveBack = toGiveBack;
+    void onShortage(Runnable handler) {
+        shortageHandler = handler;
     }
 
     /** A thread could not be started. */
-    void shortage() {
-        boolean first;
+    void reportShortage() {
+        boolean isFirst;
         synchronized (this) {
-            first = held != null || shortUs == NEVER;
-            shortUs = clock.getAsLong();
-            release();
+            isFirst = releaseLatch != null || lastShortageUs == NEVER;
+            lastShortageUs = clock.getAsLong();
+            releaseReserve();
         }
-        if (first) {
+        if (isFirst) {
             LOG.warning("threads are short: idle clients are let go");
         }
-        giveBack.run();
+        shortageHandler.run();
     }
 
     /** When a thread could not be started the last time, or {@link Long#MIN_VALUE}. */
     synchronized long lastShortageUs() {
-        return shortUs;
+        return lastShortageUs;
     }
 
     /** Where idle clients take the last thread without a vain start after it, nobody else would notice. */
-    void turn() {
-        boolean isHeld;
+    void tick() {
+        boolean isReserved;
         synchronized (this) {
-            long now = clock.getAsLong();
-            if (lookedUs != NEVER && now - lookedUs < LOOK_US) {
+            long nowUs = clock.getAsLong();
+            if (lastCheckUs != NEVER && nowUs - lastCheckUs < CHECK_INTERVAL_US) {
                 return;
             }
-            lookedUs = now;
-            if (held == null && shortUs != NEVER && now - shortUs < QUIET_US) {
+            lastCheckUs = nowUs;
+            if (releaseLatch == null && lastShortageUs != NEVER && nowUs - lastShortageUs < RECOVERY_US) {
                 return;
             }
-            isHeld = held != null;
+            isReserved = releaseLatch != null;
         }
         try {
-            if (isHeld) {
-                start(() -> { });
+            if (isReserved) {
+                startThread(() -> { });
             } else {
-                hold();
+                startReserve();
             }
         } catch (OutOfMemoryError e) {
-            shortage();
+            reportShortage();
         }
     }
 
-    private void hold() {
-        CountDownLatch gate = new CountDownLatch(1);
+    private void startReserve() {
+        CountDownLatch latch = new CountDownLatch(1);
         synchronized (this) {
-            held = gate;
+            releaseLatch = latch;
         }
         for (int i = 0; i < SIZE; i++) {
-            start(() -> awaitOpen(gate));
+            startThread(() -> awaitRelease(latch));
         }
     }
 
-    private void start(Runnable work) {
+    private void startThread(Runnable work) {
         Thread thread = factory.newThread(work);
         thread.setName("reserve");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static void awaitOpen(CountDownLatch gate) {
+    private static void awaitRelease(CountDownLatch latch) {
         try {
-            gate.await();
+            latch.await();
         } catch (InterruptedException e) {
             LOG.log(Level.FINE, "a thread of the reserve was interrupted", e);
         }
     }
 
-    private void release() {
-        if (held != null) {
-            held.countDown();
-            held = null;
+    private void releaseReserve() {
+        if (releaseLatch != null) {
+            releaseLatch.countDown();
+            releaseLatch = null;
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/TransitionLog.java
+++ b/sidecar/src/main/java/dapplequay/net/TransitionLog.java
@@ -13,12 +13,12 @@
 /** Servers' changes of status as a log line and as figures. */
 final class TransitionLog {
     /** So many servers are named for each kind of change; of the others, how many they are. */
-    private static final int MOST_NAMED = 8;
+    private static final int MAX_NAMED_SERVERS = 8;
 
     private TransitionLog() { }
 
     /** One line: what changed, grouped by the status before and after and by its cause, and what brought it. */
-    static String text(Outcome outcome, String source) {
+    static String format(Outcome outcome, String source) {
         Map<String, List<String>> uids = new TreeMap<>();
         for (Transition transition : outcome.transitions()) {
             String kind = transition.from() + " -> " + transition.to() + " (" + transition.cause() + ")";
@@ -27,15 +27,15 @@
         StringBuilder line = new StringBuilder("servers by ").append(source);
         uids.forEach((kind, names) -> {
             line.append("; ").append(kind).append(": ")
-                    .append(String.join(" ", names.subList(0, Math.min(MOST_NAMED, names.size()))));
-            if (names.size() > MOST_NAMED) {
-                line.append(" and ").append(names.size() - MOST_NAMED).append(" more");
+                    .append(String.join(" ", names.subList(0, Math.min(MAX_NAMED_SERVERS, names.size()))));
+            if (names.size() > MAX_NAMED_SERVERS) {
+                line.append(" and ").append(names.size() - MAX_NAMED_SERVERS).append(" more");
             }
         });
         return line.toString();
     }
 
-    static void count(Outcome outcome, DiscoveryFigures figures) {
+    static void addFigures(Outcome outcome, DiscoveryFigures figures) {
         for (Transition transition : outcome.transitions()) {
             figures.transition(transition.to().name().toLowerCase(Locale.ROOT));
             if (transition.from() == ServerStatus.UNCONFIRMED) {
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -27,11 +27,11 @@
 final class WarmUp {
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
     /** Enough for the compiler to have taken up what each request runs through. */
-    private static final int ROUNDS = 1_200;
+    private static final int MAX_ROUNDS = 1_200;
     /** Clients wait meanwhile. */
-    private static final long LONGEST_US = 1_000_000;
-    private static final int HOSTS = 9;
-    private static final String ANSWER = "HTTP/1.1 200 OK\r\nX-Load-Report: inflight=2,queue=1\r\n"
+    private static final long MAX_DURATION_US = 1_000_000;
+    private static final int HOST_COUNT = 9;
+    private static final String RESPONSE = "HTTP/1.1 200 OK\r\nX-Load-Report: inflight=2,queue=1\r\n"
             + "Content-Type: text/plain\r\nContent-Length: 4\r\n\r\ndone";
 
     private final Setup setup;
@@ -48,16 +48,16 @@
     /** Returns how many rounds were walked; a fault ends it and is told, as serving does not hang on it. */
     int run() {
         int rounds = 0;
-        long until = deadlines.now() + LONGEST_US;
+        long endUs = deadlines.now() + MAX_DURATION_US;
         try {
             List<ListNews.Line> lines = new ArrayList<>();
-            for (int i = 0; i < HOSTS; i++) {
+            for (int i = 0; i < HOST_COUNT; i++) {
                 String zone = setup.settings().zones().get(i % setup.settings().zones().size());
                 lines.add(new ListNews.Line("w" + i, zone, i % 2, ListNews.State.SERVING, 1, 0));
             }
             facade.news(new ListNews(ListNews.Kind.RESTORED, lines));
-            while (rounds < ROUNDS && deadlines.now() < until) {
-                round(rounds++);
+            while (rounds < MAX_ROUNDS && deadlines.now() < endUs) {
+                runRound(rounds++);
             }
         } catch (IOException | RuntimeException | OutOfMemoryError | StackOverflowError e) {
             LOG.log(Level.WARNING, "not warmed up", e);
@@ -65,22 +65,22 @@
         return rounds;
     }
 
-    private void round(int number) throws IOException {
-        MessageReader in = reader(requestText(number));
-        in.await();
-        Head head = in.request();
-        ClientRequest request = ClientRequest.parse(head, in.requestBody(head), null, setup);
+    private void runRound(int number) throws IOException {
+        MessageReader requestReader = reader(requestText(number));
+        requestReader.await();
+        Head head = requestReader.request();
+        ClientRequest request = ClientRequest.parse(head, requestReader.requestBody(head), null, setup);
         long id = facade.nextId();
         Decision decision = facade.pick(id, request.toCall(request.budgetUs()));
         if (decision instanceof Decision.Send send) {
             Deadlines.Deadline deadline = deadlines.after(send.timeoutUs(), () -> { });
             request.toBytes(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), send.timeoutUs());
-            MessageReader back = reader(ANSWER);
-            Head answer = back.response();
-            byte[] body = back.responseBody(answer);
+            MessageReader responseReader = reader(RESPONSE);
+            Head responseHead = responseReader.response();
+            byte[] body = responseReader.responseBody(responseHead);
             facade.report(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
-                    LoadText.read(answer));
-            ClientResponses.fromUpstream(answer, body).toBytes("");
+                    LoadText.read(responseHead));
+            ClientResponses.fromUpstream(responseHead, body).toBytes("");
             deadlines.cancel(deadline);
         }
         facade.tick();
@@ -92,14 +92,14 @@
 
     private String requestText(int number) {
         int index = number % setup.settings().classes().size();
-        var type = setup.settings().classes().get(index);
+        var serviceClass = setup.settings().classes().get(index);
         var tenants = setup.settings().tenants();
         String tenant = tenants.isEmpty() ? ""
                 : "X-Caller: " + tenants.get(number % tenants.size()).name() + "\r\n";
-        boolean get = type.semantics() == Semantics.RETRYABLE;
-        return (get ? "GET /" : "POST /") + type.name() + "/1?obj=w" + number
+        boolean isGet = serviceClass.semantics() == Semantics.RETRYABLE;
+        return (isGet ? "GET /" : "POST /") + serviceClass.name() + "/1?obj=w" + number
                 + " HTTP/1.1\r\nHost: w\r\nX-Call-Id: " + Integer.toHexString(number) + "\r\n" + tenant
-                + "X-Budget-Ms: " + Math.max(1, type.deadlineUs() / 1000) + "\r\n"
-                + (get ? "\r\n" : "Idempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody");
+                + "X-Budget-Ms: " + Math.max(1, serviceClass.deadlineUs() / 1000) + "\r\n"
+                + (isGet ? "\r\n" : "Idempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody");
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -130,7 +130,7 @@
     }
 
     final BlockingQueue<Accepted> accepted = new LinkedBlockingQueue<>();
-    final Lifetime lifetime;
+    final SidecarLifecycle lifetime;
     private final List<AutoCloseable> toClose = new ArrayList<>();
     private final ClientListener side;
     private final Deadlines deadlines;
@@ -164,7 +164,7 @@
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         Counts counts = new Counts();
         counts.know(setup.classes().keySet());
-        lifetime = new Lifetime(deadlines::now);
+        lifetime = new SidecarLifecycle(deadlines::now);
         UpstreamSide upstreams = new UpstreamSide(table, deadlines, () -> setup, 100, counts, new DiscoveryFigures(), sockets);
         Conductor conductor = new Conductor(facade, upstreams);
         upstreams.conductor(conductor);
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -133,7 +133,7 @@
         UpstreamSide upstreams = new UpstreamSide(table, new Deadlines(clock::get), () -> setup, 4, new Counts(),
                 new DiscoveryFigures());
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(7));
-        Sidecar.Memory memory = new Sidecar.Memory(true, list -> { });
+        Sidecar.ListPersistence memory = new Sidecar.ListPersistence(true, list -> { });
         discoveryClient = new DiscoveryClient(at(first), table, facade, upstreams, memory, listClock,
                 () -> {
                     atClock.run();
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -695,7 +695,7 @@
         Host.Client held = client(sidecar);
         held.send(pay(1, 10_000, ""));
         host.next();
-        assertThat(sidecar.retune(plan(configuration.replace("\"name\": \"pay\"", "\"name\": \"buy\"")))).isEmpty();
+        assertThat(sidecar.reload(plan(configuration.replace("\"name\": \"pay\"", "\"name\": \"buy\"")))).isEmpty();
         Host.Client client = client(sidecar);
         client.send(pay(2, 900, ""));
         assertThat(client.answer().status()).as("a class that vanished").isEqualTo(400);
--- a/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
@@ -58,7 +58,7 @@
         CountDownLatch goesOn = new CountDownLatch(1);
         InetSocketAddress[] address = new InetSocketAddress[1];
         try (Host host = new Host((head, seen) -> Host.ok("done"))) {
-            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.Memory.NONE, () -> {
+            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.ListPersistence.NONE, () -> {
                 ListeningSocket door = new ListeningSocket.Owned(ANY);
                 address[0] = door.address();
                 bound.countDown();
@@ -163,7 +163,7 @@
     @Test
     void whomTheSystemHasLetInIsAnsweredHoweverLateTheAcceptingThreadIs() throws Exception {
         try (Host host = new Host((head, seen) -> Host.ok("done"))) {
-            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.Memory.NONE, LateDoor::new);
+            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.ListPersistence.NONE, LateDoor::new);
             sidecar.start();
             try (Host.Client first = new Host.Client(sidecar.address());
                     Host.Client second = new Host.Client(sidecar.address())) {
@@ -180,7 +180,7 @@
     @Test
     void anEndingThatComesBeforeTheDoorIsOpenedKeepsItShut() throws Exception {
         AtomicBoolean opened = new AtomicBoolean();
-        Sidecar sidecar = new Sidecar(plan(1), Sidecar.Memory.NONE, () -> {
+        Sidecar sidecar = new Sidecar(plan(1), Sidecar.ListPersistence.NONE, () -> {
             opened.set(true);
             return new ListeningSocket.Owned(ANY);
         });
--- a/sidecar/src/test/java/dapplequay/net/ThreadReserveTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ThreadReserveTest.java
@@ -27,7 +27,7 @@
 
     private void turnAfter(long us) {
         now.addAndGet(us);
-        reserve.turn();
+        reserve.tick();
     }
 
     private void awaitAlive(int many) {
@@ -40,11 +40,11 @@
     void itEndsAtAShortageAndIsKeptAgainAfterAQuietTime() {
         turnAfter(0);
         awaitAlive(ThreadReserve.SIZE);
-        reserve.shortage();
+        reserve.reportShortage();
         awaitAlive(0);
-        turnAfter(ThreadReserve.QUIET_US - 1);
+        turnAfter(ThreadReserve.RECOVERY_US - 1);
         awaitAlive(0);
-        turnAfter(ThreadReserve.LOOK_US);
+        turnAfter(ThreadReserve.CHECK_INTERVAL_US);
         awaitAlive(ThreadReserve.SIZE);
     }
 
@@ -54,10 +54,10 @@
         AtomicInteger told = new AtomicInteger();
         reserve.onShortage(told::incrementAndGet);
         turnAfter(0);
-        turnAfter(ThreadReserve.LOOK_US);
+        turnAfter(ThreadReserve.CHECK_INTERVAL_US);
         assertThat(told).hasValue(0);
         room.set(0);
-        turnAfter(ThreadReserve.LOOK_US);
+        turnAfter(ThreadReserve.CHECK_INTERVAL_US);
         assertThat(told).hasValue(1);
         awaitAlive(0);
         assertThat(reserve.lastShortageUs()).isEqualTo(now.get());
