--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -40,18 +40,18 @@
  */
 @Timeout(60)
 class DiscoveryClientTest {
-    private static final int HOSTS = 4;
+    private static final int HOST_COUNT = 4;
 
     private final List<AutoCloseable> toClose = new ArrayList<>();
-    private final Endpoints table = new Endpoints(false);
+    private final Endpoints endpoints = new Endpoints(false);
     private final AtomicLong clock = new AtomicLong(System.nanoTime() / 1_000);
-    private volatile Runnable atClock = () -> { };
-    private volatile Consumer<String> atLog = line -> { };
+    private volatile Runnable onClockRead = () -> { };
+    private volatile Consumer<String> onLogLine = line -> { };
     private final Logger logger = Logger.getLogger(DiscoveryClient.class.getName());
     private final Handler handler = new Handler() {
         @Override
         public void publish(LogRecord line) {
-            atLog.accept(line.getMessage());
+            onLogLine.accept(line.getMessage());
         }
 
         @Override
@@ -61,7 +61,7 @@
         public void close() { }
     };
     private DiscoveryClient discoveryClient;
-    private Thread thread;
+    private Thread clientThread;
 
     @BeforeEach
     void listen() {
@@ -70,16 +70,16 @@
 
     @AfterEach
     void closeAll() throws Exception {
-        atClock = () -> { };
-        atLog = line -> { };
+        onClockRead = () -> { };
+        onLogLine = line -> { };
         logger.removeHandler(handler);
         if (discoveryClient != null) {
             discoveryClient.end();
-            thread.interrupt();
-            thread.join();
+            clientThread.interrupt();
+            clientThread.join();
         }
-        for (AutoCloseable one : toClose) {
-            one.close();
+        for (AutoCloseable closeable : toClose) {
+            closeable.close();
         }
     }
 
@@ -90,10 +90,10 @@
     }
 
     /** Discovery that leaves every call open. */
-    private Host silent() throws IOException {
-        CountDownLatch never = new CountDownLatch(1);
+    private Host silentDiscovery() throws IOException {
+        CountDownLatch endless = new CountDownLatch(1);
         return discovery((head, seen) -> {
-            never.await();
+            endless.await();
             return null;
         });
     }
@@ -112,9 +112,9 @@
     }
 
     /** The list with which the client begins: all serve, at version 6. */
-    private static String known() {
-        String[] targets = new String[HOSTS];
-        for (int i = 0; i < HOSTS; i++) {
+    private static String initialList() {
+        String[] targets = new String[HOST_COUNT];
+        for (int i = 0; i < HOST_COUNT; i++) {
             targets[i] = target(i, "SERVING");
         }
         return list(6, true, targets);
@@ -126,34 +126,34 @@
                 .replace("\"ask_within_us\"", "\"drain_grace_us\": " + graceUs + ", \"ask_within_us\"");
         Setup setup = SettingsReader.of(((Map<?, ?>) Json.parse(text.getBytes())).get("settings"), "example");
         Facade facade = new Facade(setup, 7, clock::get, line -> { });
-        Endpoints.Update known = Endpoints.read(known().getBytes());
-        table.restore(known);
+        Endpoints.Update known = Endpoints.read(initialList().getBytes());
+        endpoints.restore(known);
         facade.news(new ListNews(ListNews.Kind.RESTORED, known.news().lines()));
         facade.watchAnew();
-        UpstreamSide upstreams = new UpstreamSide(table, new Deadlines(clock::get), () -> setup, 4, new Counts(),
+        UpstreamSide upstreams = new UpstreamSide(endpoints, new Deadlines(clock::get), () -> setup, 4, new Counts(),
                 new DiscoveryFigures());
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(7));
         Sidecar.ListPersistence memory = new Sidecar.ListPersistence(true, list -> { });
-        discoveryClient = new DiscoveryClient(at(first), table, facade, upstreams, memory, listClock,
+        discoveryClient = new DiscoveryClient(at(first), endpoints, facade, upstreams, memory, listClock,
                 () -> {
-                    atClock.run();
+                    onClockRead.run();
                     return clock.get();
                 }, new DiscoveryFigures());
-        thread = new Thread(discoveryClient, "discovery");
-        thread.setDaemon(true);
-        thread.start();
+        clientThread = new Thread(discoveryClient, "discovery");
+        clientThread.setDaemon(true);
+        clientThread.start();
     }
 
     /** Starts a client whose first answer leaves out most servers, with a long grace. */
-    private void startDoubting(Host first) throws Exception {
-        CountDownLatch doubted = new CountDownLatch(1);
-        atLog = line -> {
+    private void startWithMissingServers(Host first) throws Exception {
+        CountDownLatch missingLogged = new CountDownLatch(1);
+        onLogLine = line -> {
             if (line.startsWith("a list without")) {
-                doubted.countDown();
+                missingLogged.countDown();
             }
         };
         start(first, 200_000_000);
-        doubted.await();
+        missingLogged.await();
     }
 
     private static String query(Host.Seen seen) {
@@ -162,24 +162,24 @@
 
     /** Lost, the new address was asked at the end of the pause after the old one's failure. */
     @Test
-    void anAddressThatComesRightAfterACallHasFailedIsAskedAtOnce() throws Exception {
-        Host old = discovery((head, seen) -> null);
-        Host next = silent();
-        atLog = line -> {
+    void newAddressRightAfterAFailedCallIsCalledAtOnce() throws Exception {
+        Host oldDiscovery = discovery((head, seen) -> null);
+        Host newDiscovery = silentDiscovery();
+        onLogLine = line -> {
             if (line.startsWith("discovery call failed")) {
-                discoveryClient.moveTo(at(next));         // before the module is told of the failure
+                discoveryClient.moveTo(at(newDiscovery));         // before the module is told of the failure
             }
         };
-        start(old, 250_000);
-        assertThat(query(next.next())).isEqualTo("/v1/servers");
-        assertThat(old.seen).hasSize(1);
+        start(oldDiscovery, 250_000);
+        assertThat(query(newDiscovery.next())).isEqualTo("/v1/servers");
+        assertThat(oldDiscovery.seen).hasSize(1);
     }
 
     /** The address is the same again when the client looks, but its call was cut: a failure, as it seemed. */
     @Test
-    void anAddressThatComesBackIsAskedAtOnceAndForAll() throws Exception {
-        Host first = silent();
-        Host second = silent();
+    void addressThatReturnsIsAskedAtOnceForTheWholeList() throws Exception {
+        Host first = silentDiscovery();
+        Host second = silentDiscovery();
         start(first, 250_000);
         assertThat(query(first.next())).contains("after=6");
         synchronized (discoveryClient) {              // so that it looks only when both have come
@@ -193,98 +193,98 @@
     /** Whatever the client is at: connecting, writing, reading, taking over, or between two calls. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void aNewAddressIsAskedAtOnceWhereverItsConfigurationFalls(int reading) throws Exception {
+    void newAddressIsCalledAtOnceWheneverItIsConfigured(int moveAtReading) throws Exception {
         AtomicInteger version = new AtomicInteger(6);
-        Host old = discovery((head, seen) -> Host.ok(list(version.incrementAndGet(), false)));
-        Host next = silent();
-        AtomicInteger readings = new AtomicInteger();
-        atClock = () -> {
-            if (readings.incrementAndGet() == reading) {
-                discoveryClient.moveTo(at(next));
+        Host oldDiscovery = discovery((head, seen) -> Host.ok(list(version.incrementAndGet(), false)));
+        Host newDiscovery = silentDiscovery();
+        AtomicInteger clockReadings = new AtomicInteger();
+        onClockRead = () -> {
+            if (clockReadings.incrementAndGet() == moveAtReading) {
+                discoveryClient.moveTo(at(newDiscovery));
             }
         };
-        start(old, 250_000);
+        start(oldDiscovery, 250_000);
         // Also before the first call: the known version may be of another count than the new address's.
-        assertThat(query(next.next())).isEqualTo("/v1/servers");
+        assertThat(query(newDiscovery.next())).isEqualTo("/v1/servers");
     }
 
     /** Most of a minute of pause would be left; what the old address left out has its deadline all the same. */
     @Test
-    void aNewAddressCutsThePauseShort() throws Exception {
-        Host old = discovery((head, seen) -> Host.ok(list(7, true, target(0, "DRAINING"))));
-        Host next = silent();
-        startDoubting(old);
-        discoveryClient.moveTo(at(next));
-        next.next();
-        assertThat(table.size()).as("none is gone").isEqualTo(HOSTS);
-        assertThat(table.endpointOf("s0")).as("the drain counts").isNull();
+    void newAddressEndsThePause() throws Exception {
+        Host oldDiscovery = discovery((head, seen) -> Host.ok(list(7, true, target(0, "DRAINING"))));
+        Host newDiscovery = silentDiscovery();
+        startWithMissingServers(oldDiscovery);
+        discoveryClient.moveTo(at(newDiscovery));
+        newDiscovery.next();
+        assertThat(endpoints.size()).as("none is gone").isEqualTo(HOST_COUNT);
+        assertThat(endpoints.endpointOf("s0")).as("the drain counts").isNull();
     }
 
     /** From the doubt on to the reading of the second answer: the move puts off no deadline, and brings nobody back. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 6, 8, 10, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
-    void aDeadlineHoldsWhereverANewAddressFalls(int reading) throws Exception {
-        Host old = discovery((head, seen) -> Host.ok(list(7, true, target(0, "DRAINING"))));
-        Host next = silent();
-        AtomicInteger readings = new AtomicInteger(-1);         // since the doubt began
-        atLog = line -> {
-            if (line.startsWith("a list without") && readings.get() < 0) {
-                readings.set(0);
+    void drainDeadlineHoldsWheneverTheAddressChanges(int moveAtReading) throws Exception {
+        Host oldDiscovery = discovery((head, seen) -> Host.ok(list(7, true, target(0, "DRAINING"))));
+        Host newDiscovery = silentDiscovery();
+        AtomicInteger clockReadings = new AtomicInteger(-1);         // since the doubt began
+        onLogLine = line -> {
+            if (line.startsWith("a list without") && clockReadings.get() < 0) {
+                clockReadings.set(0);
             }
         };
-        atClock = () -> {
+        onClockRead = () -> {
             clock.addAndGet(5_000);
-            if (readings.get() >= 0 && readings.incrementAndGet() == reading) {
-                discoveryClient.moveTo(at(next));
+            if (clockReadings.get() >= 0 && clockReadings.incrementAndGet() == moveAtReading) {
+                discoveryClient.moveTo(at(newDiscovery));
             }
         };
-        start(old, 250_000);
-        next.next();
-        for (int i = 0; i < HOSTS; i++) {
-            assertThat(table.endpointToSend("s" + i, clock.get() + 100_000)).as("s%d: 100 ms of the grace", i).isNull();
+        start(oldDiscovery, 250_000);
+        newDiscovery.next();
+        for (int i = 0; i < HOST_COUNT; i++) {
+            assertThat(endpoints.endpointToSend("s" + i, clock.get() + 100_000)).as("s%d: 100 ms of the grace", i).isNull();
         }
     }
 
     /** What callers saw: requests to a draining server, as its news came on a call that SIGHUP had closed. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anAnswerToASupersededCallIsHeard(boolean byAMove) throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        Host old = discovery((head, seen) -> {
+    void answerToASupersededCallIsApplied(boolean supersededByMove) throws Exception {
+        CountDownLatch mayAnswer = new CountDownLatch(1);
+        Host oldDiscovery = discovery((head, seen) -> {
             if (query(seen).contains("after=6&")) {
-                go.await();
+                mayAnswer.await();
                 return Host.ok(list(7, false, target(0, "DRAINING"), target(1, "DELETED"), target(9, "SERVING")));
             }
             new CountDownLatch(1).await();
             return null;
         });
-        Host next = silent();
-        start(old, 250_000);
-        old.next();
-        if (byAMove) {
-            discoveryClient.moveTo(at(next));
-            next.next();
+        Host newDiscovery = silentDiscovery();
+        start(oldDiscovery, 250_000);
+        oldDiscovery.next();
+        if (supersededByMove) {
+            discoveryClient.moveTo(at(newDiscovery));
+            newDiscovery.next();
         } else {
             clock.addAndGet(ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US);
-            atClock = () -> clock.addAndGet(1_000);
-            discoveryClient.moveTo(at(old));          // no move: it looks at its clock
-            assertThat(query(old.next())).contains("after=6&");
+            onClockRead = () -> clock.addAndGet(1_000);
+            discoveryClient.moveTo(at(oldDiscovery));          // no move: it looks at its clock
+            assertThat(query(oldDiscovery.next())).contains("after=6&");
         }
-        go.countDown();
-        while (table.endpointOf("s0") != null || table.endpointOf("s1") != null) {
+        mayAnswer.countDown();
+        while (endpoints.endpointOf("s0") != null || endpoints.endpointOf("s1") != null) {
             Thread.onSpinWait();
         }
-        assertThat(table.endpointOf("s2")).isNotNull();
-        assertThat(table.endpointOf("s9") != null).as("brought in where it is the address that counts").isEqualTo(!byAMove);
-        assertThat(table.nextCall(0).after()).isEqualTo(byAMove ? -1 : 7);
+        assertThat(endpoints.endpointOf("s2")).isNotNull();
+        assertThat(endpoints.endpointOf("s9") != null).as("brought in where it is the address that counts").isEqualTo(!supersededByMove);
+        assertThat(endpoints.nextCall(0).after()).isEqualTo(supersededByMove ? -1 : 7);
     }
 
     /** Each holds a descriptor: the oldest are closed. */
     @Test
-    void fewSupersededCallsAreKept() throws Exception {
+    void supersededCallsAreLimitedAndTimeOut() throws Exception {
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < DiscoveryClient.MAX_SUPERSEDED_CALLS + 3; i++) {
-            hosts.add(silent());
+            hosts.add(silentDiscovery());
         }
         start(hosts.get(0), 250_000);
         hosts.get(0).next();
@@ -299,29 +299,29 @@
     }
 
     @Test
-    void anEndCutsTheDoubtShort() throws Exception {
-        Host old = discovery((head, seen) -> Host.ok(list(7, true)));
-        startDoubting(old);
+    void endInterruptsThePauseAfterMissingServers() throws Exception {
+        Host oldDiscovery = discovery((head, seen) -> Host.ok(list(7, true)));
+        startWithMissingServers(oldDiscovery);
         discoveryClient.end();
-        thread.join(20_000);
-        assertThat(thread.isAlive()).isFalse();
+        clientThread.join(20_000);
+        assertThat(clientThread.isAlive()).isFalse();
     }
 
-    private void letTimePass(AtomicLong aheadUs) {
-        atClock = () -> clock.set(System.nanoTime() / 1_000 + aheadUs.get());
+    private void followSystemClock(AtomicLong offsetUs) {
+        onClockRead = () -> clock.set(System.nanoTime() / 1_000 + offsetUs.get());
     }
 
     /** Versions from 1 again: what is gone is acted on step by step, what comes back waits, and changes are heard. */
     @Test
-    void aDiscoveryThatLostItsCountIsFollowed() throws Exception {
+    void discoveryWhoseVersionsRestartIsFollowed() throws Exception {
         CountDownLatch missedOnce = new CountDownLatch(1);
         CountDownLatch change = new CountDownLatch(1);
-        CountDownLatch never = new CountDownLatch(1);
-        AtomicInteger wholes = new AtomicInteger();
+        CountDownLatch endless = new CountDownLatch(1);
+        AtomicInteger wholeListCalls = new AtomicInteger();
         String whole = list(2, true, target(0, "DRAINING"), target(2, "SERVING"), target(3, "SERVING"),
                 target(9, "SERVING"));
-        letTimePass(new AtomicLong());
-        Host lost = discovery((head, seen) -> {
+        followSystemClock(new AtomicLong());
+        Host restarted = discovery((head, seen) -> {
             String query = query(seen);
             if (query.contains("after=6&")) {
                 return Host.ok(list(2, false));
@@ -329,56 +329,56 @@
                 change.await();
                 return Host.ok(list(3, false, target(2, "DELETED"), target(8, "SERVING")));
             } else if (query.contains("after=3&")) {
-                never.await();
-            } else if (wholes.incrementAndGet() == 2) {
+                endless.await();
+            } else if (wholeListCalls.incrementAndGet() == 2) {
                 missedOnce.await();
             }
             return Host.ok(whole);
         });
-        start(lost, 250_000);
-        assertThat(query(lost.next())).contains("after=6&");
-        assertThat(query(lost.next())).isEqualTo("/v1/servers");
-        assertThat(query(lost.next())).isEqualTo("/v1/servers");
-        assertThat(table.endpointOf("s0")).as("a drain counts at once").isNull();
-        assertThat(table.endpointToSend("s1", clock.get())).as("missing once, past its deadline").isNull();
+        start(restarted, 250_000);
+        assertThat(query(restarted.next())).contains("after=6&");
+        assertThat(query(restarted.next())).isEqualTo("/v1/servers");
+        assertThat(query(restarted.next())).isEqualTo("/v1/servers");
+        assertThat(endpoints.endpointOf("s0")).as("a drain counts at once").isNull();
+        assertThat(endpoints.endpointToSend("s1", clock.get())).as("missing once, past its deadline").isNull();
         missedOnce.countDown();
-        assertThat(query(lost.next())).contains("after=2&");
-        assertThat(table.endpointOf("s1")).as("missing again").isNull();
-        assertThat(table.endpointOf("s9")).as("what comes back waits").isNull();
-        assertThat(table.endpointOf("s2")).isNotNull();
+        assertThat(query(restarted.next())).contains("after=2&");
+        assertThat(endpoints.endpointOf("s1")).as("missing again").isNull();
+        assertThat(endpoints.endpointOf("s9")).as("what comes back waits").isNull();
+        assertThat(endpoints.endpointOf("s2")).isNotNull();
         change.countDown();
-        assertThat(query(lost.next())).contains("after=3&");
-        assertThat(table.endpointOf("s2")).isNull();
-        assertThat(table.endpointOf("s8")).isNull();
-        assertThat(table.endpointOf("s3")).isNotNull();
-        assertThat(table.revision()).as("a life that begins with it refuses older ones, too").isEqualTo(6);
+        assertThat(query(restarted.next())).contains("after=3&");
+        assertThat(endpoints.endpointOf("s2")).isNull();
+        assertThat(endpoints.endpointOf("s8")).isNull();
+        assertThat(endpoints.endpointOf("s3")).isNotNull();
+        assertThat(endpoints.revision()).as("a life that begins with it refuses older ones, too").isEqualTo(6);
     }
 
     /** What waited is believed after half a minute; a newer version before that has all of it asked for. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatWaitedCountsInTheEnd(boolean newer) throws Exception {
-        CountDownLatch never = new CountDownLatch(1);
-        AtomicLong aheadUs = new AtomicLong();
-        AtomicInteger followed = new AtomicInteger();
-        letTimePass(aheadUs);
-        Host lost = discovery((head, seen) -> {
+    void serversOfARestartedDiscoveryCountInTheEnd(boolean newerVersionComes) throws Exception {
+        CountDownLatch endless = new CountDownLatch(1);
+        AtomicLong offsetUs = new AtomicLong();
+        AtomicInteger followUpCalls = new AtomicInteger();
+        followSystemClock(offsetUs);
+        Host restarted = discovery((head, seen) -> {
             String query = query(seen);
-            if (query.contains("after=2&") && followed.incrementAndGet() == 1) {
-                aheadUs.addAndGet(newer ? 0 : 31_000_000);
-                return Host.ok(list(newer ? 7 : 2, false));
+            if (query.contains("after=2&") && followUpCalls.incrementAndGet() == 1) {
+                offsetUs.addAndGet(newerVersionComes ? 0 : 31_000_000);
+                return Host.ok(list(newerVersionComes ? 7 : 2, false));
             }
-            if (followed.get() > 0 && query.contains("after=")) {
-                never.await();
+            if (followUpCalls.get() > 0 && query.contains("after=")) {
+                endless.await();
             }
-            return Host.ok(list(newer && followed.get() > 0 ? 7 : 2, true, target(0, "SERVING"), target(1, "SERVING"),
+            return Host.ok(list(newerVersionComes && followUpCalls.get() > 0 ? 7 : 2, true, target(0, "SERVING"), target(1, "SERVING"),
                     target(2, "SERVING"), target(9, "SERVING")));
         });
-        start(lost, 250_000);
-        while (table.endpointOf("s9") == null) {
+        start(restarted, 250_000);
+        while (endpoints.endpointOf("s9") == null) {
             Thread.onSpinWait();
         }
-        assertThat(table.revision()).isEqualTo(newer ? 7 : 2);
-        assertThat(table.endpointOf("s3")).isNull();
+        assertThat(endpoints.revision()).isEqualTo(newerVersionComes ? 7 : 2);
+        assertThat(endpoints.endpointOf("s3")).isNull();
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/LingeringCloseTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LingeringCloseTest.java
@@ -21,14 +21,14 @@
         return open(new Host((head, seen) -> Host.ok("done")));
     }
 
-    private static Host.Client asked(ClientRig rig) throws IOException {
+    private static Host.Client clientAfterOneRequest(ClientRig rig) throws IOException {
         Host.Client client = rig.client();
         client.send(ClientRig.pay("first"));
         assertThat(client.answer().status()).isEqualTo(200);
         return client;
     }
 
-    private static void empty(ClientRig rig, String cause) {
+    private static void closeConnections(ClientRig rig, String cause) {
         if (cause.equals("drain")) {
             rig.lifetime.drain();
         } else if (cause.equals("ending")) {
@@ -39,7 +39,7 @@
     /** The close came over bytes that nobody had read, and reset the connection. */
     @ParameterizedTest
     @ValueSource(strings = {"idle", "drain", "ending"})
-    void requestInTheMomentOfTheEndIsNeitherServedNorMetWithAReset(String cause) throws Exception {
+    void requestThatCrossesTheCloseIsNeitherServedNorReset(String cause) throws Exception {
         Host host = host();
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks() {
             @Override
@@ -51,7 +51,7 @@
         sender.send(ClientRig.pay("first"));
         assertThat(host.next().head().get("Idempotency-Key")).isEqualTo("first");
         assertThat(sender.answer().status()).isEqualTo(200);
-        empty(rig, cause);
+        closeConnections(rig, cause);
         assertThat(sender.atEnd()).as("the end, and no reset").isTrue();
         sender.send("more that nobody reads");
         sender.close();
@@ -61,11 +61,11 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"idle", "ending"})
-    void descriptorComesBackWhereTheClientNeverCloses(String cause) throws Exception {
+    void socketIsClosedEvenIfTheClientNeverCloses(String cause) throws Exception {
         Host host = host();
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), 100, host.port()));
-        Host.Client client = asked(rig);
-        empty(rig, cause);
+        Host.Client client = clientAfterOneRequest(rig);
+        closeConnections(rig, cause);
         assertThat(client.atEnd()).isTrue();
         client.send(ClientRig.pay("late"));
         assertThat(rig.accepted().isClosedInTime()).isTrue();
@@ -74,30 +74,30 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"drain", "ending"})
-    void requestThatIsHalfReadWhenConnectionsAreToGoIsServedAsTheLast(String cause) throws Exception {
+    void partlyReadRequestIsServedAsTheLastOneDuringADrain(String cause) throws Exception {
         Host host = host();
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), 100, host.port()));
-        Host.Client half = asked(rig);
-        Host.Client resting = asked(rig);
+        Host.Client partial = clientAfterOneRequest(rig);
+        Host.Client idle = clientAfterOneRequest(rig);
         ClientRig.Accepted accepted = rig.accepted();
-        int before = accepted.read.get();
+        int readBefore = accepted.read.get();
         String request = ClientRig.pay("half");
-        half.send(request.substring(0, 40));
-        while (accepted.read.get() < before + 40) {
+        partial.send(request.substring(0, 40));
+        while (accepted.read.get() < readBefore + 40) {
             Thread.sleep(1);
         }
-        empty(rig, cause);
-        assertThat(resting.atEnd()).as("connections go").isTrue();
-        half.send(request.substring(40));
-        Host.Answer answer = half.answer();
+        closeConnections(rig, cause);
+        assertThat(idle.atEnd()).as("connections go").isTrue();
+        partial.send(request.substring(40));
+        Host.Answer answer = partial.answer();
         assertThat(answer.status()).isEqualTo(200);
         assertThat(answer.head().closes("HTTP/1.1")).isTrue();
-        assertThat(half.atEnd()).isTrue();
+        assertThat(partial.atEnd()).isTrue();
     }
 
     /** More than may lie unread behind a request: it is thrown away, so that the answer is the connection's last. */
     @Test
-    void answerBehindAFloodArrivesWholeAndIsTheLast() throws Exception {
+    void responseToAClientThatFloodsInputIsCompleteAndTheLast() throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
         Host host = open(new Host((head, seen) -> {
             sent.await();
@@ -119,33 +119,33 @@
 
     /** At the bound it had to go before those that rest, in the middle of its first request. */
     @Test
-    void clientInTheMiddleOfItsFirstRequestDoesNotMakeRoomForOthers() throws Exception {
-        int most = 12;              // three strangers would be a flood
+    void clientWithinItsFirstRequestIsNotClosedToMakeRoom() throws Exception {
+        int maxConnections = 12;              // three strangers would be a flood
         Host host = host();
-        ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), most, host.port()));
+        ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), maxConnections, host.port()));
         rig.stopClock(0);
-        List<Host.Client> resting = new ArrayList<>();
-        for (int i = 0; i < most - 1; i++) {
-            resting.add(asked(rig));
+        List<Host.Client> idle = new ArrayList<>();
+        for (int i = 0; i < maxConnections - 1; i++) {
+            idle.add(clientAfterOneRequest(rig));
             rig.accepted();
             rig.stopClock(UpstreamSide.REST_US);      // else the next one waits for the host's connection
         }
-        Host.Client half = rig.client();
+        Host.Client partial = rig.client();
         String request = ClientRig.pay("half");
-        half.send(request.substring(0, 40));
+        partial.send(request.substring(0, 40));
         ClientRig.Accepted accepted = rig.accepted();
         while (accepted.read.get() < 40) {
             Thread.sleep(1);
         }
-        assertThat(resting.get(0).atEnd()).as("one goes for who may come next").isTrue();
+        assertThat(idle.get(0).atEnd()).as("one goes for who may come next").isTrue();
         rig.stopClock(60_000);      // of age
-        resting.get(0).close();
+        idle.get(0).close();
         Host.Client next = rig.client();
-        assertThat(resting.get(1).atEnd()).isTrue();
+        assertThat(idle.get(1).atEnd()).isTrue();
         next.send(ClientRig.pay("next"));
         assertThat(next.answer().status()).isEqualTo(200);
         rig.stopClock(UpstreamSide.REST_US);
-        half.send(request.substring(40));
-        assertThat(half.answer().status()).isEqualTo(200);
+        partial.send(request.substring(40));
+        assertThat(partial.answer().status()).isEqualTo(200);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/OptionsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/OptionsTest.java
@@ -9,13 +9,13 @@
 class OptionsTest {
     @ParameterizedTest
     @CsvSource({"160,192", "256,192", "1024,192", "1024,512"})
-    void twoProcessesAtOneDoorFitTheLimitsTogether(int sockets, int memoryMb) {
-        Sidecar.Options each = new Sidecar.Options(null, null, null, 0, 1, sockets, memoryMb, null, null, true);
-        Sidecar.Options alone = new Sidecar.Options(null, null, null, 0, 1, sockets, memoryMb, null, null, false);
-        assertThat(each.maxClients() + each.maxUpstreams()).isEqualTo(each.maxConnections());
-        assertThat(2 * (32 + each.maxConnections())).isLessThanOrEqualTo(sockets);
-        assertThat(2 * (75 + 0.11 * each.maxConnections())).isLessThanOrEqualTo(memoryMb);
-        assertThat(each.crowdThreshold()).isLessThan(each.maxClients()).isLessThanOrEqualTo(alone.crowdThreshold());
-        assertThat(alone.crowdThreshold()).isEqualTo(sockets / 4);
+    void twoProcessesAtOneSocketFitTheLimitsTogether(int sockets, int memoryMb) {
+        Sidecar.Options sharing = new Sidecar.Options(null, null, null, 0, 1, sockets, memoryMb, null, null, true);
+        Sidecar.Options single = new Sidecar.Options(null, null, null, 0, 1, sockets, memoryMb, null, null, false);
+        assertThat(sharing.maxClients() + sharing.maxUpstreams()).isEqualTo(sharing.maxConnections());
+        assertThat(2 * (32 + sharing.maxConnections())).isLessThanOrEqualTo(sockets);
+        assertThat(2 * (75 + 0.11 * sharing.maxConnections())).isLessThanOrEqualTo(memoryMb);
+        assertThat(sharing.crowdThreshold()).isLessThan(sharing.maxClients()).isLessThanOrEqualTo(single.crowdThreshold());
+        assertThat(single.crowdThreshold()).isEqualTo(sockets / 4);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/ThreadReserveTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ThreadReserveTest.java
@@ -11,13 +11,13 @@
 
 @Timeout(60)
 class ThreadReserveTest {
-    private final AtomicLong now = new AtomicLong(1_000_000);
-    private final AtomicInteger room = new AtomicInteger(1_000);
+    private final AtomicLong clock = new AtomicLong(1_000_000);
+    private final AtomicInteger availableThreads = new AtomicInteger(1_000);
     private final List<Thread> started = new CopyOnWriteArrayList<>();
-    private final ThreadReserve reserve = new ThreadReserve(now::get, this::thread);
+    private final ThreadReserve reserve = new ThreadReserve(clock::get, this::newThread);
 
-    private Thread thread(Runnable work) {
-        if (room.getAndDecrement() <= 0) {
+    private Thread newThread(Runnable work) {
+        if (availableThreads.getAndDecrement() <= 0) {
             throw new OutOfMemoryError("no thread");
         }
         Thread thread = new Thread(work);
@@ -25,50 +25,50 @@
         return thread;
     }
 
-    private void turnAfter(long us) {
-        now.addAndGet(us);
+    private void tickAfter(long us) {
+        clock.addAndGet(us);
         reserve.tick();
     }
 
-    private void awaitAlive(int many) {
-        while (started.stream().filter(Thread::isAlive).count() != many) {
+    private void awaitAliveThreads(int expected) {
+        while (started.stream().filter(Thread::isAlive).count() != expected) {
             Thread.onSpinWait();
         }
     }
 
     @Test
-    void itEndsAtAShortageAndIsKeptAgainAfterAQuietTime() {
-        turnAfter(0);
-        awaitAlive(ThreadReserve.SIZE);
+    void threadsEndAtAShortageAndAreReservedAgainAfterAQuietTime() {
+        tickAfter(0);
+        awaitAliveThreads(ThreadReserve.SIZE);
         reserve.reportShortage();
-        awaitAlive(0);
-        turnAfter(ThreadReserve.RECOVERY_US - 1);
-        awaitAlive(0);
-        turnAfter(ThreadReserve.CHECK_INTERVAL_US);
-        awaitAlive(ThreadReserve.SIZE);
+        awaitAliveThreads(0);
+        tickAfter(ThreadReserve.RECOVERY_US - 1);
+        awaitAliveThreads(0);
+        tickAfter(ThreadReserve.CHECK_INTERVAL_US);
+        awaitAliveThreads(ThreadReserve.SIZE);
     }
 
     /** Idle clients may take the last thread, so that no start fails until a signal needs one. */
     @Test
-    void aLookFindsThatNoThreadIsLeft() {
-        AtomicInteger told = new AtomicInteger();
-        reserve.onShortage(told::incrementAndGet);
-        turnAfter(0);
-        turnAfter(ThreadReserve.CHECK_INTERVAL_US);
-        assertThat(told).hasValue(0);
-        room.set(0);
-        turnAfter(ThreadReserve.CHECK_INTERVAL_US);
-        assertThat(told).hasValue(1);
-        awaitAlive(0);
-        assertThat(reserve.lastShortageUs()).isEqualTo(now.get());
+    void periodicCheckNoticesThatNoThreadIsLeft() {
+        AtomicInteger shortages = new AtomicInteger();
+        reserve.onShortage(shortages::incrementAndGet);
+        tickAfter(0);
+        tickAfter(ThreadReserve.CHECK_INTERVAL_US);
+        assertThat(shortages).hasValue(0);
+        availableThreads.set(0);
+        tickAfter(ThreadReserve.CHECK_INTERVAL_US);
+        assertThat(shortages).hasValue(1);
+        awaitAliveThreads(0);
+        assertThat(reserve.lastShortageUs()).isEqualTo(clock.get());
     }
 
     /** Where only a part of it is to be had, none of it stays. */
     @Test
-    void aReserveThatCannotBeWholeEnds() {
-        room.set(ThreadReserve.SIZE / 2);
-        turnAfter(0);
+    void incompleteReserveIsReleased() {
+        availableThreads.set(ThreadReserve.SIZE / 2);
+        tickAfter(0);
         assertThat(started).hasSize(ThreadReserve.SIZE / 2);
-        awaitAlive(0);
+        awaitAliveThreads(0);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/WarmUpTest.java
+++ b/sidecar/src/test/java/dapplequay/net/WarmUpTest.java
@@ -15,24 +15,24 @@
 class WarmUpTest {
     /** A round that meets a fault ends the walk: then the first would. */
     @Test
-    void walksRoundAfterRoundUnderAnySettings() throws Exception {
+    void runsRoundsWithTheExampleSettings() throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
-        WarmUp walk = new WarmUp(SettingsReader.of(example.get("settings"), "example"),
+        WarmUp warmUp = new WarmUp(SettingsReader.of(example.get("settings"), "example"),
                 new Deadlines(new UnixClock()));
-        assertThat(walk.run()).isGreaterThan(20);
+        assertThat(warmUp.run()).isGreaterThan(20);
     }
 
     /** The start would have ended with it, though serving does not hang on the walk. */
     @Test
-    void memoryThatRunsOutEndsTheWalkAlone() throws Exception {
+    void lackOfMemoryEndsOnlyTheWarmUp() throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
-        AtomicLong asked = new AtomicLong();
-        WarmUp walk = new WarmUp(SettingsReader.of(example.get("settings"), "example"), new Deadlines(() -> {
-            if (asked.incrementAndGet() > 200) {
+        AtomicLong clockReadings = new AtomicLong();
+        WarmUp warmUp = new WarmUp(SettingsReader.of(example.get("settings"), "example"), new Deadlines(() -> {
+            if (clockReadings.incrementAndGet() > 200) {
                 throw new OutOfMemoryError("made up");
             }
-            return asked.get();
+            return clockReadings.get();
         }));
-        assertThat(walk.run()).isBetween(1, 200);
+        assertThat(warmUp.run()).isBetween(1, 200);
     }
 }
