--- a/sidecar/src/main/java/dapplequay/cli/Config.java
+++ b/sidecar/src/main/java/dapplequay/cli/Config.java
@@ -35,7 +35,8 @@
      * The same for a file that replaces the one read before: where discovery is, it says alone, as the environment
      * stays as it was. What {@code before} has, it has to have too, but for a list that was kept.
      */
-    static Sidecar.Options reread(String place, Map<?, ?> fields, Map<?, ?> before, Map<String, String> environment) {
+    static Sidecar.Options reread(String place, Map<?, ?> fields, Map<?, ?> before,
+            Map<String, String> environment) {
         Map<Object, Object> wanted = new LinkedHashMap<>(before);
         wanted.remove("known");
         String missing = Completeness.missing(wanted, fields);
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -16,34 +16,34 @@
 import java.util.logging.Logger;
 
 /**
- * One connection of the client's, with the thread that reads it. The thread goes on reading while an attempt is
- * out, and so sees a client that leaves; whoever has the answer writes it.
+ * One client connection and the thread that reads it. The thread keeps reading while an attempt is in progress, and so
+ * notices a client that leaves; the thread that has the response writes it.
  */
 final class ClientConnection implements Runnable {
     private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
-    /** An idle connection is closed after this: some clients ask once and never again, nor ever close. */
+    /** Time after which an idle connection is closed: some clients send one request and never close. */
     private static final long IDLE_TIMEOUT_US = 2_100_000;
-    /** A stranger, one that has not asked for anything yet, has at least so long before it makes room. */
+    /** Minimum age at which a connection without a complete request (unproven) is closed to make room. */
     private static final long UNPROVEN_MIN_AGE_US = 50_000;
-    /** The same for one whose request has begun to come, where no flood of them fills the bound. */
+    /** The same for one with a part of a request, unless unproven connections flood the limit. */
     private static final long PARTIAL_REQUEST_MIN_AGE_US = 500_000;
-    /** A connection that has just come is not closed unheard: its first request is on its way. */
+    /** A connection younger than this is not closed for a drain: its first request is on its way. */
     private static final long FIRST_REQUEST_WAIT_US = 100_000;
-    /** Of a long request that was answered before it was whole: its client may read only after it has sent all. */
+    /** Input discarded after an early response: a client may read it only after it has sent its whole request. */
     private static final int UPLOAD_DISCARD_BYTES = 2 * MessageReader.LONGEST_BODY;
     private static final long UPLOAD_LINGER_US = 5_000_000;
-    /** A client that does not take its answer must not hold the thread that writes it. */
+    /** Time for writing a response: a client that does not read must not block the writing thread. */
     private static final long WRITE_TIMEOUT_US = 10_000_000;
-    /** Peers take seconds over a piece of a long body; where nothing moves for so long, nothing will. */
+    /** A streamed body that does not move for this long is given up; peers may take seconds for one piece. */
     private static final long STALL_TIMEOUT_US = 10_000_000;
-    /** After the last answer the client closes; closing first could take the answer from it. */
+    /** Time for the client to close after the last response; closing first could lose the response. */
     private static final long LINGER_US = 1_000_000;
-    /** A head has to be here within this; clients take 2 s for one. */
+    /** Time for a complete request head; clients take up to 2 s. */
     private static final long HEAD_TIMEOUT_US = 2_300_000;
     private static final byte[] CONTINUE_RESPONSE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    /** READING: a request has begun to come; BUSY: it is whole and its answer is due. */
+    /** READING: part of a request has arrived; BUSY: the request is complete and its response is due. */
     private enum State { IDLE, READING, BUSY, CLOSED }
 
     private final ClientListener listener;
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Waits for the answer to the request before; false where the connection takes no more. A client that has sent
-     * more is looked for meanwhile, as its end would lie behind that.
+     * Waits until the response to the previous request is written; false if the connection serves no further request.
+     * Meanwhile it polls for a client that has sent more, as the end of the stream would only show after that.
      */
     private boolean awaitPreviousResponse() throws IOException {
         while (isBusyAfter(ClientPresence.POLL_WHILE_BUSY_MS)) {
@@ -122,7 +122,7 @@
         return startReading();
     }
 
-    /** Whether the answer is still due after so many ms, or a little earlier. */
+    /** True if the response is still due after at most {@code maxWaitMs} milliseconds. */
     private synchronized boolean isBusyAfter(long maxWaitMs) throws InterruptedIOException {
         if (state == State.BUSY) {
             Waits.atMost(this, maxWaitMs);
@@ -136,7 +136,7 @@
             lingeringClose.begin(LINGER_US);
         }
         if (state != State.IDLE) {
-            LOG.fine("a request crossed the end of its connection");
+            LOG.fine("request arrived while its connection was closing");
             return false;
         }
         state = State.READING;
@@ -145,16 +145,16 @@
         return true;
     }
 
-    /** The request is whole; IOException where the connection was closed to make room meanwhile. */
+    /** Marks the request as complete; throws IOException if the connection was closed to make room meanwhile. */
     private synchronized void requestComplete() throws IOException {
         if (state == State.CLOSED) {
-            throw new EOFException("made room");
+            throw new EOFException("connection was closed to make room");
         }
         state = State.BUSY;
         input.setResponseDue(true);
     }
 
-    /** Ends the wait for the rest of a request; its thread finds the end of the stream and answers. */
+    /** Ends the wait for the rest of a request: the reading thread finds the end of the stream and responds. */
     private synchronized void requestTimedOut() {
         isRequestLate = true;
         try {
@@ -180,7 +180,7 @@
             }
             bufferedBody = bodyReader.held(body);
         } catch (BadMessage e) {
-            isLastRequest = true;         // where this message ends, and the next begins, nobody can say
+            isLastRequest = true;   // the end of this message, and so the start of the next, is unknown
             writeResponse(ClientResponses.plainText(e.status, e.getMessage()));
             return;
         } catch (EOFException e) {
@@ -194,7 +194,7 @@
             listener.deadlines().cancel(headDeadline);
         }
         requestComplete();
-        // An answer to HEAD ends after its head, whatever length it names: not a method that is served here.
+        // A response to HEAD ends after its head, but HEAD is not supported: the connection closes.
         isLastRequest = head.closes(httpVersion) || head.start[0].equals("HEAD");
         isUploading = !body.isWhole();
         boolean isCountedUpload = isUploading;
@@ -225,17 +225,17 @@
         }
     }
 
-    /** Right before an attempt's first byte: has the client looked for, where it may have left unseen. */
+    /** Checks for the client right before an attempt's first byte, if it may have left unnoticed. */
     void checkClientPresent(Exchange exchange) {
         presence.checkBeforeSend(exchange, !isUploading);
     }
 
-    /** Whether a long request is among as many as may come at once. */
+    /** True unless the request is streamed and there were too many such requests already. */
     boolean isUploadAdmitted() {
         return isUploadAdmitted;
     }
 
-    /** Carries the rest of a long request to the attempt that is out, until it is whole or the request is over. */
+    /** Passes the rest of a streamed request on to the current attempt until the request or the exchange ends. */
     private void forwardBody(Exchange exchange, Body body) throws IOException {
         byte[] piece = Pieces.take();
         boolean chunked = exchange.request.isChunked();
@@ -252,7 +252,7 @@
                 int count = Math.max(0, bodyReader.read(body, piece, Chunks.ROOM, Pieces.SIZE));
                 boolean last = body.isWhole();
                 isUploading = !last;
-                // From the first piece on that is not held, no other attempt can follow: asked for once it is here.
+                // Commits only once the first unbuffered piece is here: after sending it no other attempt can follow.
                 while (attempt == null || !exchange.commit(attempt)) {
                     attempt = exchange.awaitOpen();
                     if (attempt == null) {
@@ -264,7 +264,7 @@
                     }
                 }
                 if (last) {
-                    input.checkPresent(reader, true);     // it may have left while this thread was elsewhere
+                    input.checkPresent(reader, true);   // it may have left meanwhile
                     if (!listener.conductor().lastPiece(attempt)) {
                         return;
                     }
@@ -293,7 +293,7 @@
             throw e;
         } finally {
             Pieces.give(piece);
-            // Its end is reported by this thread, if it was this thread's to serve and the answer is not awaited yet.
+            // This thread reports the attempt's end, if that was its task and nothing waits for the response yet.
             Attempt lastAttempt = exchange.attempt();
             if (lastAttempt != null && lastAttempt.connection() != null) {
                 lastAttempt.connection().carried(false);
@@ -322,7 +322,7 @@
         LOG.fine(() -> "request " + Long.toHexString(callId) + " is " + exchange.id);
         currentExchange = exchange;
         if (listener.isEndingTimeOver() && exchange.claim()) {
-            exchange.ended(End.THROTTLED);         // it never ran, and there is no time for it to
+            exchange.ended(End.THROTTLED);   // it never ran, and there is no time left
             writeResponse(ClientResponses.refusal(0));
             return;
         }
@@ -330,16 +330,17 @@
         presence.runWhileAway(exchange, remainingBody == null, () -> listener.conductor().begin(exchange, call));
     }
 
-    /** Whether the answer in hand is this connection's last; one that comes while its request does, has to be. */
+    /** True if the connection closes after the current response, as after one that comes before the request's end. */
     private boolean isLastResponse() {
-        return isLastRequest || isUploading || input.hasDiscardedBytes() || listener.isEmptying() || listener.isCrowded();
+        return isLastRequest || isUploading || input.hasDiscardedBytes() || listener.isEmptying()
+                || listener.isCrowded();
     }
 
     private String connectionField(boolean last) {
         return last ? "Connection: close\r\n" : httpVersion.equals("HTTP/1.0") ? "Connection: keep-alive\r\n" : "";
     }
 
-    /** Writes the answer to the request in hand. Only who claimed the exchange may call this. */
+    /** Writes the response to the current request. Only the thread that claimed the exchange may call this. */
     void writeResponse(ClientResponses.Response response) {
         boolean last = isLastResponse();
         Deadlines.Deadline writeDeadline = listener.deadlines().after(WRITE_TIMEOUT_US, this::close);
@@ -349,7 +350,7 @@
                 lingeringClose.begin(isUploading ? UPLOAD_LINGER_US : LINGER_US);
             }
         } catch (IOException e) {
-            LOG.log(Level.FINE, "answer could not be written: {0}", e.toString());
+            LOG.log(Level.FINE, "response could not be written: {0}", e.toString());
             last = true;
             close();
         } finally {
@@ -368,20 +369,22 @@
     }
 
     /**
-     * Passes a long answer on, by the caller's thread; its request's time ends at {@code dueUs}. True if it was whole.
-     * The thread that reads this connection ends meanwhile: where a process is held to a share of a core each thread
-     * costs some of that share, and long answers come many at once. This answer is the connection's last.
+     * Passes on a streamed response on the calling thread; the request's time ends at {@code dueUs}. Returns true if
+     * the response is complete. The reading thread ends meanwhile: many long responses come at once, and where a
+     * process is limited to a share of a core, each thread costs some of that share. The connection closes after this
+     * response.
      */
     boolean relayResponse(Head upstreamHead, Body body, byte[] start, long dueUs) {
         boolean isComplete = false;
         input.handOver();
         try {
-            byte[] responseStart = ClientResponses.streamStart(upstreamHead, body, start, httpVersion, connectionField(true));
+            byte[] responseStart = ClientResponses.streamStart(upstreamHead, body, start, httpVersion,
+                    connectionField(true));
             isComplete = new LongAnswer(socket, input, lingeringClose, listener.deadlines(), listener::streamPauseMs)
                     .pass(responseStart, start.length, body, ClientResponses.isChunked(body, httpVersion), dueUs);
         } finally {
             if (!isComplete) {
-                LOG.fine(() -> "long answer to " + currentExchange.id + " broke off");
+                LOG.fine(() -> "streamed response to " + currentExchange.id + " broke off");
             }
             responseWritten(true);
             endAfterRelay(isComplete);
@@ -389,7 +392,7 @@
         return isComplete;
     }
 
-    /** Ended by the reading thread where that is still there; else one takes its place until the client closes too. */
+    /** Ends the connection on the reading thread if that still runs, else on a new one that waits for the client. */
     private void endAfterRelay(boolean isComplete) {
         if (isComplete) {
             lingeringClose.begin(LINGER_US);
@@ -405,8 +408,8 @@
     }
 
     /**
-     * Lets a connection between requests go; one on which something has come is served first. The client has {@code
-     * lingerUs} to close too. True where the connection is ending, by this call or an earlier one.
+     * Closes the connection if it is idle; one with unread input is served first. The client has {@code lingerUs} to
+     * close too. Returns true if the connection is closing, because of this call or an earlier one.
      */
     synchronized boolean closeIfIdle(long lingerUs) {
         if (state == State.IDLE && !hasUnreadInput()) {
@@ -416,20 +419,20 @@
         return state == State.CLOSED;
     }
 
-    /** It has rested for too long; what has just come, and may be no request, is waited for once more. */
+    /** Closes the connection after its idle time; if input has arrived, which may be no request, waits once more. */
     synchronized void idleTimeout(long lingerUs) {
         if (!closeIfIdle(lingerUs) && state == State.IDLE) {
             idleDeadline = listener.deadlines().after(lingerUs, () -> listener.idleTimeout(this));
         }
     }
 
-    /** Whether the reading thread has something that it is about to use. */
+    /** True if the reading thread has input that it is about to process. */
     private boolean hasUnprocessedInput() {
         ClientInput from = input;
         return from != null && from.hasUnprocessedBytes();
     }
 
-    /** Whether something has come that was not looked at. */
+    /** True if input has arrived that was not processed yet. */
     private boolean hasUnreadInput() {
         try {
             return hasUnprocessedInput() || socket.getInputStream().available() > 0;
@@ -438,7 +441,7 @@
         }
     }
 
-    /** Has an end that has begun take no longer than this from now on, us; false where none has, or it is over. */
+    /** Limits a close that has begun to {@code lingerUs}; false if none has begun, or if it is done. */
     synchronized boolean shortenLinger(long lingerUs) {
         if (state == State.CLOSED) {
             lingeringClose.begin(lingerUs);
@@ -446,13 +449,13 @@
         return state == State.CLOSED && !lingeringClose.isClosed();
     }
 
-    /** Whether a request is in hand whose answer nobody has taken on. */
+    /** True if there is a request to which no thread has taken on the response. */
     boolean hasUnansweredRequest() {
         Exchange exchange = currentExchange;
         return exchange != null && !exchange.isOver();
     }
 
-    /** There is no time left to wait for the answer to the request in hand: it fails, better told than cut off. */
+    /** Fails the current request, as there is no time left: the client is better told than cut off. */
     void failUnansweredRequest() {
         Exchange exchange = currentExchange;
         if (exchange != null) {
@@ -460,21 +463,22 @@
         }
     }
 
-    /** The same where the sidecar is being emptied: one that has just come is given the time to ask. */
+    /** Closes an idle connection for a drain or shutdown; a new connection first gets time for its first request. */
     synchronized void closeIfIdleForDrain(long lingerUs) {
         if (hasRequested || listener.deadlines().now() - acceptedUs >= FIRST_REQUEST_WAIT_US) {
             closeIfIdle(lingerUs);
         }
     }
 
-    /** Whether nothing has been asked for whole on this connection. */
+    /** True if no complete request has arrived on this connection. */
     synchronized boolean isUnproven() {
         return !hasRequested && (state == State.IDLE || state == State.READING);
     }
 
     /**
-     * Closes a grown stranger, which has no answer to lose: true if this was one. In the middle of a request it has
-     * longer, but for a {@code flood} of strangers, and where what came is not looked at yet, in any case.
+     * Closes the connection to make room if it is unproven and old enough, as then it has no response to lose; true if
+     * it was closed. A connection within a request, or with unread input, has longer; in a flood of unproven
+     * connections only unread input gives it longer.
      */
     synchronized boolean closeIfUnproven(boolean isFlood) {
         if (!isUnproven()) {
@@ -483,7 +487,7 @@
         long ageUs = listener.deadlines().now() - acceptedUs;
         boolean isWaiting = state == State.READING && !isFlood || hasUnreadInput();
         if (ageUs < (isWaiting ? PARTIAL_REQUEST_MIN_AGE_US : UNPROVEN_MIN_AGE_US) || hasUnprocessedInput()) {
-            return false;           // what is in hand may be a whole request
+            return false;   // the input may be a complete request
         }
         state = State.CLOSED;
         close();
--- a/sidecar/src/main/java/dapplequay/net/ClientInput.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientInput.java
@@ -9,29 +9,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * What a client sends, read by its connection's thread alone. A client that ends its sending has gone, whether it
- * closed or goes on reading: the two can't be told apart before something is written. The end of a stream shows only
- * behind the last byte, so that one who waits for another thing than the next byte has to look for it. Whoever passes a
- * long answer on takes the reading over, once the reading thread has left.
+ * The input of one client, read only by the thread of its connection. A client that ends its output counts as gone,
+ * whether it closed or still reads, as the two can't be told apart before something is written. The end of the stream
+ * only shows after the last byte, so a thread that waits for something other than the next byte has to poll for it. The
+ * thread that passes on a long response takes over the input once the reading thread has left.
  */
 final class ClientInput extends InputStream {
-    /** A look waits for so long where nothing has come, ms; a socket knows no shorter time. */
+    /** How long a poll waits if nothing has arrived, in milliseconds; the shortest timeout that a socket has. */
     private static final int POLL_MS = 1;
-    /** So much is taken in by one look, bytes: who sends without end must not keep its thread from the answer, ... */
+    /** How many bytes one poll reads: a client that sends without end must not keep its thread from the response. */
     private static final int MAX_POLL_BYTES = 1 << 20;
-    /** ... nor many of them the process from its work: from so many spilt bytes on, a look takes only so much. */
+    /**
+     * Once a connection has discarded this many bytes, a poll reads only {@link #MAX_FLOOD_POLL_BYTES}, so that many
+     * such clients don't use up the processor time.
+     */
     private static final int DISCARD_FLOOD_BYTES = 2 << 20;
     private static final int MAX_FLOOD_POLL_BYTES = 64 * 1024;
     private static final int DISCARD_BUFFER_BYTES = 8 * 1024;
-    /** While an answer is due, the reading thread asks so often, ms, whether the reading is still its own. */
+    /** How often the reading thread checks whether it still owns the input while a response is due, in milliseconds. */
     private static final int OWNERSHIP_CHECK_MS = 200;
 
-    /** The reading is another thread's from here on. */
+    /** Thrown to the reading thread once another thread owns the input. */
     static final class HandedOverException extends IOException {
         private static final long serialVersionUID = 1L;
 
         HandedOverException() {
-            super("handed over");
+            super("input was handed over to another thread");
         }
     }
 
@@ -44,11 +47,11 @@
     private volatile boolean isResponseDue;
     private volatile boolean isGone;
     private boolean isPolling;
-    /** This and the next: under this object's own lock. */
+    /** Guarded by this object's lock, as is {@link #readerHasLeft}. */
     private boolean isHandedOver;
     private boolean readerHasLeft;
 
-    /** {@code clock}: microseconds. */
+    /** {@code clock}: in microseconds. */
     ClientInput(Socket socket, LongSupplier clock) throws IOException {
         this.socket = socket;
         in = socket.getInputStream();
@@ -65,8 +68,8 @@
     @Override
     public int read(byte[] into, int from, int length) throws IOException {
         hasUnprocessedBytes = false;
-        // One byte first: until this thread has said that it has it, the rest still lies with the system, where whoever
-        // wants to close a quiet connection finds it.
+        // Reads one byte first. Until this thread has noted that it has input, the rest stays in the socket, where a
+        // thread that wants to close an idle connection finds it.
         int count = isPolling ? receive(into, from, Math.min(1, length)) : awaitBytes(into, from, Math.min(1, length));
         hasUnprocessedBytes = count > 0;
         if (count > 0 && length > 1 && in.available() > 0) {
@@ -83,7 +86,7 @@
             try {
                 return receive(into, from, length);
             } catch (SocketTimeoutException e) {
-                // Nothing has come: whose the reading is may have changed.
+                // Nothing has arrived; the owner of the input may have changed.
             }
         }
     }
@@ -107,23 +110,27 @@
         }
     }
 
-    /** Whether an answer is due: the reading may be handed over then alone, and its thread waits accordingly. */
+    /**
+     * Sets whether a response is due: only then may the input be handed over, and the reading thread waits accordingly.
+     */
     void setResponseDue(boolean due) {
         isResponseDue = due;
     }
 
-    /** The reading is the caller's, from the moment on at which the reading thread has left. */
+    /** Hands the input over to the caller, which owns it once the reading thread has left. */
     synchronized void handOver() {
         isHandedOver = true;
     }
 
-    /** The reading thread leaves; whether the reading, and the connection, were handed over. */
+    /** Marks that the reading thread has left; true if the input, and so the connection, was handed over. */
     synchronized boolean leave() {
         readerHasLeft = true;
         return isHandedOver;
     }
 
-    /** Gives the reading back to its thread; false where that has left, and what is still to do is the caller's. */
+    /**
+     * Returns the input to the reading thread; false if that has left, so that the caller has to finish the connection.
+     */
     synchronized boolean giveBack() {
         isHandedOver &= readerHasLeft;
         return !readerHasLeft;
@@ -133,35 +140,38 @@
         return readerHasLeft;
     }
 
-    /** Whether the end of the stream was seen, or a break; any thread may ask. */
+    /** True if the end of the stream or a broken connection was seen. Any thread may call this. */
     boolean isGone() {
         return isGone;
     }
 
-    /** For the thread that it was handed over to: whether the client is there. What has come is thrown away. */
+    /**
+     * True if the client is still there; input that has arrived is discarded. For the thread that took over the input.
+     */
     boolean isClientPresent() throws IOException {
         return hasReaderLeft() ? poll(null, true) : !isGone;
     }
 
-    /** When the client was last known to be there, microseconds. */
+    /** Returns when the client was last known to be there, in microseconds. */
     long lastSeenUs() {
         return lastSeenUs;
     }
 
-    /** Whether something was read that the reading thread is about to use; any thread may ask. */
+    /** True if bytes were read that the reading thread is about to process. Any thread may call this. */
     boolean hasUnprocessedBytes() {
         return hasUnprocessedBytes;
     }
 
-    /** Whether something was thrown away, so that nobody can say where the next request begins; any thread may ask. */
+    /** True if input was discarded, so that the start of the next request is unknown. Any thread may call this. */
     boolean hasDiscardedBytes() {
         return discardedBytes > 0;
     }
 
     /**
-     * Looks whether the client is still there, and takes in what has come: EOFException at the end of the stream. It is
-     * read into the reader's buffer; what does not fit there is thrown away if {@code spills}, and else left unread,
-     * with what is behind it.
+     * Checks that the client is still there and reads what has arrived into the reader's buffer. What does not fit is
+     * discarded if {@code discardsOverflow}, else it stays unread, and so does anything after it.
+     *
+     * @throws EOFException at the end of the stream
      */
     void checkPresent(MessageReader reader, boolean discardsOverflow) throws IOException {
         checkOwnership();
@@ -191,7 +201,8 @@
                 }
             }
         } catch (SocketTimeoutException e) {
-            lastSeenUs = clock.getAsLong();        // nothing more, and no end: it is there
+            // No more input and no end of the stream: the client is there.
+            lastSeenUs = clock.getAsLong();
         } finally {
             hasUnprocessedBytes = reader != null && reader.hasBytes();
             isPolling = false;
--- a/sidecar/src/main/java/dapplequay/net/ClientListener.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientListener.java
@@ -19,24 +19,30 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** The listener, and the client's connections. */
+/** Accepts clients and keeps their connections. */
 final class ClientListener implements Runnable {
     private static final Logger LOG = Logger.getLogger(ClientListener.class.getName());
     private static final long RETRY_PAUSE_MS = 20;
-    /** The accepting thread leaves a door that was shut at once; were it stuck, the ending must not be. */
+    /**
+     * How long to wait for the accepting thread to stop, in milliseconds. It stops at once; if it were stuck, shutdown
+     * must not be.
+     */
     private static final long STOP_WAIT_MS = 500;
-    /** Strangers are a flood from this share of the bound on. */
+    /** Unproven connections (without a complete request yet) are a flood from this share of the connection limit on. */
     private static final double FLOOD_SHARE = 0.25;
-    /** A client that rests and is let go has so long to close too, us; where descriptors are short, so long. */
+    /**
+     * How long the client of an idle connection has to close too, in microseconds: usually, and when connections are
+     * short.
+     */
     private static final long IDLE_LINGER_US = 100_000;
     private static final long SHORT_LINGER_US = 10_000;
 
-    /** Of the clients that there are when threads are short, so many may stay. */
+    /** The share of the present clients that may stay when the system has no more threads. */
     private static final double SHORTAGE_KEEP_SHARE = 0.8;
     private static final double NEAR_LIMIT_SHARE = 0.75;
-    /** So many there may always be. */
+    /** The connection limit never falls below this. */
     private static final int MIN_CONNECTIONS = 4;
-    /** So long after the last shortage there may be as many as before, us. */
+    /** After this time without a shortage of threads, the connection limit is restored, in microseconds. */
     private static final long LIMIT_RECOVERY_US = 60_000_000;
 
     private final Supplier<Setup> setup;
@@ -54,12 +60,12 @@
     private final Counts counts;
     private final SidecarLifecycle lifecycle;
     private volatile boolean isEndingTimeOver;
-    /** The accepting thread's: there was a crowd since the ending began. */
+    /** Whether clients were crowded at any time since shutdown began; used only by the accepting thread. */
     private boolean endingSawCrowd;
     private final Headroom headroom;
     private final Punctuality punctuality;
     private final ThreadReserve threads;
-    /** How many there may be at present: fewer than {@link #most} after threads were short. Under the lock. */
+    /** The current limit of connections: below {@link #maxConnections} after a shortage of threads. Guarded by this. */
     private int connectionLimit;
 
     ClientListener(ListeningSocket listeningSocket, Supplier<Setup> setup, Facade facade, Conductor conductor,
@@ -86,12 +92,12 @@
         return listeningSocket.address();
     }
 
-    /** The settings of the moment. */
+    /** Returns the current settings. */
     Setup setup() {
         return setup.get();
     }
 
-    /** Whether no request of late has this id. */
+    /** Registers the id of a request; false if a recent request has the same id. */
     boolean registerCallId(long callId, long nowUs) {
         return recentCallIds.addIfNew(callId, nowUs, 2 * setup().longestDeadlineUs());
     }
@@ -109,8 +115,8 @@
     }
 
     /**
-     * Whether clients are near the descriptors that they may hold: each answer then ends its connection, as
-     * those who ask once and keep it would leave none for the next request.
+     * True if clients hold nearly as many descriptors as they may. Each response then ends its connection, as clients
+     * that send one request and keep the connection would leave no descriptor for the next request.
      */
     synchronized boolean isCrowded() {
         return connections.size() >= crowdThreshold;
@@ -120,9 +126,7 @@
         return counts;
     }
 
-    /**
-     * Another long request comes; false where there are as many as may come at once, and no attempt may begin for it.
-     */
+    /** Counts another streamed request; false if there are too many at once, so that no attempt may begin for it. */
     boolean beginUpload() {
         return uploads.incrementAndGet() <= maxUploads;
     }
@@ -131,26 +135,27 @@
         uploads.decrementAndGet();
     }
 
-    /** How long a carrier of a long body pauses now, ms. */
+    /** Returns how long a thread that passes on a streamed body currently pauses between pieces, in milliseconds. */
     long streamPauseMs() {
         return headroom.pauseMs();
     }
 
-    /** Whether what is read at the moment may have lain unread for long. */
+    /** True if input that is read now may have been waiting in the socket for long. */
     boolean isLate(long nowUs) {
         return punctuality.isLate(nowUs);
     }
 
-    /** Whether each answer is its connection's last, as the sidecar is being emptied. */
+    /** True if connections are being closed for a drain or shutdown: each response is then its connection's last. */
     boolean isEmptying() {
         return lifecycle.isEmptying();
     }
 
     ClientResponses.Response health() {
-        return lifecycle.isReadyForClients() ? ClientResponses.plainText(200, "ok") : ClientResponses.plainText(503, "takes no clients");
+        return lifecycle.isReadyForClients() ? ClientResponses.plainText(200, "ok")
+                : ClientResponses.plainText(503, "takes no clients");
     }
 
-    /** Accepts until the door is shut; whatever else goes wrong, the next connection is tried. */
+    /** Accepts connections until accepting is stopped; after any other failure the next connection is tried. */
     @Override
     public void run() {
         try {
@@ -184,7 +189,7 @@
                 }
                 startThread(connection);
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
-                // Out of descriptors, threads or memory: others are about to end and give theirs back.
+                // Out of descriptors, threads or memory: other connections will end and release theirs.
                 if (!listeningSocket.isStopped()) {
                     Sockets.close(socket);
                     LOG.log(Level.SEVERE, "connection could not be accepted: {0}", e.toString());
@@ -197,8 +202,9 @@
     }
 
     /**
-     * In an ending beside a crowd nobody is let in once connections are to go. To let in all who wait at the door, and
-     * those who take their places, would take the time in which requests that have been read are answered.
+     * True if accepting should stop: shutdown has begun, clients were crowded since, and connections are to be closed.
+     * Accepting all queued clients, and those that take their places, would take the time that is needed to respond to
+     * requests which were already read.
      */
     private boolean stopsForCrowd() {
         if (!lifecycle.isEnding()) {
@@ -208,7 +214,10 @@
         return endingSawCrowd && lifecycle.isEmptying();
     }
 
-    /** Where memory allows few clients, there may be a crowd for them far below its share of the descriptors. */
+    /**
+     * True if connections are near their limit. Where memory allows few clients, they may be crowded far below their
+     * share of the descriptors.
+     */
     private synchronized boolean isNearLimit() {
         return connections.size() >= connectionLimit * NEAR_LIMIT_SHARE;
     }
@@ -223,16 +232,18 @@
         }
     }
 
-    /** Each client has a thread: from now on there may be fewer of them, and idle ones make room. */
+    /** Lowers the connection limit, as each client takes a thread; idle connections are then closed to make room. */
     private synchronized void lowerConnectionLimit() {
-        connectionLimit = Math.max(MIN_CONNECTIONS, Math.min(connectionLimit, (int) (connections.size() * SHORTAGE_KEEP_SHARE)));
+        connectionLimit = Math.max(MIN_CONNECTIONS,
+                Math.min(connectionLimit, (int) (connections.size() * SHORTAGE_KEEP_SHARE)));
         notifyAll();
     }
 
-    /** After a while without a shortage there may be as many as before. */
+    /** Restores the connection limit some time after the last shortage of threads. */
     private synchronized void restoreConnectionLimit() {
         long lastShortageUs = threads.lastShortageUs();
-        if (connectionLimit < maxConnections && lastShortageUs != Long.MIN_VALUE && deadlines.now() - lastShortageUs > LIMIT_RECOVERY_US) {
+        if (connectionLimit < maxConnections && lastShortageUs != Long.MIN_VALUE
+                && deadlines.now() - lastShortageUs > LIMIT_RECOVERY_US) {
             connectionLimit = maxConnections;
         }
     }
@@ -245,7 +256,7 @@
         }
     }
 
-    /** At the bound the next connection waits until another has ended. */
+    /** Waits, at the connection limit, until a connection has ended. */
     private synchronized void awaitRoom() throws InterruptedException {
         if (connections.size() < connectionLimit) {
             return;
@@ -265,13 +276,14 @@
     }
 
     /**
-     * The oldest stranger goes, else the oldest idle connection. One at a time: closing all idle ones also met those
-     * just accepted, whose first request was still on its way. Strangers first, and a flood of them has to come of
-     * age, as it would close the clients' connections; but each client is a stranger at first, and a few must not
-     * hold up the others.
+     * Closes the oldest unproven connection, else the oldest idle one. Only one at a time: closing all idle connections
+     * also closed new ones whose first request was on its way. Unproven connections are closed first; in a flood of
+     * them nothing else is closed while they are too young, as the flood would otherwise push out the clients' idle
+     * connections. But every client is unproven at first, and a few of them must not hold up the others.
      */
     private void makeRoom() {
-        boolean isFlood = connections.stream().filter(ClientConnection::isUnproven).count() >= connectionLimit * FLOOD_SHARE;
+        boolean isFlood = connections.stream().filter(ClientConnection::isUnproven).count()
+                >= connectionLimit * FLOOD_SHARE;
         if (connections.stream().noneMatch(c -> c.closeIfUnproven(isFlood)) && !isFlood) {
             connections.stream().anyMatch(c -> c.closeIfIdle(SHORT_LINGER_US));
         }
@@ -282,7 +294,7 @@
         notifyAll();
     }
 
-    /** The timekeeper's turn. While the sidecar is being emptied, idle connections are closed. */
+    /** Does the periodic work. During a drain or shutdown, closes idle connections. */
     void tick() {
         punctuality.turn(deadlines.now());
         restoreConnectionLimit();
@@ -294,14 +306,14 @@
         lifecycle.setOpenConnections(remaining.size());
     }
 
-    /** The connections of the moment, to be called without the lock. */
+    /** Returns a copy of the open connections, on which methods can be called without the lock. */
     private synchronized List<ClientConnection> openConnections() {
         return new ArrayList<>(connections);
     }
 
     /**
-     * Whether clients find another process at the same door: then this one stops taking them at once. Whom it had
-     * accepted until then is among its connections when this returns.
+     * Stops accepting at once if other processes accept from the same socket; true if so. All clients that were
+     * accepted before are then among the connections.
      */
     boolean stopIfShared() throws InterruptedException {
         if (!listeningSocket.isShared()) {
@@ -313,7 +325,9 @@
         return true;
     }
 
-    /** The connection has been idle for too long; in an ending it stays, as its client can't open another any more. */
+    /**
+     * Closes a connection that was idle for too long; not during shutdown, as the client could not open another one.
+     */
     void idleTimeout(ClientConnection connection) {
         if (!lifecycle.isEnding()) {
             connection.idleTimeout(IDLE_LINGER_US);
@@ -321,42 +335,53 @@
     }
 
     /**
-     * Waits until nothing is held any more and no new connection comes, from {@code lateUs} on, or until {@code
-     * untilUs}; what is held then fails, and that has until {@code closedUs} to reach its clients. A door of this
-     * process alone stays open meanwhile, as what the system has accepted counts as taken: it is shut once all of that
-     * is here, however late the accepting thread is, and at {@code closedUs} in any case.
+     * Waits until there are no connections and, from {@code newClientsUntilUs} on, no new ones come, or until {@code
+     * untilUs}. Requests that are unanswered then fail, and the failures have until {@code closeAtUs} to reach the
+     * clients. A listening socket of this process alone stays open meanwhile, as the clients that the system has
+     * accepted have to be answered. It is closed once all of these are accepted here, however late the accepting thread
+     * is, and at {@code closeAtUs} in any case.
      */
     void awaitEmpty(long newClientsUntilUs, long untilUs, long closeAtUs) throws InterruptedException {
-        if (!awaitNoConnections(newClientsUntilUs, untilUs) || !acceptQueued(untilUs) || !awaitNoConnections(newClientsUntilUs, untilUs)) {
-            isEndingTimeOver = true;          // before those that are held are gone over: each is seen here or sees this
-            openConnections().stream().filter(ClientConnection::hasUnansweredRequest).forEach(ClientListener::failInBackground);
+        if (!awaitNoConnections(newClientsUntilUs, untilUs) || !acceptQueued(untilUs)
+                || !awaitNoConnections(newClientsUntilUs, untilUs)) {
+            // Set before the loop, so that each connection is either seen here or sees this.
+            isEndingTimeOver = true;
+            openConnections().stream().filter(ClientConnection::hasUnansweredRequest)
+                    .forEach(ClientListener::failInBackground);
             if (acceptQueued(closeAtUs)) {
                 awaitNoConnections(newClientsUntilUs, closeAtUs);
             }
         }
         listeningSocket.stopAccepting();
-        // The exit would close them in the same way, but only once threads that sit in their reads were waited for.
+        // The exit would close them, too, but only after waiting for threads that block in reads.
         openConnections().forEach(ClientConnection::close);
     }
 
-    /** By a thread of its own: a client that takes nothing must not keep the others from their answers. */
+    /**
+     * Fails the request on a new thread, so that a client that does not read can't keep the others from their
+     * responses.
+     */
     private static void failInBackground(ClientConnection connection) {
         Thread writer = new Thread(connection::failUnansweredRequest, "last failure");
         writer.setDaemon(true);
         try {
             writer.start();
         } catch (OutOfMemoryError e) {
-            connection.failUnansweredRequest();             // no thread to be had: better one after the other than not at all
+            // No thread available: responding one after the other is better than not at all.
+            connection.failUnansweredRequest();
         }
     }
 
-    /** Has the door shut behind whoever waits there; true once all of these are among the connections. */
+    /** Stops accepting once the queue is empty; true once all queued clients are among the connections. */
     private boolean acceptQueued(long untilUs) throws InterruptedException {
         listeningSocket.stopOnceQueueEmpty();
         return acceptingStopped.await(Math.max(0, untilUs - deadlines.now()), TimeUnit.MICROSECONDS);
     }
 
-    /** Whether what is held has failed for want of time: what becomes whole now could not be answered any more. */
+    /**
+     * True once the unanswered requests were failed for lack of time; a request that becomes complete now can't be
+     * answered.
+     */
     boolean isEndingTimeOver() {
         return isEndingTimeOver;
     }
--- a/sidecar/src/main/java/dapplequay/net/ClientPresence.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientPresence.java
@@ -7,21 +7,22 @@
 import java.util.logging.Logger;
 
 /**
- * Whether a client is still there, for one connection and the thread that reads it, which makes this. While that thread
- * stands in its read, a departure shows at once. Else somebody has to look before more is done for the client.
+ * Checks whether one connection's client is still there; created by the thread that reads the connection. While that
+ * thread blocks in a read, it notices at once that the client leaves. Otherwise somebody has to check before more work
+ * is done for the client.
  */
 final class ClientPresence {
     private static final Logger LOG = Logger.getLogger(ClientPresence.class.getName());
-    /** While an answer is due and the client has sent more, it is looked for each so many ms. */
+    /** Interval of the checks while a response is due and the client has sent more, in milliseconds. */
     static final long POLL_WHILE_BUSY_MS = 25;
-    /** So long after it was last heard of, us, a client may have gone without having been missed. */
+    /** After this time without a sign of the client, in microseconds, it may have left unnoticed. */
     private static final long MAX_AGE_US = 20_000;
 
     private final ClientListener listener;
     private final ClientInput input;
     private final MessageReader reader;
     private final Thread readingThread = Thread.currentThread();
-    /** Since when, us, the thread has been with an attempt and does not read; -1: it reads. */
+    /** When the reading thread began other work, in microseconds; -1 while it reads. */
     private volatile long awaySinceUs = -1;
 
     ClientPresence(ClientListener listener, ClientInput input, MessageReader reader) {
@@ -35,8 +36,8 @@
     }
 
     /**
-     * Looks for the client where it is not known for sure to be there: what it sent lay in the buffer for a while, or
-     * perhaps in the socket, as this process came late. Else nothing is asked. EOFException: it has left.
+     * Checks for the client unless it was seen just now; throws EOFException if it has left. Its request may have lain
+     * in the buffer for a while, or in the socket, if this process is running late.
      */
     void checkPresent(long nowUs, boolean isRequestComplete) throws IOException {
         if (isStale(nowUs) || listener.isLate(nowUs)) {
@@ -45,8 +46,9 @@
     }
 
     /**
-     * By the connection's thread: does what may keep it, as an upstream takes what it writes no further, and looks
-     * then. Who is about to do more for the client meanwhile is made to wait for that.
+     * Runs work that may keep the reading thread, for example while an upstream accepts no more bytes, and checks for
+     * the client afterwards. Other threads that are about to do more for the client wait for that check. Called by the
+     * reading thread.
      */
     void runWhileAway(Exchange exchange, boolean isRequestComplete, Runnable work) throws IOException {
         awaySinceUs = listener.deadlines().now();
@@ -56,7 +58,7 @@
                 input.checkPresent(reader, isRequestComplete);
             }
         } catch (IOException e) {
-            listener.conductor().clientLeft(exchange);      // before anybody who waits goes on
+            listener.conductor().clientLeft(exchange);   // before waiting threads go on
             throw e;
         } finally {
             markReturned();
@@ -69,9 +71,9 @@
     }
 
     /**
-     * Right before an attempt's first byte: has the client looked for, where it may have left unseen. The connection's
-     * thread looks itself. Others wait where it is away for long: the attempt that keeps it has ended, or there would
-     * be no other, so that it is on its way back.
+     * Checks for the client right before an attempt's first byte, if it may have left unnoticed. The reading thread
+     * checks itself. Other threads wait if the reading thread has been away for long: the attempt that kept it has
+     * ended, or there would be no other one, so it will return soon.
      */
     void checkBeforeSend(Exchange exchange, boolean isRequestComplete) {
         try {
@@ -81,7 +83,7 @@
                 input.checkPresent(reader, isRequestComplete);
             }
         } catch (IOException e) {
-            LOG.log(Level.FINE, "the client has gone: {0}", e.toString());
+            LOG.log(Level.FINE, "client has disconnected: {0}", e.toString());
             listener.conductor().clientLeft(exchange);
         }
     }
@@ -92,7 +94,7 @@
                 Waits.atMost(this, POLL_WHILE_BUSY_MS);
             }
         } catch (InterruptedIOException e) {
-            LOG.log(Level.FINE, "client not waited for: {0}", e.toString());
+            LOG.log(Level.FINE, "wait for the reading thread was interrupted: {0}", e.toString());
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/ClientRequest.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientRequest.java
@@ -13,9 +13,11 @@
 import java.util.List;
 
 /**
- * A request of the client's, checked against the settings: what is wrong with it, no upstream sees. {@code body}:
- * all of a short one's; of a long one the part that is held, and {@code rest} is what is still to come (else null).
- * {@code about}: the key that hosts may remember, or null.
+ * A client's request, validated against the settings; an invalid one is never sent upstream.
+ *
+ * @param body          the whole body, or for a streamed request the buffered beginning
+ * @param remainingBody the part of a streamed body that is still to be read, else null
+ * @param objectKey     the key that upstreams may cache by, or null
  */
 record ClientRequest(Head head, byte[] body, Body remainingBody, String className, String tenant, String objectKey,
                        long budgetUs) {
@@ -49,19 +51,20 @@
         if (budget == null || !budget.matches("[0-9]{1,9}") || Long.parseLong(budget) < 1) {
             throw new BadMessage(400, "missing or bad X-Budget-Ms");
         }
-        // No client waits for longer than its class grants: a greater figure would hold an attempt for good, and
-        // make all others look like later tries to the module.
+        // No client waits longer than the deadline of its class. A larger budget would keep an attempt open far too
+        // long, and the decision module would take all other requests for later tries.
         long maxBudgetUs = setup.settings().classes().get(serviceClass).deadlineUs();
         return new ClientRequest(head, body, remainingBody, className, tenant(head, setup), objectKey(target),
                 Math.min(Long.parseLong(budget) * 1000, maxBudgetUs));
     }
 
-    /** What the request is about, as its query says; null where it does not. */
+    /** Returns the value of the query's {@code obj} parameter, or null if there is none. */
     private static String objectKey(String[] target) throws BadMessage {
         String objectKey = null;
         for (String pair : target.length < 2 ? new String[0] : target[1].split("&")) {
             if (pair.startsWith(OBJECT_PARAMETER)) {
-                if (objectKey != null || pair.length() == OBJECT_PARAMETER.length() || pair.length() > MAX_OBJECT_PARAMETER_LENGTH) {
+                if (objectKey != null || pair.length() == OBJECT_PARAMETER.length()
+                        || pair.length() > MAX_OBJECT_PARAMETER_LENGTH) {
                     throw new BadMessage(400, "obj is empty, too long or there twice");
                 }
                 objectKey = pair.substring(OBJECT_PARAMETER.length());
@@ -81,7 +84,7 @@
         return name;
     }
 
-    /** The id as the number it is: other ways of writing it are no other ids. */
+    /** Returns the id as a number, so that other spellings of it (case, leading zeros) are the same id. */
     long callId() throws BadMessage {
         return Long.parseUnsignedLong(head.get("X-Call-Id"), 16);
     }
@@ -100,19 +103,19 @@
                 "1".equals(head.get("X-Again")), isStreamed());
     }
 
-    /** Whether its body passes through, as it is too long to be held. */
+    /** True if the body is too long to buffer and is passed on as it arrives. */
     boolean isStreamed() {
         return remainingBody != null;
     }
 
-    /** Whether the upstream gets its body in chunks, as nobody knows yet how long it is. */
+    /** True if the upstream gets the body in chunks, as its length is not known in advance. */
     boolean isChunked() {
         return remainingBody != null && remainingBody.length() < 0;
     }
 
     /**
-     * The bytes for the upstream: as the client sent it, but for what concerns one connection alone. Of a long
-     * request this is the beginning.
+     * Returns the message for the upstream: what the client sent, without the fields that concern one connection only.
+     * For a streamed request this is the head and the buffered beginning of the body.
      */
     byte[] toBytes(InetSocketAddress endpoint, long leftUs) {
         StringBuilder out = new StringBuilder(512);
@@ -130,7 +133,7 @@
         return toMessage(out, body);
     }
 
-    /** A whole message in one piece, so that it leaves in one write. */
+    /** Returns head and body as one array, so that they are sent in one write. */
     static byte[] toMessage(StringBuilder head, byte[] body) {
         byte[] text = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
         ByteArrayOutputStream out = new ByteArrayOutputStream(text.length + body.length);
--- a/sidecar/src/main/java/dapplequay/net/ClientResponses.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientResponses.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The answers that clients get, but for what depends on their connection. */
+/** Builds the responses to clients, apart from the Connection field, which depends on the client's connection. */
 final class ClientResponses {
     private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(Map.entry(200, "OK"),
             Map.entry(400, "Bad Request"), Map.entry(403, "Forbidden"), Map.entry(404, "Not Found"),
@@ -20,9 +20,12 @@
 
     private ClientResponses() { }
 
-    /** The start of an answer's head, without its length and its end; and the body. */
+    /** A response: its head up to but without Content-Length and the final empty line, and its body. */
     record Response(StringBuilder head, byte[] body) {
-        /** {@code connection}: what is said of the connection, with its line's end, or nothing. */
+        /**
+         * Returns the whole message. {@code connectionField}: the Connection field with its line end, or an empty
+         * string.
+         */
         byte[] toBytes(String connectionField) {
             head.append("Content-Length: ").append(body.length).append("\r\n").append(connectionField);
             return ClientRequest.toMessage(head, body);
@@ -40,8 +43,11 @@
         return new Response(head, body);
     }
 
-    /** The start of a long answer: its head, framed for a client of this version, and what has come of the body. */
-    static byte[] streamStart(Head upstreamHead, Body body, byte[] bodyStart, String httpVersion, String connectionField) {
+    /**
+     * Returns the head of a streamed response, framed for the client's HTTP version, with the first bytes of the body.
+     */
+    static byte[] streamStart(Head upstreamHead, Body body, byte[] bodyStart, String httpVersion,
+            String connectionField) {
         StringBuilder head = statusLine(200);
         upstreamHead.passOn(head, SIDECAR_ONLY_FIELDS);
         if (body.length() >= 0) {
@@ -53,7 +59,10 @@
                 ? Chunks.of(bodyStart) : bodyStart);
     }
 
-    /** Whether a client of this version gets the body in chunks; else its length or the connection's end ends it. */
+    /**
+     * True if the body is sent to a client of this HTTP version in chunks; else its length or the end of the connection
+     * delimits it.
+     */
     static boolean isChunked(Body body, String httpVersion) {
         return body.length() < 0 && !httpVersion.equals("HTTP/1.0");
     }
@@ -66,7 +75,10 @@
         return plainText(status, status == 504 ? "no answer in time" : "failed");
     }
 
-    /** A new try does no harm; the client is told when to come back. */
+    /**
+     * Returns a refusal, after which the client may safely retry; Retry-After says when, if {@code retryAfterUs} is
+     * positive.
+     */
     static Response refusal(long retryAfterUs) {
         Response response = plainText(503, "not now");
         if (retryAfterUs > 0) {
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -22,33 +22,39 @@
 import java.util.logging.Logger;
 
 /**
- * The discovery client: watches for changes as long as the module wants that, one call after the other. How long a
- * call is waited for, and how soon the next one follows after a failure, {@link ListClock} says; what an answer
- * changes, the {@link ServerRegistry}.
+ * Watches discovery for changes for as long as the decision module wants that, one call after the other. {@link
+ * ListClock} decides how long a call is waited for and how soon the next one follows after a failure; {@link
+ * ServerRegistry} decides what an answer changes.
  *
- * <p>A call that is not waited for any longer, as discovery has moved or its time is over, is <em>superseded</em>: its
- * connection stays open for a while. Discovery may have written its answer by then, which makes known what it says, or
- * may yet come to it in its queue. What such an answer takes out counts at once; what it brings in does not.
+ * <p>A call that is not waited for any longer, because discovery has moved or the call has timed out, is
+ * <em>superseded</em>: its connection stays open for a while. Discovery may have written the answer already, which
+ * makes its content known, or may still reach the call in its queue. What such an answer takes out of service counts at
+ * once; what it brings in does not.
  */
 final class DiscoveryClient implements Runnable, DiscoveryConnection.Listener {
     private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
     /**
-     * A connection that is not there after this, us, is asked for again: what is lost of it is sent anew after a
-     * second.
+     * Time for connecting, in microseconds; after it a new connection is tried. A lost packet of a connection attempt
+     * is sent again after a second.
      */
     private static final long CONNECT_TIMEOUT_US = 1_000_000;
-    /** A superseded call is read for so long, us: by then what it could bring is known in other ways. */
+    /** How long a superseded call is still read, in microseconds: by then its content is known in other ways. */
     static final long SUPERSEDED_READ_US = ListClock.MISSED_US + ListClock.AFTER_WAIT_US;
-    /** More than so many superseded calls are not kept: each holds a descriptor. */
+    /** Limit of superseded calls, as each holds a descriptor. */
     static final int MAX_SUPERSEDED_CALLS = 6;
-    /** Calls for a whole list that an answer has made necessary begin at least so long apart, us. */
+    /**
+     * Minimum interval between the beginnings of calls for a whole list that an answer made necessary, in microseconds.
+     */
     static final long WHOLE_LIST_INTERVAL_US = 1_000_000;
-    /** For so long, us, after it was heard a version counts: a quiet watch, and as long as an older one is refused. */
+    /**
+     * How long a version counts after it was received, in microseconds: a quiet watch, and then the time for which an
+     * older version is refused.
+     */
     static final long VERSION_VALIDITY_US = ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US
             + ServerRegistry.REGRESSION_US;
     private static final long NEVER = Long.MIN_VALUE;
 
-    /** A call under way; {@code closeAtUs}: when it is not read any longer, once it is superseded. */
+    /** A call in progress; {@code readUntilUs}: when a superseded call is closed. */
     private record Call(ListAnswer.Call listCall, DiscoveryConnection connection, long readUntilUs) {
         Call superseded(long nowUs) {
             return new Call(listCall, connection, nowUs + SUPERSEDED_READ_US);
@@ -63,20 +69,20 @@
     private final LongSupplier clock;
     private final DiscoveryFigures figures;
 
-    // All that follows changes under the lock.
+    // All fields below are guarded by this.
     private InetSocketAddress discovery;
     private boolean hasMoved;                   // since the last call began
-    private DiscoveryConnection connection;     // for the next call; null: a new one
+    private DiscoveryConnection connection;   // for the next call; null: opens a new one
     private Call currentCall;
     private final Deque<Call> superseded = new ArrayDeque<>();
-    private int supersededAnswerCount;              // that were taken over in full
+    private int supersededAnswerCount;   // answers to superseded calls that counted as a success
     private long nextCallNotBeforeUs = NEVER;
-    /** When the last call for a whole list began that an answer had made necessary. */
+    /** When the last call for a whole list that an answer made necessary began. */
     private long lastWholeListCallUs = NEVER;
     private String lastFault;
     private boolean isEnded;
 
-    /** {@code now}: microseconds, never backwards. */
+    /** {@code clock}: monotonic, in microseconds. */
     DiscoveryClient(InetSocketAddress discovery, Endpoints endpoints, Facade facade, UpstreamSide upstreams,
             Sidecar.ListPersistence persistence, ListClock listClock, LongSupplier clock, DiscoveryFigures figures) {
         this.discovery = discovery;
@@ -107,7 +113,7 @@
         return isEnded;
     }
 
-    /** Until the next call may begin; a new address is asked at once. */
+    /** Waits until the next call may begin; a new address is asked at once. */
     private void awaitNextCall() throws InterruptedException {
         long begunUs = clock.getAsLong();
         long pauseUs;
@@ -132,14 +138,17 @@
         }
     }
 
-    /** Moves in quick succession: what calls for each address would cost a discovery that many ask is kept down. */
+    /**
+     * Keeps the first calls to new addresses apart if discovery moves in quick succession, as a call for each address
+     * would burden a discovery service that many clients ask.
+     */
     private synchronized void awaitMovesApart() throws InterruptedException {
         while (!isEnded && hasMoved && waitUntil(listClock.moveCallFromUs())) {
             continue;
         }
     }
 
-    /** Waits until something changes or the time has come; false where it has. Under the lock. */
+    /** Waits until a notification or {@code untilUs}; false if that time has come. The caller holds the lock. */
     private boolean waitUntil(long untilUs) throws InterruptedException {
         long nowUs = clock.getAsLong();
         if (nowUs >= untilUs) {
@@ -149,15 +158,15 @@
         return true;
     }
 
-    /** Another address from now on; a call that is out at the old one is superseded. */
+    /** Moves to another address; the current call to the old one becomes superseded. */
     void moveTo(InetSocketAddress newAddress) {
         synchronized (this) {
             notifyAll();            // other settings, too, may end a pause
             if (newAddress.equals(discovery) || isEnded) {
                 return;
             }
-            LOG.log(Level.INFO, "discovery is at {0} now, {1}", new Object[] {Sockets.text(newAddress),
-                currentCall == null ? "no call was out" : "the call that was out is still read"});
+            LOG.log(Level.INFO, "discovery has moved to {0}; {1}", new Object[] {Sockets.text(newAddress),
+                currentCall == null ? "no call was in progress" : "the call in progress is still read"});
             discovery = newAddress;
             hasMoved = true;
             if (currentCall != null) {
@@ -174,7 +183,7 @@
         facade.watchAnew();
     }
 
-    /** The call under way is not waited for any longer, and still read. */
+    /** Stops waiting for the current call, which is still read. */
     private void supersede() {
         superseded.add(currentCall.superseded(clock.getAsLong()));
         currentCall = null;
@@ -184,7 +193,7 @@
         }
     }
 
-    /** No more calls. */
+    /** Ends this client: closes all connections and makes no more calls. */
     synchronized void end() {
         isEnded = true;
         notifyAll();
@@ -196,7 +205,7 @@
         }
     }
 
-    /** Begins a call; null where it could not, or is not wanted any more. */
+    /** Begins a call; null if this client has ended, or if the call failed at once. */
     private synchronized Call beginCall() {
         if (isEnded) {
             return null;
@@ -215,12 +224,12 @@
             connection.call(isWholeList ? "" : "?after=" + listCall.after() + "&wait_ms=" + Math.max(1, waitUs / 1_000),
                     (int) ((connectUs + 999) / 1_000));
         } catch (OutOfMemoryError e) {
-            callFailed(connection, e, false);       // no thread to be had
+            callFailed(connection, e, false);   // no thread available
         }
         return currentCall;
     }
 
-    /** Waits until the call has ended, is superseded, or its time is over. */
+    /** Waits until the call has ended, is superseded, or has timed out. */
     private synchronized void awaitCallEnd(Call call) throws InterruptedException {
         while (call != null && currentCall == call && !isEnded) {
             if (!waitUntil(listClock.limitUs())) {
@@ -251,7 +260,7 @@
             from.close();
             return;
         }
-        // Taken over before anything else is done: a drain counts as told once its bytes came.
+        // Applied first: the server's drain counts as announced once its bytes have arrived.
         apply(update, call, receivedUs, isCurrent);
         if (isCurrent) {
             endOfCurrent(call, receivedUs, isReusable);
@@ -272,12 +281,13 @@
             lastWholeListCallUs = Math.max(receivedUs, nextCallNotBeforeUs);
         } else {
             nextCallNotBeforeUs = listClock.watchFromUs(receivedUs);
-            lastWholeListCallUs = lastWholeListCallUs != NEVER && receivedUs - lastWholeListCallUs > WHOLE_LIST_INTERVAL_US ? NEVER : lastWholeListCallUs;
+            lastWholeListCallUs = lastWholeListCallUs != NEVER
+                    && receivedUs - lastWholeListCallUs > WHOLE_LIST_INTERVAL_US ? NEVER : lastWholeListCallUs;
         }
         heardFromDiscovery();
     }
 
-    /** An answer that came late of where discovery still is: nothing was missed. */
+    /** A late answer from the discovery address that still counts: nothing was missed. */
     private void endOfSuperseded(Call call) {
         if (call.listCall().generation() == endpoints.nextCall(0).generation()) {
             heardFromDiscovery();
@@ -320,26 +330,29 @@
 
     private void callFailed(Throwable failure, boolean gotAnswer) {
         String text = failure.toString();
-        if (!text.equals(lastFault)) {              // one line a cause: an agent is asked again very soon
+        if (!text.equals(lastFault)) {   // one line for each cause: an agent is called again very soon
             lastFault = text;
             LOG.log(Level.WARNING, "discovery call failed: {0}", text);
         }
         if (!(failure instanceof SocketTimeoutException)) {
             listClock.failed(clock.getAsLong(), gotAnswer);
         } else if (listClock.silent()) {
-            return;             // what it may have missed counts soon: the next one is not put off
+            // Changes that it may have missed count soon: the next call is not put off.
+            return;
         }
         facade.news(ListNews.failed());
         if (hasMoved) {
-            facade.watchAnew();         // the address came just before the module was told of the old one's failure
+            // The new address arrived just before the decision module was told of the failure at the old one.
+            facade.watchAnew();
         }
     }
 
-    /** Takes in an answer: the table first, which is asked at each write, then the module. */
+    /** Applies an answer: first to the endpoints, which each write checks, then to the decision module. */
     private void apply(Endpoints.Update update, Call call, long receivedUs, boolean isCurrent) {
         boolean wasRegressed = endpoints.isRegressed();
         long knownRevision = endpoints.revision();
-        Endpoints.Applied applied = endpoints.apply(update, call.listCall(), receivedUs, listClock.graceLeftUs(receivedUs));
+        Endpoints.Applied applied = endpoints.apply(update, call.listCall(), receivedUs,
+                listClock.graceLeftUs(receivedUs));
         if (endpoints.isRegressed() && !wasRegressed) {
             LOG.log(Level.WARNING, "a list with version {0}, older than {1}: what it brings back does not count yet",
                     new Object[] {Long.toString(update.revision()), Long.toString(knownRevision)});
@@ -386,12 +399,12 @@
         }
     }
 
-    /** How many superseded calls are still read. */
+    /** Returns how many superseded calls are still read. */
     synchronized int supersededCount() {
         return superseded.size();
     }
 
-    /** To be called at each turn of the timekeeper's: ends superseded calls, and what may be used no longer. */
+    /** Closes superseded calls and removes servers whose time is over; called periodically by the timekeeper. */
     synchronized void tick(long nowUs) {
         while (!superseded.isEmpty() && superseded.peek().readUntilUs() <= nowUs) {
             superseded.remove().connection().close();
@@ -399,7 +412,7 @@
         Endpoints.Applied applied = endpoints.expire(nowUs);
         if (!applied.outcome().transitions().isEmpty()) {
             applyToModule(applied, true);
-            logAndCount(applied.outcome(), "nothing confirmed or denied it in time");
+            logAndCount(applied.outcome(), "expiry, as discovery neither confirmed nor denied them in time");
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
@@ -12,20 +12,24 @@
 import java.util.function.LongSupplier;
 
 /**
- * One connection to discovery with a thread of its own, which makes one call at a time. How long a call may take its
- * owner decides: it goes on reading until it is closed, so that an answer is read also where nobody waits for it any
+ * One connection to discovery, with its own thread; makes one call at a time. Its owner decides how long a call may
+ * take: the connection keeps reading until it is closed, so that a response is read even if nobody waits for it any
  * more.
  */
 final class DiscoveryConnection implements Runnable {
-    /** Hears how calls end, on the connection's thread. */
+    /** Is told about calls, on the connection's thread. */
     interface Listener {
-        /** The first byte of an answer has come. */
+        /** The first byte of a response has arrived. */
         void answerStarted(DiscoveryConnection connection);
 
-        /** An answer was read whole at that time; {@code stays}: another call may follow on this connection. */
-        void answerReceived(DiscoveryConnection connection, Endpoints.Update update, long receivedUs, boolean isReusable);
+        /**
+         * A whole response was read at {@code receivedUs}; {@code isReusable}: another call may follow on this
+         * connection.
+         */
+        void answerReceived(DiscoveryConnection connection, Endpoints.Update update, long receivedUs,
+                boolean isReusable);
 
-        /** The call failed, and with it the connection; {@code answered}: by an answer that can't be used. */
+        /** The call failed, and the connection with it; {@code gotAnswer}: discovery had responded, but not usably. */
         void callFailed(DiscoveryConnection connection, Throwable failure, boolean gotAnswer);
     }
 
@@ -41,7 +45,7 @@
     private int connectTimeoutMs;
     private boolean isClosed;
 
-    /** {@code now}: microseconds, never backwards. */
+    /** {@code clock}: monotonic, in microseconds. */
     DiscoveryConnection(InetSocketAddress address, Listener listener, LongSupplier clock) {
         this.address = address;
         this.listener = listener;
@@ -52,7 +56,10 @@
         return address;
     }
 
-    /** Makes a call, the one before being over; {@code itsQuery}: with its question mark, or empty. */
+    /**
+     * Makes a call, once the previous one has ended. {@code callQuery}: with its question mark, or empty; {@code
+     * timeoutMs}: for connecting, in milliseconds.
+     */
     synchronized void call(String callQuery, int timeoutMs) {
         pendingQuery = callQuery;
         connectTimeoutMs = timeoutMs;
@@ -65,7 +72,7 @@
         notifyAll();
     }
 
-    /** Nothing is read any more. */
+    /** Closes the connection; nothing more is read. */
     void close() {
         synchronized (this) {
             isClosed = true;
@@ -99,7 +106,7 @@
         reader = new MessageReader(new AnswerInput(socket.getInputStream()), MessageReader.MAX_LIST);
     }
 
-    /** Null where the connection was closed. */
+    /** Waits for the next call and returns its query; null if the connection was closed. */
     private synchronized String awaitCall() throws InterruptedException {
         while (pendingQuery == null && !isClosed) {
             wait();
@@ -122,7 +129,7 @@
         }
         gotAnswer = true;
         Endpoints.Update update = Endpoints.read(body);
-        // Bytes that nobody asked for would be read as the next answer.
+        // Unexpected bytes would be read as the next response.
         boolean isReusable = !head.closes(head.start[0]) && !MessageReader.lastsToTheEnd(head) && !reader.hasBytes();
         listener.answerReceived(this, update, receivedUs, isReusable);
         if (!isReusable) {
@@ -130,7 +137,7 @@
         }
     }
 
-    /** Tells when the first byte of an answer comes. */
+    /** Reports when the first byte of a response arrives. */
     private final class AnswerInput extends FilterInputStream {
         AnswerInput(InputStream in) {
             super(in);
--- a/sidecar/src/main/java/dapplequay/net/LingeringClose.java
+++ b/sidecar/src/main/java/dapplequay/net/LingeringClose.java
@@ -9,14 +9,14 @@
 import java.util.logging.Logger;
 
 /**
- * The end of a client's connection, the same for all causes. A close over bytes that nobody has read resets the
- * connection, and may take the last answer from the client. So the sending side ends first, what still comes is read
- * and thrown away, and the descriptor comes back when the client has closed too, or after a bound of bytes and of
- * time. Nothing that is read after {@link #begin} may be served: whoever calls it sees to that.
+ * Closes a client's connection without losing the last response. Closing a socket with unread bytes resets the
+ * connection, which may discard the response before the client reads it. So the output is shut down first, further
+ * input is read and discarded, and the socket is closed once the client has closed, or after a limit of bytes or time.
+ * Nothing that is read after {@link #begin} may be served; the caller ensures that.
  */
 final class LingeringClose {
     private static final Logger LOG = Logger.getLogger(LingeringClose.class.getName());
-    /** What is still read: clients that send without end are not waited for. */
+    /** How much input is still read; a client that sends without end is not waited for. */
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
     private static final int BUFFER_BYTES = 4 * 1024;
 
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Nothing more is sent; the client has so long to close, microseconds. Once begun, a call with less time left
-     * hurries it, and no call grants more.
+     * Shuts down the output and gives the client {@code lingerUs} microseconds to close. A later call can only shorten
+     * that time.
      */
     synchronized void begin(long lingerUs) {
         long newDeadlineUs = deadlines.now() + lingerUs;
@@ -54,21 +54,24 @@
         deadline = deadlines.after(lingerUs, this::close);
     }
 
-    /** At once. */
+    /** Closes the socket at once; with a reset if {@link #setResetOnClose} asked for one. */
     synchronized void close() {
         try {
             if (resetOnClose && !isClosed) {
                 socket.setSoLinger(true, 0);
             }
         } catch (IOException e) {
-            LOG.log(Level.FINE, "no reset: {0}", e.toString());
+            LOG.log(Level.FINE, "connection could not be set to reset: {0}", e.toString());
         }
         isClosed = true;
         deadlines.cancel(deadline);
         Sockets.close(socket);
     }
 
-    /** Whether an answer is on its way that a plain end would be taken for the end of: a close is a reset then. */
+    /**
+     * Sets whether closing resets the connection, as needed while a response is sent whose end is the end of the
+     * connection: the client would take an orderly close for that end.
+     */
     synchronized void setResetOnClose(boolean reset) {
         resetOnClose = reset;
     }
@@ -77,7 +80,7 @@
         return isClosed;
     }
 
-    /** {@link #throwAway} by a thread of its own, where nobody else reads; {@code over} is called at the end. */
+    /** Runs {@link #discardInput} on a new thread, for when no other thread reads; calls {@code onEnd} at the end. */
     void discardInputInBackground(Runnable onEnd) {
         Thread thread = new Thread(() -> {
             try {
@@ -95,7 +98,10 @@
         }
     }
 
-    /** Reads on until the client ends, or the time is over; {@code more}: bytes beyond what is usual. */
+    /**
+     * Reads and discards input until the client closes, the time is over or the limit of bytes is reached; {@code
+     * extraBytes} raises the limit.
+     */
     void discardInput(int extraBytes) throws IOException {
         socket.setSoTimeout(0);
         InputStream in = socket.getInputStream();
--- a/sidecar/src/main/java/dapplequay/net/ListeningSocket.java
+++ b/sidecar/src/main/java/dapplequay/net/ListeningSocket.java
@@ -13,38 +13,43 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** Where clients come in: a listening socket, this process's own or one that it shares with its successor. */
+/** The socket that accepts clients: either this process's own, or one that it shares with its successor. */
 interface ListeningSocket {
-    /** Opens it; IOException where it is not to be had. */
+    /** Opens a listening socket; throws IOException if that is not possible. */
     interface Opener {
         ListeningSocket open() throws IOException;
     }
 
     InetSocketAddress address();
 
-    /** The next connection; null where the door was shut meanwhile. */
+    /** Returns the next connection, or null if accepting was stopped meanwhile. */
     Socket accept() throws IOException;
 
-    /** Whether others accept from the same queue, so that this process may stop while clients still come. */
+    /** True if other processes accept from the same queue, so that this one may stop while clients still connect. */
     boolean isShared();
 
-    /** No connection is accepted any more; those that wait are left to whom else the door belongs. */
+    /** Stops accepting; connections that are still queued are left to the other processes that share the socket. */
     void stopAccepting();
 
-    /** An end has been ordered: whoever waits at the door looks more often whether it is to be shut. */
+    /** Tells that shutdown has begun: {@link #accept} checks more often whether it should stop. */
     void prepareToStop();
 
-    /** {@link #shut}, but only once nobody waits any more: who waits already is still accepted, one after the other. */
+    /** Stops accepting once the queue is empty; connections that are already queued are still accepted. */
     void stopOnceQueueEmpty();
 
-    /** True once it was shut. */
+    /** True once accepting was stopped. */
     boolean isStopped();
 
-    /** A door of this process alone: what the system has accepted before it is shut is this process's to answer. */
+    /**
+     * A socket of this process alone: it has to answer every connection that the system accepts before it is closed.
+     */
     final class Owned implements ListeningSocket {
         private static final int BACKLOG = 1024;
 
-        /** So often, ms, a thread that waits looks whether the door is to be shut, and so long where it is. */
+        /**
+         * How long one accept call blocks, in milliseconds: usually, during shutdown, and while the queue is emptied.
+         * Between two calls the thread checks whether it should stop.
+         */
         private static final int POLL_MS = 100;
         private static final int ENDING_POLL_MS = 20;
         private static final int LAST_POLL_MS = 1;
@@ -58,7 +63,7 @@
             listener.bind(listen, BACKLOG);
         }
 
-        /** With a listener that is bound, or is going to be. */
+        /** Takes a listener that is bound or will be. */
         Owned(ServerSocket listener) {
             this.listener = listener;
         }
@@ -71,7 +76,8 @@
         @Override
         public Socket accept() throws IOException {
             while (true) {
-                boolean isLastPoll = stopsOnceQueueEmpty;      // asked first: only who came behind this moment may be left out
+                // Read before the call: only connections that arrive after this moment may be left out.
+                boolean isLastPoll = stopsOnceQueueEmpty;
                 try {
                     listener.setSoTimeout(isLastPoll ? LAST_POLL_MS : pollMs);
                     return listener.accept();
@@ -116,15 +122,15 @@
     }
 
     /**
-     * A listening socket that the platform holds and every process inherits as descriptor 0. It is never closed here:
-     * that would close the standard streams too, and nothing may be done to it that its other users would feel.
+     * A listening socket that the platform owns and every process inherits as descriptor 0. It is never closed here, as
+     * that would close the standard streams too, and its state is not changed in a way that other users would notice.
      */
     final class Inherited implements ListeningSocket {
         private final ServerSocketChannel channel;
         private final Selector selector;
         private volatile boolean isStopped;
 
-        /** IOException where descriptor 0 is no listening socket. */
+        /** Throws IOException if descriptor 0 is not a listening socket. */
         Inherited() throws IOException {
             this(System.inheritedChannel());
         }
@@ -134,7 +140,7 @@
                 throw new IOException("descriptor 0 is no listening socket");
             }
             channel = listening;
-            // Belongs to the socket and so to all processes: each sets it, none takes it back.
+            // Non-blocking mode belongs to the socket and so to all processes: each sets it, and none resets it.
             channel.configureBlocking(false);
             selector = Selector.open();
             channel.register(selector, SelectionKey.OP_ACCEPT);
@@ -176,7 +182,7 @@
         @Override
         public void prepareToStop() { }
 
-        /** Who waits is the others' to accept. */
+        /** Stops at once: the other processes accept what is queued. */
         @Override
         public void stopOnceQueueEmpty() {
             stopAccepting();
--- a/sidecar/src/main/java/dapplequay/net/RecentCallIds.java
+++ b/sidecar/src/main/java/dapplequay/net/RecentCallIds.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * The ids of late requests, each kept as long as its request may be out: an id comes with one request alone,
- * and a second one that borrows it would run under the name of the first.
+ * The ids of recent requests, each kept for as long as its request may be in progress. An id belongs to one request; a
+ * second request with the same id would be mistaken for the first.
  */
 final class RecentCallIds {
     private final Map<Long, Long> expiryUs = new LinkedHashMap<>();
 
-    /** False where the id has come before, not long ago; a new one is kept for {@code keptUs}. */
+    /** Adds the id for {@code retentionUs}; returns false if it is there already and has not expired. */
     synchronized boolean addIfNew(long id, long nowUs, long retentionUs) {
         Iterator<Long> expiries = expiryUs.values().iterator();
         while (expiries.hasNext() && expiries.next() <= nowUs) {
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -26,26 +26,33 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** One sidecar: puts the parts together, starts and ends them. */
+/** One sidecar: creates its parts, starts them and ends them. */
 public final class Sidecar {
     private static final Logger LOG = Logger.getLogger(Sidecar.class.getName());
-    /** Descriptors kept for the program itself, the listener and discovery; the JVM has two dozen open. */
+    /**
+     * Descriptors reserved for the program itself, the listening socket and discovery; the JVM has about two dozen
+     * open.
+     */
     private static final int RESERVED_DESCRIPTORS = 32 + DiscoveryClient.MAX_SUPERSEDED_CALLS;
-    /** Clients' share of the others. */
+    /** The clients' share of the remaining descriptors. */
     private static final double CLIENT_SHARE = 0.55;
-    /** Of all descriptors: once clients hold so many there is a crowd. */
+    /** Clients are crowded once they hold this share of all descriptors. */
     private static final double CROWD_SHARE_OF_DESCRIPTORS = 0.25;
-    /** The same of the clients that there may be, for a process that may hold far fewer as it has half of all. */
+    /**
+     * Clients are also crowded at this share of their own limit, if the process shares its socket: its limit is then
+     * far lower, as it has half of all descriptors.
+     */
     private static final double CROWD_SHARE_OF_CLIENTS = 0.75;
-    /** What the process takes without connections, and each of these with its thread and its buffer. */
+    /** Memory of the process without connections, and of each connection with its thread and its buffer, in MB. */
     private static final double BASE_MEMORY_MB = 75;
     private static final double MEMORY_PER_CONNECTION_MB = 0.11;
+    /** Lower bound of the limits of connections and of streamed requests. */
     private static final int MIN_LIMIT = 4;
     private static final int UPLOADS_PER_CORE = 64;
     private static final long TICK_US = 10_000;
-    /** Between two looks at the processor time that was used, us: it is counted in steps of 10 ms. */
+    /** Interval of the checks of the processor time used, in microseconds; it is counted in steps of 10 ms. */
     private static final long PROCESSOR_SAMPLE_US = 150_000;
-    /** Turns between two looks at what the module passes over. */
+    /** Ticks between two updates of the number of servers that the decision module passes over. */
     private static final int TICKS_PER_PASSED_OVER_CHECK = 10;
 
     private final Deadlines deadlines;
@@ -69,82 +76,91 @@
     private volatile ClientListener clientListener;
     private volatile ManagementSide management;
     private final ListeningSocket.Opener opener;
-    /** Held while the door is opened, and while an ending begins: one of the two comes first. */
+    /** Held while the listening socket is opened and while shutdown begins, so that one of the two comes first. */
     private final Object openingLock = new Object();
-    /** When the end was ordered, us; 0 while it was not. */
+    /** When shutdown was ordered, in microseconds; 0 if it was not. */
     private long endingSinceUs;
 
     /**
-     * What a start needs. {@code known} is a tree in discovery's form, or null where none was kept; {@code management}
-     * is the second address, or null where there is none.
+     * What a start needs. {@code knownList} is a list in discovery's JSON form, or null if there is none; {@code
+     * management} is the management address, or null if there is none; {@code inheritsListener} says that the listening
+     * socket is inherited as descriptor 0 and shared with other processes.
      */
-    public record Options(InetSocketAddress listen, InetSocketAddress management, InetSocketAddress discovery, long seed,
-                       double cores, int sockets, int memoryMb, Object knownList, Setup setup, boolean inheritsListener) {
-        /** The same with another list to begin with. */
+    public record Options(InetSocketAddress listen, InetSocketAddress management, InetSocketAddress discovery,
+                       long seed, double cores, int sockets, int memoryMb, Object knownList, Setup setup,
+                       boolean inheritsListener) {
+        /** Returns a copy that starts with another list. */
         public Options withKnownList(Object list) {
-            return new Options(listen, management, discovery, seed, cores, sockets, memoryMb, list, setup, inheritsListener);
+            return new Options(listen, management, discovery, seed, cores, sockets, memoryMb, list, setup,
+                    inheritsListener);
         }
 
         /**
-         * Connections of both sides together that the limits allow this process. Where it shares its door, it has half
-         * of what is left for two: neither knows of the other, and idle clients fill what each takes.
+         * Returns how many connections the limits allow this process, to clients and upstreams together. If the
+         * listening socket is shared, two processes each have half of what is left for both: neither knows of the
+         * other, and idle clients use up all that each allows.
          */
         int maxConnections() {
             int processCount = inheritsListener ? 2 : 1;
             double byMemory = (memoryMb - processCount * BASE_MEMORY_MB) / MEMORY_PER_CONNECTION_MB;
             int reservedDescriptors = RESERVED_DESCRIPTORS + (management == null ? 0 : ManagementSide.DESCRIPTORS);
-            return (int) Math.max(MIN_LIMIT, Math.min(sockets - processCount * reservedDescriptors, byMemory) / processCount);
+            return (int) Math.max(MIN_LIMIT,
+                    Math.min(sockets - processCount * reservedDescriptors, byMemory) / processCount);
         }
 
-        /** Of clients. */
+        /** Returns the limit of client connections. */
         int maxClients() {
             return (int) (maxConnections() * CLIENT_SHARE);
         }
 
-        /** From so many clients on there is a crowd. */
+        /** Returns the number of clients from which on they are crowded. */
         int crowdThreshold() {
             int crowdThreshold = (int) (sockets * CROWD_SHARE_OF_DESCRIPTORS);
-            return inheritsListener ? Math.min(crowdThreshold, (int) (maxClients() * CROWD_SHARE_OF_CLIENTS)) : crowdThreshold;
+            return inheritsListener ? Math.min(crowdThreshold, (int) (maxClients() * CROWD_SHARE_OF_CLIENTS))
+                    : crowdThreshold;
         }
 
         /**
-         * Long requests that may come at once. Each holds two connections with their threads for as long as its client
-         * needs, and where a process is held to a share of a core, each thread costs some of that share.
+         * Returns the limit of concurrent streamed requests. Each holds two connections with their threads for as long
+         * as its client takes, and where a process is limited to a share of a core, each thread costs some of that
+         * share.
          */
         int maxUploads() {
             return Math.max(MIN_LIMIT, (int) (cores * UPLOADS_PER_CORE));
         }
 
-        /** To upstreams. */
+        /** Returns the limit of connections to upstreams. */
         int maxUpstreams() {
             return maxConnections() - maxClients();
         }
     }
 
     /**
-     * What outlives the process. {@code binds}: the known list is this sidecar's own last word, so that an older one
-     * takes nothing back; {@code keep} is given the list in discovery's form whenever it was heard, and may not block.
+     * Keeps the list of servers beyond the life of the process. {@code isBinding}: the known list is the last one that
+     * this sidecar heard, so that an older one brings nothing back; {@code save} is given the list in discovery's JSON
+     * form whenever it was heard, and may not block.
      */
     public record ListPersistence(boolean isBinding, Consumer<Supplier<byte[]>> save) {
         public static final ListPersistence NONE = new ListPersistence(false, list -> { });
     }
 
-    /** For so long after it was heard, us, a kept list's version counts. */
+    /** Returns how long the version of a kept list counts after it was heard, in microseconds. */
     public static long versionValidityUs() {
         return DiscoveryClient.VERSION_VALIDITY_US;
     }
 
-    /** One that keeps nothing. */
+    /** Creates a sidecar that does not keep the list of servers. */
     public Sidecar(Options options) throws IOException {
         this(options, ListPersistence.NONE);
     }
 
-    /** Listens at no address yet; IOException where the known list is no good. */
+    /** Creates a sidecar that does not listen yet; throws IOException if the known list is invalid. */
     public Sidecar(Options options, ListPersistence persistence) throws IOException {
-        this(options, persistence, () -> options.inheritsListener() ? new ListeningSocket.Inherited() : new ListeningSocket.Owned(options.listen()));
+        this(options, persistence, () -> options.inheritsListener() ? new ListeningSocket.Inherited()
+                : new ListeningSocket.Owned(options.listen()));
     }
 
-    /** With another way to open the door, as tests have it. */
+    /** Opens the listening socket in another way, for tests. */
     Sidecar(Options options, ListPersistence persistence, ListeningSocket.Opener opener) throws IOException {
         this.options = options;
         this.opener = opener;
@@ -162,7 +178,8 @@
         upstreams.conductor(conductor);
         upstreams.onThreadShortage(threads::reportShortage);
         ListClock listClock = new ListClock(() -> setup.settings().discovery(), new SplittableRandom(options.seed()));
-        discovery = new DiscoveryClient(options.discovery(), endpoints, facade, upstreams, persistence, listClock, clock, figures);
+        discovery = new DiscoveryClient(options.discovery(), endpoints, facade, upstreams, persistence, listClock,
+                clock, figures);
     }
 
     private static void logModuleLine(String line) {
@@ -181,24 +198,25 @@
         return endpoints;
     }
 
-    /** Whether a sidecar could be made of this, as far as that shows without listening. */
+    /** Checks, without listening, that a sidecar can be created with this configuration; throws IOException if not. */
     public static void check(Options options) throws IOException {
-        restoreEndpoints(options, new Facade(options.setup(), options.seed(), new UnixClock(), Sidecar::logModuleLine), false);
+        restoreEndpoints(options, new Facade(options.setup(), options.seed(), new UnixClock(), Sidecar::logModuleLine),
+                false);
     }
 
     public InetSocketAddress address() {
         return clientListener.address();
     }
 
-    /** The second address, or null. */
+    /** Returns the management address, or null if there is none. */
     public InetSocketAddress managementAddress() {
         return management == null ? null : management.address();
     }
 
     /**
-     * Serves from here on; IOException where an address is not to be had. The management address answers first, so
-     * that whoever waits for the clients' is told "not yet" and not left alone. Where the end was ordered meanwhile,
-     * clients are not let in any more: what the system accepts for them counts as taken.
+     * Starts serving; throws IOException if an address is not available. The management address is opened first, so
+     * that callers are told that the sidecar is not ready yet. If shutdown was ordered meanwhile, no clients are
+     * accepted, as each that the system accepts would have to be served.
      */
     public void start() throws IOException {
         startDaemon(this::runTimekeeper, "timekeeper");
@@ -212,8 +230,8 @@
                 LOG.info("told to end before it served");
                 return;
             }
-            clientListener = new ClientListener(opener.open(), () -> setup, facade, conductor, deadlines, counts, lifecycle,
-                    headroom, options.maxClients(), options.crowdThreshold(), options.maxUploads(), threads);
+            clientListener = new ClientListener(opener.open(), () -> setup, facade, conductor, deadlines, counts,
+                    lifecycle, headroom, options.maxClients(), options.crowdThreshold(), options.maxUploads(), threads);
             startDaemon(discovery, "discovery");
             new Thread(clientListener, "listener").start();
             lifecycle.listening();
@@ -221,7 +239,7 @@
         LOG.log(Level.INFO, "serving on {0}", Sockets.text(address()));
     }
 
-    /** What the management address is about. */
+    /** What the management address reports and controls. */
     private final class Service implements ManagementSide.Service {
         @Override
         public boolean isReady() {
@@ -237,35 +255,37 @@
 
         @Override
         public void drain() {
-            LOG.info("drain: clients are sent away");
+            LOG.info("drain: client connections will be closed");
             lifecycle.drain();
         }
 
         @Override
         public boolean resume() {
-            LOG.info("resume");
+            LOG.info("resume requested");
             return lifecycle.resume();
         }
     }
 
-    /** How long ago a thread could not be started the last time, microseconds; Long.MAX_VALUE: never. */
+    /** Returns how long ago a thread last could not be started, in microseconds; Long.MAX_VALUE for never. */
     public long sinceThreadShortageUs() {
         long shortUs = threads.lastShortageUs();
         return shortUs == Long.MIN_VALUE ? Long.MAX_VALUE : deadlines.now() - shortUs;
     }
 
-    /** A configuration was taken over, or turned down. */
+    /** Counts a configuration that was read again and either accepted or rejected. */
     public void recordReload(boolean accepted) {
         (accepted ? acceptedConfigs : rejectedConfigs).incrementAndGet();
     }
 
     /**
-     * Goes over to what may change while it serves: settings and discovery. Requests under way are not touched.
-     * IllegalArgumentException, and nothing is changed, where the settings make no sense here. Returns what differs
-     * and takes a restart.
+     * Applies the settings and the discovery address of a new configuration; requests in progress are not affected.
+     * Returns the names of the differences that take a restart.
+     *
+     * @throws IllegalArgumentException if the settings are invalid here; then nothing is changed
      */
     public List<String> reload(Options newOptions) {
-        facade.retune(newOptions.setup());            // before the clients' side: no class is let in that is not known
+        // First, so that the client side accepts no class that the decision module does not know.
+        facade.retune(newOptions.setup());
         counts.know(newOptions.setup().classes().keySet());
         setup = newOptions.setup();
         discovery.moveTo(newOptions.discovery());
@@ -288,7 +308,10 @@
         thread.start();
     }
 
-    /** Each turn: the module's timers, then the deadlines. One that fails is told, and the next follows. */
+    /**
+     * Runs the periodic work: the decision module's timers, the deadlines and other checks. A failure is logged, and
+     * the next tick follows.
+     */
     private void runTimekeeper() {
         for (long tick = 0; ; tick++) {
             try {
@@ -313,17 +336,20 @@
         }
     }
 
-    /** All deadlines hang on the timekeeper: it goes on also where a fault can't even be told, as memory is short. */
+    /**
+     * Logs a failure of the periodic work, on which all deadlines depend. It goes on even if the failure can't be
+     * logged for lack of memory.
+     */
     private static void logTickFailure(Throwable fault) {
         try {
-            LOG.log(Level.SEVERE, "the timekeeper's turn failed", fault);
+            LOG.log(Level.SEVERE, "periodic work of the timekeeper failed", fault);
         } catch (RuntimeException | Error e) {
-            // The next turn may be able to.
+            // The next tick may be able to log it.
         }
         LockSupport.parkNanos(TICK_US * 1_000);
     }
 
-    /** Only while long bodies pass: nobody else gives way. */
+    /** Measures the processor time used; only while streamed bodies pass, as only these are slowed down. */
     private void sampleProcessorTime() {
         long nowUs = deadlines.now();
         if (nowUs - lastSampleUs < PROCESSOR_SAMPLE_US || !Pieces.areInUse()) {
@@ -337,7 +363,7 @@
         lastUsedUs = totalUsedUs;
     }
 
-    /** By then, us after the order, an ending has to be over whatever stands still. */
+    /** Returns within what time after the order a shutdown has to be over, in microseconds, whatever may be stuck. */
     public long maxEndingUs() {
         return ending().latestUs();
     }
@@ -346,7 +372,7 @@
         return Ending.of(setup.shortestAimUs(), setup.longestDeadlineUs());
     }
 
-    /** Ends in order, and returns when nothing is held any more. Called again, it goes on by the first call's times. */
+    /** Shuts down in order and returns once no request is in progress. A second call uses the times of the first. */
     public void end() throws InterruptedException {
         end(ending());
     }
@@ -362,12 +388,12 @@
         if (listener != null) {
             boolean sharesSocket = listener.stopIfShared();
             Ending ending = sharesSocket ? requested.handingOver() : requested;
-            LOG.info(sharesSocket ? "ending: a successor takes the clients"
-                    : "ending: who has a connection is still served");
+            LOG.info(sharesSocket ? "shutting down: a successor takes the clients"
+                    : "shutting down: connected clients are still served");
             lifecycle.end(ending.serveUs());
             listener.awaitEmpty(nowUs + ending.lateUs(), nowUs + ending.heldUs(), nowUs + ending.closedUs());
         }
-        // A process whose threads stay in their reads is gone only a third of a second later.
+        // Threads that still block in reads would delay the exit of the process by a third of a second.
         discovery.end();
         upstreams.closeAllIdle();
         if (management != null) {
--- a/sidecar/src/main/java/dapplequay/net/SidecarLifecycle.java
+++ b/sidecar/src/main/java/dapplequay/net/SidecarLifecycle.java
@@ -3,9 +3,12 @@
 import dapplequay.lifecycle.ServiceLife;
 import java.util.function.LongSupplier;
 
-/** Whether this sidecar wants clients: the pure machine, with a clock and for many threads. */
+/** The life cycle of this sidecar: {@link ServiceLife} with a clock, safe for use by several threads. */
 final class SidecarLifecycle {
-    /** After a drain the front asks within 0.1 s, and goes on sending for 0.2 s more. */
+    /**
+     * How long clients may still be sent here after a drain, in microseconds: the front end asks for health within 0.1
+     * s and goes on sending for 0.2 s more.
+     */
     private static final long FRONT_END_GRACE_US = 350_000;
 
     private final LongSupplier clock;
--- a/sidecar/src/main/java/dapplequay/net/ThreadReserve.java
+++ b/sidecar/src/main/java/dapplequay/net/ThreadReserve.java
@@ -7,25 +7,28 @@
 import java.util.logging.Logger;
 
 /**
- * Threads kept for what has to go on where the system gives the process no more of them: signals, for each of which the
- * JVM starts one, the ending, and calls to discovery. They do nothing but wait. At the first shortage they end, which
- * leaves their places free, and whoever holds many threads is told to give some back; once there has been none for a
- * while they are started again. Times in microseconds of a clock that does not run backwards.
+ * Keeps threads in reserve for work that has to go on when the system gives the process no more threads: signals, for
+ * each of which the JVM starts a thread, shutdown, and calls to discovery. The threads only wait. At the first shortage
+ * they end, which frees their places, and the holder of many threads is told to release some; after a while without a
+ * shortage they are started again. Times are in microseconds of a monotonic clock.
  */
 final class ThreadReserve {
     private static final Logger LOG = Logger.getLogger(ThreadReserve.class.getName());
-    /** An ending takes three, and one for each answer that it fails; a signal and a call to discovery one each. */
+    /**
+     * Shutdown takes three threads, and one for each response that it fails; a signal and a call to discovery take one
+     * each.
+     */
     static final int SIZE = 8;
-    /** Between two looks at whether a thread is to be had. */
+    /** Interval of the checks whether a thread can be started, in microseconds. */
     static final long CHECK_INTERVAL_US = 1_000_000;
-    /** Without a shortage for so long, they are kept again. */
+    /** After this time without a shortage the threads are reserved again, in microseconds. */
     static final long RECOVERY_US = 5_000_000;
     private static final long NEVER = Long.MIN_VALUE;
 
     private final LongSupplier clock;
     private final ThreadFactory factory;
     private volatile Runnable shortageHandler = () -> { };
-    private CountDownLatch releaseLatch;        // null: they are not kept
+    private CountDownLatch releaseLatch;   // ends the reserved threads; null while none are reserved
     private long lastShortageUs = NEVER;
     private long lastCheckUs = NEVER;
 
@@ -33,18 +36,18 @@
         this(clock, Thread::new);
     }
 
-    /** {@code factory}: where its threads come from, not started. */
+    /** {@code factory}: creates the threads, without starting them. */
     ThreadReserve(LongSupplier clock, ThreadFactory factory) {
         this.clock = clock;
         this.factory = factory;
     }
 
-    /** What is done at a shortage by whoever holds threads that can be spared. */
+    /** Sets what is called at a shortage; it should release threads that can be spared. */
     void onShortage(Runnable handler) {
         shortageHandler = handler;
     }
 
-    /** A thread could not be started. */
+    /** Reports that a thread could not be started. */
     void reportShortage() {
         boolean isFirst;
         synchronized (this) {
@@ -58,12 +61,15 @@
         shortageHandler.run();
     }
 
-    /** When a thread could not be started the last time, or {@link Long#MIN_VALUE}. */
+    /** Returns when a thread last could not be started, or {@link Long#MIN_VALUE} for never. */
     synchronized long lastShortageUs() {
         return lastShortageUs;
     }
 
-    /** Where idle clients take the last thread without a vain start after it, nobody else would notice. */
+    /**
+     * Checks from time to time whether a thread can be started: idle clients may take the last one, and without a
+     * failed start after that nobody else would notice.
+     */
     void tick() {
         boolean isReserved;
         synchronized (this) {
@@ -109,7 +115,7 @@
         try {
             latch.await();
         } catch (InterruptedException e) {
-            LOG.log(Level.FINE, "a thread of the reserve was interrupted", e);
+            LOG.log(Level.FINE, "a reserved thread was interrupted", e);
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/TransitionLog.java
+++ b/sidecar/src/main/java/dapplequay/net/TransitionLog.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Servers' changes of status as a log line and as figures. */
+/** Formats changes of the servers' status for the log and counts them in the metrics. */
 final class TransitionLog {
-    /** So many servers are named for each kind of change; of the others, how many they are. */
+    /** Limit of servers that are named for each kind of change; the others are only counted. */
     private static final int MAX_NAMED_SERVERS = 8;
 
     private TransitionLog() { }
 
-    /** One line: what changed, grouped by the status before and after and by its cause, and what brought it. */
+    /** Returns one line: the changes, grouped by the status before and after and by cause, and their source. */
     static String format(Outcome outcome, String source) {
         Map<String, List<String>> uids = new TreeMap<>();
         for (Transition transition : outcome.transitions()) {
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -20,15 +20,15 @@
 import java.util.logging.Logger;
 
 /**
- * Walks made-up requests through the parsers, the decisions and the answers, in memory alone, before the
- * listener opens. A process that is still loading and compiling its classes needs several times the CPU for
- * a request; with clients at the door from its first moment, it falls behind and fails them.
+ * Runs made-up requests through the parsers, the decisions and the responses, in memory only, before the listening
+ * socket is opened. A process that is still loading and compiling its classes needs several times the CPU for a
+ * request; if clients came from its first moment, it would fall behind and fail them.
  */
 final class WarmUp {
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
-    /** Enough for the compiler to have taken up what each request runs through. */
+    /** Enough rounds for the JIT compiler to have compiled the code that each request runs. */
     private static final int MAX_ROUNDS = 1_200;
-    /** Clients wait meanwhile. */
+    /** Time limit in microseconds, as clients wait meanwhile. */
     private static final long MAX_DURATION_US = 1_000_000;
     private static final int HOST_COUNT = 9;
     private static final String RESPONSE = "HTTP/1.1 200 OK\r\nX-Load-Report: inflight=2,queue=1\r\n"
@@ -38,14 +38,14 @@
     private final Deadlines deadlines;
     private final Facade facade;
 
-    /** Its facade is its own and is thrown away: nothing made up here may be taken for news of a host. */
+    /** Uses a facade of its own, which is discarded, so that the made-up responses don't count as news of a host. */
     WarmUp(Setup setup, Deadlines deadlines) {
         this.setup = setup;
         this.deadlines = deadlines;
         facade = new Facade(setup, 1, deadlines::now, line -> { });
     }
 
-    /** Returns how many rounds were walked; a fault ends it and is told, as serving does not hang on it. */
+    /** Returns the number of rounds run. A failure ends the warm-up and is logged; serving does not depend on it. */
     int run() {
         int rounds = 0;
         long endUs = deadlines.now() + MAX_DURATION_US;
@@ -60,7 +60,7 @@
                 runRound(rounds++);
             }
         } catch (IOException | RuntimeException | OutOfMemoryError | StackOverflowError e) {
-            LOG.log(Level.WARNING, "not warmed up", e);
+            LOG.log(Level.WARNING, "warm-up failed", e);
         }
         return rounds;
     }
