--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -35,8 +35,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The client on real sockets, its clock in the test's hand: where it stands still no pause ever ends by itself, and
- * wherever the client reads it, or logs a line, a test can make another event fall.
+ * Runs the client on real sockets with a clock that the test sets: while it stands still, no pause ends by itself.
+ * Whenever the client reads the clock or logs a line, a test can make another event happen.
  */
 @Timeout(60)
 class DiscoveryClientTest {
@@ -89,7 +89,7 @@
         return host;
     }
 
-    /** Discovery that leaves every call open. */
+    /** Returns a discovery that never answers. */
     private Host silentDiscovery() throws IOException {
         CountDownLatch endless = new CountDownLatch(1);
         return discovery((head, seen) -> {
@@ -111,7 +111,7 @@
         return "{\"rev\":" + revision + ",\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
-    /** The list with which the client begins: all serve, at version 6. */
+    /** Returns the list that the client starts with: all servers serve, at version 6. */
     private static String initialList() {
         String[] targets = new String[HOST_COUNT];
         for (int i = 0; i < HOST_COUNT; i++) {
@@ -120,7 +120,7 @@
         return list(6, true, targets);
     }
 
-    /** Starts a client at that address; the next call is due at once. */
+    /** Starts a client with that discovery; the next call is due at once. */
     private void start(Host first, long graceUs) throws Exception {
         String text = Files.readString(Path.of("example/config.json"))
                 .replace("\"ask_within_us\"", "\"drain_grace_us\": " + graceUs + ", \"ask_within_us\"");
@@ -144,7 +144,7 @@
         clientThread.start();
     }
 
-    /** Starts a client whose first answer leaves out most servers, with a long grace. */
+    /** Starts a client with a long drain grace, and waits until it has logged that an answer left out most servers. */
     private void startWithMissingServers(Host first) throws Exception {
         CountDownLatch missingLogged = new CountDownLatch(1);
         onLogLine = line -> {
@@ -160,14 +160,16 @@
         return seen.head().start[1];
     }
 
-    /** Lost, the new address was asked at the end of the pause after the old one's failure. */
+    /**
+     * The change of address was lost, and the new one called only after the pause that followed the old one's failure.
+     */
     @Test
     void newAddressRightAfterAFailedCallIsCalledAtOnce() throws Exception {
         Host oldDiscovery = discovery((head, seen) -> null);
         Host newDiscovery = silentDiscovery();
         onLogLine = line -> {
             if (line.startsWith("discovery call failed")) {
-                discoveryClient.moveTo(at(newDiscovery));         // before the module is told of the failure
+                discoveryClient.moveTo(at(newDiscovery));   // before the decision module is told of the failure
             }
         };
         start(oldDiscovery, 250_000);
@@ -175,14 +177,16 @@
         assertThat(oldDiscovery.seen).hasSize(1);
     }
 
-    /** The address is the same again when the client looks, but its call was cut: a failure, as it seemed. */
+    /**
+     * The address is the old one again when the client checks, but the call was closed and so looked like a failure.
+     */
     @Test
     void addressThatReturnsIsAskedAtOnceForTheWholeList() throws Exception {
         Host first = silentDiscovery();
         Host second = silentDiscovery();
         start(first, 250_000);
         assertThat(query(first.next())).contains("after=6");
-        synchronized (discoveryClient) {              // so that it looks only when both have come
+        synchronized (discoveryClient) {   // so that it checks only after both moves
             discoveryClient.moveTo(at(second));
             discoveryClient.moveTo(at(first));
         }
@@ -190,7 +194,7 @@
         assertThat(second.seen).isEmpty();
     }
 
-    /** Whatever the client is at: connecting, writing, reading, taking over, or between two calls. */
+    /** The move may come while the client connects, writes, reads, applies an answer or pauses between two calls. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void newAddressIsCalledAtOnceWheneverItIsConfigured(int moveAtReading) throws Exception {
@@ -204,11 +208,11 @@
             }
         };
         start(oldDiscovery, 250_000);
-        // Also before the first call: the known version may be of another count than the new address's.
+        // Also if it comes before the first call: the known version may be of another sequence than the new address's.
         assertThat(query(newDiscovery.next())).isEqualTo("/v1/servers");
     }
 
-    /** Most of a minute of pause would be left; what the old address left out has its deadline all the same. */
+    /** Most of a minute's pause is left, but the deadline of the servers that the old address left out still holds. */
     @Test
     void newAddressEndsThePause() throws Exception {
         Host oldDiscovery = discovery((head, seen) -> Host.ok(list(7, true, target(0, "DRAINING"))));
@@ -216,17 +220,20 @@
         startWithMissingServers(oldDiscovery);
         discoveryClient.moveTo(at(newDiscovery));
         newDiscovery.next();
-        assertThat(endpoints.size()).as("none is gone").isEqualTo(HOST_COUNT);
-        assertThat(endpoints.endpointOf("s0")).as("the drain counts").isNull();
+        assertThat(endpoints.size()).as("no server is removed").isEqualTo(HOST_COUNT);
+        assertThat(endpoints.endpointOf("s0")).as("the drained server takes no requests").isNull();
     }
 
-    /** From the doubt on to the reading of the second answer: the move puts off no deadline, and brings nobody back. */
+    /**
+     * The move may come at any time between the first answer that leaves out servers and the second answer. It delays
+     * no deadline and brings no server back.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 6, 8, 10, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
     void drainDeadlineHoldsWheneverTheAddressChanges(int moveAtReading) throws Exception {
         Host oldDiscovery = discovery((head, seen) -> Host.ok(list(7, true, target(0, "DRAINING"))));
         Host newDiscovery = silentDiscovery();
-        AtomicInteger clockReadings = new AtomicInteger(-1);         // since the doubt began
+        AtomicInteger clockReadings = new AtomicInteger(-1);   // since the first answer that leaves out servers
         onLogLine = line -> {
             if (line.startsWith("a list without") && clockReadings.get() < 0) {
                 clockReadings.set(0);
@@ -241,11 +248,12 @@
         start(oldDiscovery, 250_000);
         newDiscovery.next();
         for (int i = 0; i < HOST_COUNT; i++) {
-            assertThat(endpoints.endpointToSend("s" + i, clock.get() + 100_000)).as("s%d: 100 ms of the grace", i).isNull();
+            assertThat(endpoints.endpointToSend("s" + i, clock.get() + 100_000))
+                    .as("s%d takes no requests after 100 ms of the grace", i).isNull();
         }
     }
 
-    /** What callers saw: requests to a draining server, as its news came on a call that SIGHUP had closed. */
+    /** Guards against requests to a draining server whose drain was announced on a call that SIGHUP had closed. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void answerToASupersededCallIsApplied(boolean supersededByMove) throws Exception {
@@ -267,7 +275,7 @@
         } else {
             clock.addAndGet(ListClock.LONGEST_WAIT_US + ListClock.AFTER_WAIT_US);
             onClockRead = () -> clock.addAndGet(1_000);
-            discoveryClient.moveTo(at(oldDiscovery));          // no move: it looks at its clock
+            discoveryClient.moveTo(at(oldDiscovery));   // not a move, but makes the client read its clock
             assertThat(query(oldDiscovery.next())).contains("after=6&");
         }
         mayAnswer.countDown();
@@ -275,11 +283,12 @@
             Thread.onSpinWait();
         }
         assertThat(endpoints.endpointOf("s2")).isNotNull();
-        assertThat(endpoints.endpointOf("s9") != null).as("brought in where it is the address that counts").isEqualTo(!supersededByMove);
+        assertThat(endpoints.endpointOf("s9") != null).as("a new server counts only from the current address")
+                .isEqualTo(!supersededByMove);
         assertThat(endpoints.nextCall(0).after()).isEqualTo(supersededByMove ? -1 : 7);
     }
 
-    /** Each holds a descriptor: the oldest are closed. */
+    /** Each superseded call holds a descriptor; the oldest ones are closed. */
     @Test
     void supersededCallsAreLimitedAndTimeOut() throws Exception {
         List<Host> hosts = new ArrayList<>();
@@ -311,7 +320,10 @@
         onClockRead = () -> clock.set(System.nanoTime() / 1_000 + offsetUs.get());
     }
 
-    /** Versions from 1 again: what is gone is acted on step by step, what comes back waits, and changes are heard. */
+    /**
+     * Discovery counts versions from 1 again: removals count step by step, servers that come back have to wait, and
+     * changes are followed.
+     */
     @Test
     void discoveryWhoseVersionsRestartIsFollowed() throws Exception {
         CountDownLatch missedOnce = new CountDownLatch(1);
@@ -340,21 +352,24 @@
         assertThat(query(restarted.next())).isEqualTo("/v1/servers");
         assertThat(query(restarted.next())).isEqualTo("/v1/servers");
         assertThat(endpoints.endpointOf("s0")).as("a drain counts at once").isNull();
-        assertThat(endpoints.endpointToSend("s1", clock.get())).as("missing once, past its deadline").isNull();
+        assertThat(endpoints.endpointToSend("s1", clock.get())).as("missing once, after its deadline").isNull();
         missedOnce.countDown();
         assertThat(query(restarted.next())).contains("after=2&");
-        assertThat(endpoints.endpointOf("s1")).as("missing again").isNull();
-        assertThat(endpoints.endpointOf("s9")).as("what comes back waits").isNull();
+        assertThat(endpoints.endpointOf("s1")).as("missing in a second answer").isNull();
+        assertThat(endpoints.endpointOf("s9")).as("a server that comes back has to wait").isNull();
         assertThat(endpoints.endpointOf("s2")).isNotNull();
         change.countDown();
         assertThat(query(restarted.next())).contains("after=3&");
         assertThat(endpoints.endpointOf("s2")).isNull();
         assertThat(endpoints.endpointOf("s8")).isNull();
         assertThat(endpoints.endpointOf("s3")).isNotNull();
-        assertThat(endpoints.revision()).as("a life that begins with it refuses older ones, too").isEqualTo(6);
+        assertThat(endpoints.revision()).as("version to keep, so that older lists are refused after a restart, too")
+                .isEqualTo(6);
     }
 
-    /** What waited is believed after half a minute; a newer version before that has all of it asked for. */
+    /**
+     * Servers that had to wait count after half a minute; if a newer version comes first, the whole list is asked for.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void serversOfARestartedDiscoveryCountInTheEnd(boolean newerVersionComes) throws Exception {
@@ -371,8 +386,8 @@
             if (followUpCalls.get() > 0 && query.contains("after=")) {
                 endless.await();
             }
-            return Host.ok(list(newerVersionComes && followUpCalls.get() > 0 ? 7 : 2, true, target(0, "SERVING"), target(1, "SERVING"),
-                    target(2, "SERVING"), target(9, "SERVING")));
+            return Host.ok(list(newerVersionComes && followUpCalls.get() > 0 ? 7 : 2, true, target(0, "SERVING"),
+                    target(1, "SERVING"), target(2, "SERVING"), target(9, "SERVING")));
         });
         start(restarted, 250_000);
         while (endpoints.endpointOf("s9") == null) {
--- a/sidecar/src/test/java/dapplequay/net/LingeringCloseTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LingeringCloseTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How a client's connection ends, with bytes that come in the very moment. */
+/** How a client's connection is closed while more bytes arrive. */
 @Timeout(90)
 class LingeringCloseTest extends ClosesWhatItOpened {
     private volatile Host.Client sender;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The close came over bytes that nobody had read, and reset the connection. */
+    /** Closing the socket with unread bytes reset the connection. */
     @ParameterizedTest
     @ValueSource(strings = {"idle", "drain", "ending"})
     void requestThatCrossesTheCloseIsNeitherServedNorReset(String cause) throws Exception {
@@ -52,11 +52,11 @@
         assertThat(host.next().head().get("Idempotency-Key")).isEqualTo("first");
         assertThat(sender.answer().status()).isEqualTo(200);
         closeConnections(rig, cause);
-        assertThat(sender.atEnd()).as("the end, and no reset").isTrue();
+        assertThat(sender.atEnd()).as("orderly end of the stream without a reset").isTrue();
         sender.send("more that nobody reads");
         sender.close();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
-        assertThat(host.seen).as("requests sent on after the end").isEmpty();
+        assertThat(host.seen).as("requests sent upstream after the close").isEmpty();
     }
 
     @ParameterizedTest
@@ -87,7 +87,7 @@
             Thread.sleep(1);
         }
         closeConnections(rig, cause);
-        assertThat(idle.atEnd()).as("connections go").isTrue();
+        assertThat(idle.atEnd()).as("idle connections are closed").isTrue();
         partial.send(request.substring(40));
         Host.Answer answer = partial.answer();
         assertThat(answer.status()).isEqualTo(200);
@@ -95,7 +95,10 @@
         assertThat(partial.atEnd()).isTrue();
     }
 
-    /** More than may lie unread behind a request: it is thrown away, so that the answer is the connection's last. */
+    /**
+     * The client sends more than is buffered behind a request. That input is discarded, so the connection closes after
+     * the response.
+     */
     @Test
     void responseToAClientThatFloodsInputIsCompleteAndTheLast() throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
@@ -108,7 +111,7 @@
         client.send(ClientRig.pay("first"));
         host.next();
         Host.daemon(() -> {
-            client.socket.getOutputStream().write(new byte[3 << 20]);       // far more than the sockets hold
+            client.socket.getOutputStream().write(new byte[3 << 20]);   // far more than the socket buffers hold
             sent.countDown();
         });
         Host.Answer answer = client.answer();
@@ -117,10 +120,10 @@
         assertThat(client.atEnd()).isTrue();
     }
 
-    /** At the bound it had to go before those that rest, in the middle of its first request. */
+    /** At the connection limit it was closed before idle connections, in the middle of its first request. */
     @Test
     void clientWithinItsFirstRequestIsNotClosedToMakeRoom() throws Exception {
-        int maxConnections = 12;              // three strangers would be a flood
+        int maxConnections = 12;   // three connections without a request would be a flood
         Host host = host();
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), maxConnections, host.port()));
         rig.stopClock(0);
@@ -128,7 +131,7 @@
         for (int i = 0; i < maxConnections - 1; i++) {
             idle.add(clientAfterOneRequest(rig));
             rig.accepted();
-            rig.stopClock(UpstreamSide.REST_US);      // else the next one waits for the host's connection
+            rig.stopClock(UpstreamSide.REST_US);   // else the next request waits for the host's connection
         }
         Host.Client partial = rig.client();
         String request = ClientRig.pay("half");
@@ -137,8 +140,8 @@
         while (accepted.read.get() < 40) {
             Thread.sleep(1);
         }
-        assertThat(idle.get(0).atEnd()).as("one goes for who may come next").isTrue();
-        rig.stopClock(60_000);      // of age
+        assertThat(idle.get(0).atEnd()).as("one idle connection is closed to make room").isTrue();
+        rig.stopClock(60_000);   // old enough to be closed
         idle.get(0).close();
         Host.Client next = rig.client();
         assertThat(idle.get(1).atEnd()).isTrue();
--- a/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
@@ -89,8 +89,8 @@
                 .replaceAll("\"deadline_us\": \\d+", "\"deadline_us\": 20000000");
         Map<?, ?> example = (Map<?, ?>) Json.parse(text.getBytes(StandardCharsets.UTF_8));
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        Sidecar sidecar = new Sidecar(new Sidecar.Options(any, null, new InetSocketAddress(any.getAddress(), 1), 7, 1, 1024,
-                192, Json.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + targets + "]}").getBytes()),
+        Sidecar sidecar = new Sidecar(new Sidecar.Options(any, null, new InetSocketAddress(any.getAddress(), 1), 7, 1,
+                1024, 192, Json.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + targets + "]}").getBytes()),
                 SettingsReader.of(example.get("settings"), "example"), false));
         sidecar.start();
         return sidecar;
--- a/sidecar/src/test/java/dapplequay/net/OptionsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/OptionsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How connections are divided where two processes are one to the limits. */
+/** How the limits are divided if two processes share a listening socket and the limits. */
 class OptionsTest {
     @ParameterizedTest
     @CsvSource({"160,192", "256,192", "1024,192", "1024,512"})
@@ -15,7 +15,8 @@
         assertThat(sharing.maxClients() + sharing.maxUpstreams()).isEqualTo(sharing.maxConnections());
         assertThat(2 * (32 + sharing.maxConnections())).isLessThanOrEqualTo(sockets);
         assertThat(2 * (75 + 0.11 * sharing.maxConnections())).isLessThanOrEqualTo(memoryMb);
-        assertThat(sharing.crowdThreshold()).isLessThan(sharing.maxClients()).isLessThanOrEqualTo(single.crowdThreshold());
+        assertThat(sharing.crowdThreshold()).isLessThan(sharing.maxClients())
+                .isLessThanOrEqualTo(single.crowdThreshold());
         assertThat(single.crowdThreshold()).isEqualTo(sockets / 4);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/RecentCallIdsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/RecentCallIdsTest.java
@@ -13,6 +13,6 @@
         assertThat(ids.addIfNew(8, 99, 100)).isTrue();
         assertThat(ids.addIfNew(7, 100, 100)).isTrue();
         ids.addIfNew(9, 500, 100);
-        assertThat(ids.size()).as("what is over stays in no memory").isEqualTo(1);
+        assertThat(ids.size()).as("expired ids are removed").isEqualTo(1);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -80,8 +80,8 @@
     private Sidecar.Options plan(String text) throws IOException {
         Map<?, ?> example = (Map<?, ?>) Json.parse(text.getBytes());
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return new Sidecar.Options(any, isManaged ? any : null, discoveryAt, 7, 1, sockets, 192, Json.parse(known.getBytes()),
-                SettingsReader.of(example.get("settings"), "example"), false);
+        return new Sidecar.Options(any, isManaged ? any : null, discoveryAt, 7, 1, sockets, 192,
+                Json.parse(known.getBytes()), SettingsReader.of(example.get("settings"), "example"), false);
     }
 
     private Host.Client client(Sidecar sidecar) throws IOException {
--- a/sidecar/src/test/java/dapplequay/net/ThreadReserveTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ThreadReserveTest.java
@@ -18,7 +18,7 @@
 
     private Thread newThread(Runnable work) {
         if (availableThreads.getAndDecrement() <= 0) {
-            throw new OutOfMemoryError("no thread");
+            throw new OutOfMemoryError("no thread available");
         }
         Thread thread = new Thread(work);
         started.add(thread);
@@ -48,7 +48,7 @@
         awaitAliveThreads(ThreadReserve.SIZE);
     }
 
-    /** Idle clients may take the last thread, so that no start fails until a signal needs one. */
+    /** Idle clients may take the last thread without any failed start until a signal needs one. */
     @Test
     void periodicCheckNoticesThatNoThreadIsLeft() {
         AtomicInteger shortages = new AtomicInteger();
@@ -63,7 +63,7 @@
         assertThat(reserve.lastShortageUs()).isEqualTo(clock.get());
     }
 
-    /** Where only a part of it is to be had, none of it stays. */
+    /** If only some of the threads can be started, none of them stays. */
     @Test
     void incompleteReserveIsReleased() {
         availableThreads.set(ThreadReserve.SIZE / 2);
--- a/sidecar/src/test/java/dapplequay/net/WarmUpTest.java
+++ b/sidecar/src/test/java/dapplequay/net/WarmUpTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 class WarmUpTest {
-    /** A round that meets a fault ends the walk: then the first would. */
+    /** A failure ends the warm-up, in the first round if it does not depend on the round. */
     @Test
     void runsRoundsWithTheExampleSettings() throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
@@ -22,7 +22,7 @@
         assertThat(warmUp.run()).isGreaterThan(20);
     }
 
-    /** The start would have ended with it, though serving does not hang on the walk. */
+    /** The failure ended the start, although serving does not depend on the warm-up. */
     @Test
     void lackOfMemoryEndsOnlyTheWarmUp() throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
