--- a/sidecar/src/main/java/dapplequay/cli/Config.java
+++ b/sidecar/src/main/java/dapplequay/cli/Config.java
@@ -22,12 +22,12 @@
     private Config() { }
 
     /** Reads the file; SettingsException, with a message of one line, if the configuration is invalid. */
-    static Sidecar.Plan read(Path file, Map<String, String> environment) {
+    static Sidecar.Options read(Path file, Map<String, String> environment) {
         return read(file.toString(), fields(file), environment);
     }
 
     /** Reads the configuration from a parsed file; {@code source} names the file in error messages. */
-    static Sidecar.Plan read(String source, Map<?, ?> fields, Map<String, String> environment) {
+    static Sidecar.Options read(String source, Map<?, ?> fields, Map<String, String> environment) {
         return plan(source, fields, environment, environment.get("EDGE_DISCOVERY"));
     }
 
@@ -35,7 +35,8 @@
      * Reads a file that replaces {@code previous}. Discovery's address is taken from the file alone, as the environment
      * can't change while the process runs. All keys of {@code previous} but {@code known} are required.
      */
-    static Sidecar.Plan reread(String source, Map<?, ?> fields, Map<?, ?> previous, Map<String, String> environment) {
+    static Sidecar.Options reread(String source, Map<?, ?> fields, Map<?, ?> previous, Map<String,
+            String> environment) {
         Map<Object, Object> required = new LinkedHashMap<>(previous);
         required.remove("known");
         String missing = MissingKeys.firstMissing(required, fields);
@@ -45,11 +46,11 @@
         return plan(source, fields, environment, null);
     }
 
-    private static Sidecar.Plan plan(String source, Map<?, ?> fields, Map<String, String> environment,
+    private static Sidecar.Options plan(String source, Map<?, ?> fields, Map<String, String> environment,
                                      String discovery) {
         String management = environment.get("EDGE_MANAGEMENT");
         boolean hasManagement = fields.get("management") != null || management != null && !management.isEmpty();
-        return new Sidecar.Plan(address(source, fields, "listen", environment.get("EDGE_LISTEN")),
+        return new Sidecar.Options(address(source, fields, "listen", environment.get("EDGE_LISTEN")),
                 hasManagement ? address(source, fields, "management", management) : null,
                 address(source, fields, "discovery", discovery), seed(source, fields), cores(source, fields),
                 limit(source, fields, "sockets", DEFAULT_SOCKETS),
--- a/sidecar/src/main/java/dapplequay/cli/Main.java
+++ b/sidecar/src/main/java/dapplequay/cli/Main.java
@@ -85,7 +85,7 @@
             return operators == null ? Operators.NONE : Operators.read(Path.of(operators));
         }
 
-        Sidecar.Plan plan(Map<String, String> environment) {
+        Sidecar.Options plan(Map<String, String> environment) {
             return Config.read(file(environment), environment);
         }
     }
@@ -108,7 +108,7 @@
             Map<?, ?> fields = Config.fields(file);
             PersistedState state = PersistedState.in(operators().stateFolder());
             Sidecar sidecar = state.createSidecar(Config.read(file.toString(), fields, environment));
-            OrderlyExit exit = new OrderlyExit(() -> sidecar.endsWithinUs() / 1_000,
+            OrderlyExit exit = new OrderlyExit(() -> sidecar.maxEndingUs() / 1_000,
                     List.of(sidecar::end, state::close));
             Runtime.getRuntime().addShutdownHook(new Thread(() -> {
                 exit.run();
--- a/sidecar/src/main/java/dapplequay/cli/PersistedState.java
+++ b/sidecar/src/main/java/dapplequay/cli/PersistedState.java
@@ -31,7 +31,7 @@
     }
 
     /** Creates the sidecar without starting it; IOException if the platform's list is invalid. */
-    Sidecar createSidecar(Sidecar.Plan plan) throws IOException {
+    Sidecar createSidecar(Sidecar.Options plan) throws IOException {
         if (folderPath == null) {
             return new Sidecar(plan);
         }
@@ -42,8 +42,10 @@
         long now = clock.getAsLong();
         InitialList.KeptList keptList = list == null ? null
                 : new InitialList.KeptList(revision(list), snapshot.takenUs());
-        InitialList beginning = InitialList.choose(revision(plan.known()), keptList, now, Sidecar.versionCountsUs());
-        Sidecar.Memory memory = new Sidecar.Memory(beginning.enforcesVersion(), folder::scheduleWrite);
+        InitialList beginning = InitialList.choose(revision(plan.knownList()), keptList, now,
+                Sidecar.versionValidityUs());
+        Sidecar.ListPersistence memory = new Sidecar.ListPersistence(beginning.enforcesVersion(),
+                folder::scheduleWrite);
         if (beginning.source() != InitialList.Source.KEPT) {
             return new Sidecar(plan, memory);
         }
@@ -51,10 +53,10 @@
             (now - snapshot.takenUs()) / 1_000_000, revision(list).toString(),
             beginning.enforcesVersion() ? "" : "; discovery may be older"});
         try {
-            return new Sidecar(plan.beginningWith(list), memory);
+            return new Sidecar(plan.withKnownList(list), memory);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "the kept list could not be applied and is not used: {0}", e.toString());
-            return new Sidecar(plan, new Sidecar.Memory(false, folder::scheduleWrite));
+            return new Sidecar(plan, new Sidecar.ListPersistence(false, folder::scheduleWrite));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/cli/Reload.java
+++ b/sidecar/src/main/java/dapplequay/cli/Reload.java
@@ -30,14 +30,14 @@
     synchronized void run() {
         try {
             Map<?, ?> fields = Config.fields(file);
-            List<String> restartOnly = sidecar.retune(Config.reread(file.toString(), fields, current, environment));
+            List<String> restartOnly = sidecar.reload(Config.reread(file.toString(), fields, current, environment));
             current = fields;
-            sidecar.configurationRead(true);
+            sidecar.recordReload(true);
             LOG.info("configuration read again" + (restartOnly.isEmpty() ? "" : "; these take a restart: "
                     + String.join(", ", restartOnly)));
         } catch (RuntimeException | OutOfMemoryError | StackOverflowError e) {
             // Errors come of a file too large or too deeply nested: the thread that watches the file must survive them.
-            sidecar.configurationRead(false);
+            sidecar.recordReload(false);
             LOG.log(Level.WARNING, "configuration kept as it was: {0}",
                     String.valueOf(e.getMessage()).contains(file.toString()) ? e.getMessage()
                             : file + ": " + e.getMessage());
--- a/sidecar/src/main/java/dapplequay/net/Attempt.java
+++ b/sidecar/src/main/java/dapplequay/net/Attempt.java
@@ -34,7 +34,7 @@
         this.decision = decision;
         this.startUs = startUs;
         expiresAtUs = startUs + decision.timeoutUs();
-        uploading = exchange.request.isLong();
+        uploading = exchange.request.isStreamed();
     }
 
     /**
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -16,147 +16,147 @@
 import java.util.logging.Logger;
 
 /**
- * One connection of the client's, with the thread that reads it. The thread goes on reading while an attempt is
- * out, and so sees a client that leaves; whoever has the answer writes it.
+ * One client connection and the thread that reads it. The thread keeps reading while an attempt is in progress, and so
+ * notices a client that leaves; the thread that has the response writes it.
  */
 final class ClientConnection implements Runnable {
     private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
-    /** An idle connection is closed after this: some clients ask once and never again, nor ever close. */
-    private static final long IDLE_US = 2_100_000;
-    /** A stranger, one that has not asked for anything yet, has at least so long before it makes room. */
-    private static final long STRANGER_US = 50_000;
-    /** The same for one whose request has begun to come, where no flood of them fills the bound. */
-    private static final long HALF_US = 500_000;
-    /** A connection that has just come is not closed unheard: its first request is on its way. */
-    private static final long FRESH_US = 100_000;
-    /** Of a long request that was answered before it was whole: its client may read only after it has sent all. */
-    private static final int LONG_DRAINED = 2 * MessageReader.MAX_BODY_BYTES;
-    private static final long LONG_LINGER_US = 5_000_000;
-    /** A client that does not take its answer must not hold the thread that writes it. */
-    private static final long WRITE_US = 10_000_000;
-    /** Peers take seconds over a piece of a long body; where nothing moves for so long, nothing will. */
-    private static final long STALL_US = 10_000_000;
-    /** After the last answer the client closes; closing first could take the answer from it. */
+    /** Time after which an idle connection is closed: some clients send one request and never close. */
+    private static final long IDLE_TIMEOUT_US = 2_100_000;
+    /** Minimum age at which a connection without a complete request (unproven) is closed to make room. */
+    private static final long UNPROVEN_MIN_AGE_US = 50_000;
+    /** The same for one with a part of a request, unless unproven connections flood the limit. */
+    private static final long PARTIAL_REQUEST_MIN_AGE_US = 500_000;
+    /** A connection younger than this is not closed for a drain: its first request is on its way. */
+    private static final long FIRST_REQUEST_WAIT_US = 100_000;
+    /** Input discarded after an early response: a client may read it only after it has sent its whole request. */
+    private static final int UPLOAD_DISCARD_BYTES = 2 * MessageReader.MAX_BODY_BYTES;
+    private static final long UPLOAD_LINGER_US = 5_000_000;
+    /** Time for writing a response: a client that does not read must not block the writing thread. */
+    private static final long WRITE_TIMEOUT_US = 10_000_000;
+    /** A streamed body that does not move for this long is given up; peers may take seconds for one piece. */
+    private static final long STALL_TIMEOUT_US = 10_000_000;
+    /** Time for the client to close after the last response; closing first could lose the response. */
     private static final long LINGER_US = 1_000_000;
-    /** A head has to be here within this; clients take 2 s for one. */
-    private static final long HEAD_US = 2_300_000;
-    private static final byte[] CONTINUE =
+    /** Time for a complete request head; clients take up to 2 s. */
+    private static final long HEAD_TIMEOUT_US = 2_300_000;
+    private static final byte[] CONTINUE_RESPONSE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    /** READING: a request has begun to come; BUSY: it is whole and its answer is due. */
+    /** READING: part of a request has arrived; BUSY: the request is complete and its response is due. */
     private enum State { IDLE, READING, BUSY, CLOSED }
 
-    private final ClientSide side;
+    private final ClientListener listener;
     private final Socket socket;
-    private final OrderlyClose ending;
-    private final RequestBodyReader bodies;
-    private final long sinceUs;
+    private final LingeringClose lingeringClose;
+    private final RequestBodyReader bodyReader;
+    private final long acceptedUs;
     private State state = State.IDLE;
-    private boolean asked;
-    private volatile boolean late;
-    private DeadlineQueue.Deadline idleEnd;
-    private volatile boolean lastRequest;
-    private volatile boolean uploading;
-    private volatile boolean hasRoom;
-    private volatile String version = "HTTP/1.1";
+    private boolean hasRequested;
+    private volatile boolean isRequestLate;
+    private DeadlineQueue.Deadline idleDeadline;
+    private volatile boolean isLastRequest;
+    private volatile boolean isUploading;
+    private volatile boolean isUploadAdmitted;
+    private volatile String httpVersion = "HTTP/1.1";
     private volatile ClientInput input;
     private MessageReader reader;
-    private volatile Presence presence;
-    private volatile Exchange current;
+    private volatile ClientPresence presence;
+    private volatile Exchange currentExchange;
 
-    ClientConnection(ClientSide side, Socket socket) {
-        this.side = side;
+    ClientConnection(ClientListener listener, Socket socket) {
+        this.listener = listener;
         this.socket = socket;
-        ending = new OrderlyClose(socket, side.deadlines());
-        bodies = new RequestBodyReader(side.deadlines(), this::requestIsLate);
-        sinceUs = side.deadlines().now();
-        idleEnd = side.deadlines().schedule(IDLE_US, () -> side.idleForLong(this));
+        lingeringClose = new LingeringClose(socket, listener.deadlines());
+        bodyReader = new RequestBodyReader(listener.deadlines(), this::requestTimedOut);
+        acceptedUs = listener.deadlines().now();
+        idleDeadline = listener.deadlines().schedule(IDLE_TIMEOUT_US, () -> listener.idleTimeout(this));
     }
 
     void close() {
-        ending.close();
+        lingeringClose.close();
     }
 
-    private void over() {
+    private void finish() {
         close();
         synchronized (this) {
-            side.deadlines().cancel(idleEnd);
+            listener.deadlines().cancel(idleDeadline);
         }
-        side.ended(this);
+        listener.connectionEnded(this);
     }
 
     @Override
     public void run() {
         try {
             socket.setTcpNoDelay(true);
-            input = new ClientInput(socket, side.deadlines()::now);
+            input = new ClientInput(socket, listener.deadlines()::now);
             reader = new MessageReader(input, MessageReader.MAX_BODY_BYTES);
-            presence = new Presence(side, input, reader);
-            while (reader.awaitRequest() && beginRequest()) {
+            presence = new ClientPresence(listener, input, reader);
+            while (reader.awaitRequest() && awaitPreviousResponse()) {
                 readRequest();
             }
-            ending.throwAway(uploading ? LONG_DRAINED : 0);
+            lingeringClose.discardInput(isUploading ? UPLOAD_DISCARD_BYTES : 0);
         } catch (IOException e) {
             LOG.log(Level.FINE, "client connection ended: {0}", e.toString());
         } finally {
-            if (current != null) {
-                LOG.fine(() -> "client of " + current.id + " is gone, " + state
-                        + (current.isClaimed() ? "" : ", unanswered"));
-                side.conductor().clientLeft(current);
+            if (currentExchange != null) {
+                LOG.fine(() -> "client of " + currentExchange.id + " is gone, " + state
+                        + (currentExchange.isClaimed() ? "" : ", unanswered"));
+                listener.conductor().clientLeft(currentExchange);
             }
-            bodies.finish();
+            bodyReader.finish();
             if (input == null || !input.leave()) {
-                over();
+                finish();
             }
         }
     }
 
     /**
-     * Waits for the answer to the request before; false where the connection takes no more. A client that has sent
-     * more is looked for meanwhile, as its end would lie behind that.
+     * Waits until the response to the previous request is written; false if the connection serves no further request.
+     * Meanwhile it polls for a client that has sent more, as the end of the stream would only show after that.
      */
-    private boolean beginRequest() throws IOException {
-        while (isBusyAfter(Presence.AHEAD_MS)) {
-            input.expect(reader, true);
+    private boolean awaitPreviousResponse() throws IOException {
+        while (isBusyAfter(ClientPresence.POLL_WHILE_BUSY_MS)) {
+            input.checkPresent(reader, true);
         }
-        return begins();
+        return startReading();
     }
 
-    /** Whether the answer is still due after so many ms, or a little earlier. */
-    private synchronized boolean isBusyAfter(long ms) throws InterruptedIOException {
+    /** True if the response is still due after at most {@code maxWaitMs} milliseconds. */
+    private synchronized boolean isBusyAfter(long maxWaitMs) throws InterruptedIOException {
         if (state == State.BUSY) {
-            MonitorWaits.atMost(this, ms);
+            MonitorWaits.atMost(this, maxWaitMs);
         }
         return state == State.BUSY;
     }
 
-    private synchronized boolean begins() {
-        if (state == State.IDLE && input.isOverfull()) {
+    private synchronized boolean startReading() {
+        if (state == State.IDLE && input.hasDiscardedBytes()) {
             state = State.CLOSED;
-            ending.begin(LINGER_US);
+            lingeringClose.begin(LINGER_US);
         }
         if (state != State.IDLE) {
-            LOG.fine("a request crossed the end of its connection");
+            LOG.fine("request arrived while its connection was closing");
             return false;
         }
         state = State.READING;
-        side.deadlines().cancel(idleEnd);
-        current = null;
+        listener.deadlines().cancel(idleDeadline);
+        currentExchange = null;
         return true;
     }
 
-    /** The request is whole; IOException where the connection was closed to make room meanwhile. */
-    private synchronized void requestIsWhole() throws IOException {
+    /** Marks the request as complete; throws IOException if the connection was closed to make room meanwhile. */
+    private synchronized void requestComplete() throws IOException {
         if (state == State.CLOSED) {
-            throw new EOFException("made room");
+            throw new EOFException("connection was closed to make room");
         }
         state = State.BUSY;
-        input.answerDue(true);
+        input.setResponseDue(true);
     }
 
-    /** Ends the wait for the rest of a request; its thread finds the end of the stream and answers. */
-    private synchronized void requestIsLate() {
-        late = true;
+    /** Ends the wait for the rest of a request: the reading thread finds the end of the stream and responds. */
+    private synchronized void requestTimedOut() {
+        isRequestLate = true;
         try {
             socket.shutdownInput();
         } catch (IOException e) {
@@ -165,325 +165,331 @@
     }
 
     private void readRequest() throws IOException {
-        DeadlineQueue.Deadline whole = side.deadlines().schedule(HEAD_US, this::requestIsLate);
+        DeadlineQueue.Deadline headDeadline = listener.deadlines().schedule(HEAD_TIMEOUT_US, this::requestTimedOut);
         Head head;
         Body body;
-        byte[] held;
+        byte[] bufferedBody;
         try {
-            version = "HTTP/1.1";
+            httpVersion = "HTTP/1.1";
             head = reader.readRequestHead();
-            side.deadlines().cancel(whole);
-            version = head.startLine[2];
+            listener.deadlines().cancel(headDeadline);
+            httpVersion = head.startLine[2];
             body = reader.requestBody(head);
-            if (head.hasToken("Expect", "100-continue") && !version.equals("HTTP/1.0") && !body.isFullyBuffered()) {
-                socket.getOutputStream().write(CONTINUE);
+            if (head.hasToken("Expect", "100-continue") && !httpVersion.equals("HTTP/1.0") && !body.isFullyBuffered()) {
+                socket.getOutputStream().write(CONTINUE_RESPONSE);
             }
-            held = bodies.readReplayable(body);
+            bufferedBody = bodyReader.readReplayable(body);
         } catch (BadMessageException e) {
-            lastRequest = true;         // where this message ends, and the next begins, nobody can say
-            answer(Answers.plain(e.status, e.getMessage()));
+            isLastRequest = true;   // the end of this message, and so the start of the next, is unknown
+            writeResponse(ClientResponses.plainText(e.status, e.getMessage()));
             return;
         } catch (EOFException e) {
-            if (!late) {
+            if (!isRequestLate) {
                 throw e;
             }
-            lastRequest = true;
-            answer(Answers.tooLate());
+            isLastRequest = true;
+            writeResponse(ClientResponses.requestTimeout());
             return;
         } finally {
-            side.deadlines().cancel(whole);
+            listener.deadlines().cancel(headDeadline);
         }
-        requestIsWhole();
-        // An answer to HEAD ends after its head, whatever length it names: not a method that is served here.
-        lastRequest = head.closesConnection(version) || head.startLine[0].equals("HEAD");
-        uploading = !body.isComplete();
-        boolean counted = uploading;
-        hasRoom = !counted || side.uploadBegins();
+        requestComplete();
+        // A response to HEAD ends after its head, but HEAD is not supported: the connection closes.
+        isLastRequest = head.closesConnection(httpVersion) || head.startLine[0].equals("HEAD");
+        isUploading = !body.isComplete();
+        boolean isCountedUpload = isUploading;
+        isUploadAdmitted = !isCountedUpload || listener.beginUpload();
         try {
-            if (!uploading) {
-                bodies.finish();
+            if (!isUploading) {
+                bodyReader.finish();
             }
-            handle(head, held, body.isComplete() ? null : body, side.deadlines().now());
-            if (uploading && current != null) {
-                carry(current, body);
-                bodies.finish();
+            handle(head, bufferedBody, body.isComplete() ? null : body, listener.deadlines().now());
+            if (isUploading && currentExchange != null) {
+                forwardBody(currentExchange, body);
+                bodyReader.finish();
             }
         } catch (BadMessageException e) {
-            answer(Answers.plain(e.status, e.getMessage()));
+            writeResponse(ClientResponses.plainText(e.status, e.getMessage()));
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "request could not be handled", e);
-            if (current == null) {
-                answer(Answers.plain(500, "failed"));
-            } else if (current.claim()) {
-                current.recordEnd(End.FAULTED);
-                answer(Answers.plain(500, "failed"));
+            if (currentExchange == null) {
+                writeResponse(ClientResponses.plainText(500, "failed"));
+            } else if (currentExchange.claim()) {
+                currentExchange.recordEnd(End.FAULTED);
+                writeResponse(ClientResponses.plainText(500, "failed"));
             }
         } finally {
-            if (counted) {
-                side.uploadEnds();
+            if (isCountedUpload) {
+                listener.endUpload();
             }
         }
     }
 
-    /** Right before an attempt's first byte: has the client looked for, where it may have left unseen. */
-    void lookFor(Exchange exchange) {
-        presence.lookFor(exchange, !uploading);
+    /** Checks for the client right before an attempt's first byte, if it may have left unnoticed. */
+    void checkClientPresent(Exchange exchange) {
+        presence.checkBeforeSend(exchange, !isUploading);
     }
 
-    /** Whether a long request is among as many as may come at once. */
-    boolean hasRoom() {
-        return hasRoom;
+    /** True unless the request is streamed and there were too many such requests already. */
+    boolean isUploadAdmitted() {
+        return isUploadAdmitted;
     }
 
-    /** Carries the rest of a long request to the attempt that is out, until it is whole or the request is over. */
-    private void carry(Exchange exchange, Body body) throws IOException {
+    /** Passes the rest of a streamed request on to the current attempt until the request or the exchange ends. */
+    private void forwardBody(Exchange exchange, Body body) throws IOException {
         byte[] piece = BodyBuffers.acquire();
         boolean chunked = exchange.request.isChunked();
-        ProgressWatchdog.StallTimeout moves = new ProgressWatchdog.StallTimeout(side.deadlines(), STALL_US);
-        try (ProgressWatchdog stuck = new ProgressWatchdog(side.deadlines(), moves, () -> {
-            if (bodies.isWaiting()) {
-                requestIsLate();
+        ProgressWatchdog.StallTimeout moves = new ProgressWatchdog.StallTimeout(listener.deadlines(), STALL_TIMEOUT_US);
+        try (ProgressWatchdog stuck = new ProgressWatchdog(listener.deadlines(), moves, () -> {
+            if (bodyReader.isWaiting()) {
+                requestTimedOut();
             } else {
-                side.conductor().abortStalledUpload(exchange);
+                listener.conductor().abortStalledUpload(exchange);
             }
         })) {
             Attempt attempt = null;
-            while (uploading && !exchange.isClaimed()) {
-                int read = Math.max(0, bodies.read(body, piece, ChunkedFraming.FRAMING_ROOM, BodyBuffers.PIECE_BYTES));
+            while (isUploading && !exchange.isClaimed()) {
+                int count = Math.max(0, bodyReader.read(body, piece, ChunkedFraming.FRAMING_ROOM,
+                        BodyBuffers.PIECE_BYTES));
                 boolean last = body.isComplete();
-                uploading = !last;
-                // From the first piece on that is not held, no other attempt can follow: asked for once it is here.
+                isUploading = !last;
+                // Commits only once the first unbuffered piece is here: after sending it no other attempt can follow.
                 while (attempt == null || !exchange.commit(attempt)) {
                     attempt = exchange.awaitReadyAttempt();
                     if (attempt == null) {
                         return;
                     }
-                    presence.expect(side.deadlines().now(), last);
+                    presence.checkPresent(listener.deadlines().now(), last);
                     if (!attempt.connection().connectForUpload()) {
                         attempt = null;
                     }
                 }
                 if (last) {
-                    input.expect(reader, true);     // it may have left while this thread was elsewhere
-                    if (!side.conductor().beginFinalWrite(attempt)) {
+                    input.checkPresent(reader, true);   // it may have left meanwhile
+                    if (!listener.conductor().beginFinalWrite(attempt)) {
                         return;
                     }
                 }
                 moves.progressed();
-                ChunkedFraming.Span out = ChunkedFraming.frameIfChunked(piece, read, chunked, last);
-                if (!attempt.connection().writePiece(attempt, piece, out, last)) {
+                ChunkedFraming.Span span = ChunkedFraming.frameIfChunked(piece, count, chunked, last);
+                if (!attempt.connection().writePiece(attempt, piece, span, last)) {
                     return;
                 }
                 moves.progressed();
                 if (last) {
                     attempt.connection().uploadEnded(true);
                 }
-                BodyBuffers.pauseAfterPiece(read, body, side.pauseMs());
+                BodyBuffers.pauseAfterPiece(count, body, listener.streamPauseMs());
             }
         } catch (BadMessageException e) {
-            side.conductor().rejectUpload(exchange, Answers.plain(e.status, e.getMessage()));
+            listener.conductor().rejectUpload(exchange, ClientResponses.plainText(e.status, e.getMessage()));
         } catch (EOFException e) {
-            if (!late) {
-                side.conductor().clientLeft(exchange);
+            if (!isRequestLate) {
+                listener.conductor().clientLeft(exchange);
                 throw e;
             }
-            side.conductor().rejectUpload(exchange, Answers.tooLate());
+            listener.conductor().rejectUpload(exchange, ClientResponses.requestTimeout());
         } catch (IOException e) {
-            side.conductor().clientLeft(exchange);
+            listener.conductor().clientLeft(exchange);
             throw e;
         } finally {
             BodyBuffers.release(piece);
-            // Its end is reported by this thread, if it was this thread's to serve and the answer is not awaited yet.
-            Attempt left = exchange.attempt();
-            if (left != null && left.connection() != null) {
-                left.connection().uploadEnded(false);
+            // This thread reports the attempt's end, if that was its task and nothing waits for the response yet.
+            Attempt lastAttempt = exchange.attempt();
+            if (lastAttempt != null && lastAttempt.connection() != null) {
+                lastAttempt.connection().uploadEnded(false);
             }
         }
     }
 
-    private void handle(Head head, byte[] held, Body rest, long receivedUs) throws IOException {
+    private void handle(Head head, byte[] bufferedBody, Body remainingBody, long receivedUs) throws IOException {
         if (head.startLine[1].equals("/healthz")) {
-            answer(head.startLine[0].equals("GET") ? side.health() : Answers.plain(405, "only GET"));
+            writeResponse(head.startLine[0].equals("GET") ? listener.health()
+                    : ClientResponses.plainText(405, "only GET"));
             return;
         }
-        ClientRequest request = ClientRequest.check(head, held, rest, side.setup());
-        if (rest == null) {
-            presence.expect(receivedUs, true);
+        ClientRequest request = ClientRequest.parse(head, bufferedBody, remainingBody, listener.setup());
+        if (remainingBody == null) {
+            presence.checkPresent(receivedUs, true);
         }
         long callId = request.callId();
-        if (!side.isNewId(callId, receivedUs)) {
+        if (!listener.registerCallId(callId, receivedUs)) {
             throw new BadMessageException(409, "X-Call-Id of another request");
         }
         synchronized (this) {
-            asked = true;
+            hasRequested = true;
         }
-        Exchange exchange = new Exchange(side.nextId(), this, request, side.counts());
+        Exchange exchange = new Exchange(listener.nextExchangeId(), this, request, listener.counts());
         exchange.setDeadline(receivedUs + request.budgetUs());
         LOG.fine(() -> "request " + Long.toHexString(callId) + " is " + exchange.id);
-        current = exchange;
-        if (side.isOver() && exchange.claim()) {
-            exchange.recordEnd(End.THROTTLED);         // it never ran, and there is no time for it to
-            answer(Answers.refusal(0));
+        currentExchange = exchange;
+        if (listener.isEndingTimeOver() && exchange.claim()) {
+            exchange.recordEnd(End.THROTTLED);   // it never ran, and there is no time left
+            writeResponse(ClientResponses.refusal(0));
             return;
         }
-        RequestInfo call = request.call(request.budgetUs() - (side.deadlines().now() - receivedUs));
-        presence.away(exchange, rest == null, () -> side.conductor().begin(exchange, call));
+        RequestInfo call = request.toCall(request.budgetUs() - (listener.deadlines().now() - receivedUs));
+        presence.runWhileAway(exchange, remainingBody == null, () -> listener.conductor().begin(exchange, call));
     }
 
-    /** Whether the answer in hand is this connection's last; one that comes while its request does, has to be. */
-    private boolean isLast() {
-        return lastRequest || uploading || input.isOverfull() || side.empties() || side.isCrowded();
+    /** True if the connection closes after the current response, as after one that comes before the request's end. */
+    private boolean isLastResponse() {
+        return isLastRequest || isUploading || input.hasDiscardedBytes() || listener.isEmptying()
+                || listener.isCrowded();
     }
 
     private String connectionField(boolean last) {
-        return last ? "Connection: close\r\n" : version.equals("HTTP/1.0") ? "Connection: keep-alive\r\n" : "";
+        return last ? "Connection: close\r\n" : httpVersion.equals("HTTP/1.0") ? "Connection: keep-alive\r\n" : "";
     }
 
-    /** Writes the answer to the request in hand. Only who claimed the exchange may call this. */
-    void answer(Answers.Answer answer) {
-        boolean last = isLast();
-        DeadlineQueue.Deadline stuck = side.deadlines().schedule(WRITE_US, this::close);
+    /** Writes the response to the current request. Only the thread that claimed the exchange may call this. */
+    void writeResponse(ClientResponses.Response response) {
+        boolean last = isLastResponse();
+        DeadlineQueue.Deadline writeDeadline = listener.deadlines().schedule(WRITE_TIMEOUT_US, this::close);
         try {
-            socket.getOutputStream().write(answer.bytes(connectionField(last)));
+            socket.getOutputStream().write(response.toBytes(connectionField(last)));
             if (last) {
-                ending.begin(uploading ? LONG_LINGER_US : LINGER_US);
+                lingeringClose.begin(isUploading ? UPLOAD_LINGER_US : LINGER_US);
             }
         } catch (IOException e) {
-            LOG.log(Level.FINE, "answer could not be written: {0}", e.toString());
+            LOG.log(Level.FINE, "response could not be written: {0}", e.toString());
             last = true;
             close();
         } finally {
-            side.deadlines().cancel(stuck);
+            listener.deadlines().cancel(writeDeadline);
         }
-        answered(last);
+        responseWritten(last);
     }
 
-    private synchronized void answered(boolean last) {
+    private synchronized void responseWritten(boolean last) {
         state = last ? State.CLOSED : State.IDLE;
-        input.answerDue(false);
+        input.setResponseDue(false);
         if (!last) {
-            idleEnd = side.deadlines().schedule(IDLE_US, () -> side.idleForLong(this));
+            idleDeadline = listener.deadlines().schedule(IDLE_TIMEOUT_US, () -> listener.idleTimeout(this));
         }
         notifyAll();
     }
 
     /**
-     * Passes a long answer on, by the caller's thread; its request's time ends at {@code dueUs}. True if it was whole.
-     * The thread that reads this connection ends meanwhile: where a process is held to a share of a core each thread
-     * costs some of that share, and long answers come many at once. This answer is the connection's last.
+     * Passes on a streamed response on the calling thread; the request's time ends at {@code dueUs}. Returns true if
+     * the response is complete. The reading thread ends meanwhile: many long responses come at once, and where a
+     * process is limited to a share of a core, each thread costs some of that share. The connection closes after this
+     * response.
      */
-    boolean relay(Head upstream, Body body, byte[] start, long dueUs) {
-        boolean whole = false;
+    boolean relayResponse(Head upstreamHead, Body body, byte[] start, long dueUs) {
+        boolean isComplete = false;
         input.handOver();
         try {
-            byte[] begun = Answers.begun(upstream, body, start, version, connectionField(true));
-            whole = new ResponseRelay(socket, input, ending, side.deadlines(), side::pauseMs)
-                    .relay(begun, start.length, body, Answers.isChunked(body, version), dueUs);
+            byte[] responseStart = ClientResponses.streamStart(upstreamHead, body, start, httpVersion,
+                    connectionField(true));
+            isComplete = new ResponseRelay(socket, input, lingeringClose, listener.deadlines(), listener::streamPauseMs)
+                    .relay(responseStart, start.length, body, ClientResponses.isChunked(body, httpVersion), dueUs);
         } finally {
-            if (!whole) {
-                LOG.fine(() -> "long answer to " + current.id + " broke off");
+            if (!isComplete) {
+                LOG.fine(() -> "streamed response to " + currentExchange.id + " broke off");
             }
-            answered(true);
-            endAfterLong(whole);
+            responseWritten(true);
+            endAfterRelay(isComplete);
         }
-        return whole;
+        return isComplete;
     }
 
-    /** Ended by the reading thread where that is still there; else one takes its place until the client closes too. */
-    private void endAfterLong(boolean whole) {
-        if (whole) {
-            ending.begin(LINGER_US);
+    /** Ends the connection on the reading thread if that still runs, else on a new one that waits for the client. */
+    private void endAfterRelay(boolean isComplete) {
+        if (isComplete) {
+            lingeringClose.begin(LINGER_US);
         }
         if (input.giveBack()) {
             return;
         }
-        if (!whole || input.isGone()) {
-            over();
+        if (!isComplete || input.isGone()) {
+            finish();
         } else {
-            ending.throwAwayApart(this::over);
+            lingeringClose.discardInputInBackground(this::finish);
         }
     }
 
     /**
-     * Lets a connection between requests go; one on which something has come is served first. The client has {@code
-     * lingerUs} to close too. True where the connection is ending, by this call or an earlier one.
+     * Closes the connection if it is idle; one with unread input is served first. The client has {@code lingerUs} to
+     * close too. Returns true if the connection is closing, because of this call or an earlier one.
      */
     synchronized boolean closeIfIdle(long lingerUs) {
-        if (state == State.IDLE && !hasUnread()) {
+        if (state == State.IDLE && !hasUnreadInput()) {
             state = State.CLOSED;
-            ending.begin(lingerUs);
+            lingeringClose.begin(lingerUs);
         }
         return state == State.CLOSED;
     }
 
-    /** It has rested for too long; what has just come, and may be no request, is waited for once more. */
-    synchronized void restedTooLong(long lingerUs) {
+    /** Closes the connection after its idle time; if input has arrived, which may be no request, waits once more. */
+    synchronized void idleTimeout(long lingerUs) {
         if (!closeIfIdle(lingerUs) && state == State.IDLE) {
-            idleEnd = side.deadlines().schedule(lingerUs, () -> side.idleForLong(this));
+            idleDeadline = listener.deadlines().schedule(lingerUs, () -> listener.idleTimeout(this));
         }
     }
 
-    /** Whether the reading thread has something that it is about to use. */
-    private boolean isInHand() {
+    /** True if the reading thread has input that it is about to process. */
+    private boolean hasUnprocessedInput() {
         ClientInput from = input;
-        return from != null && from.isInHand();
+        return from != null && from.hasUnprocessedBytes();
     }
 
-    /** Whether something has come that was not looked at. */
-    private boolean hasUnread() {
+    /** True if input has arrived that was not processed yet. */
+    private boolean hasUnreadInput() {
         try {
-            return isInHand() || socket.getInputStream().available() > 0;
+            return hasUnprocessedInput() || socket.getInputStream().available() > 0;
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Has an end that has begun take no longer than this from now on, us; false where none has, or it is over. */
-    synchronized boolean hurry(long lingerUs) {
+    /** Limits a close that has begun to {@code lingerUs}; false if none has begun, or if it is done. */
+    synchronized boolean shortenLinger(long lingerUs) {
         if (state == State.CLOSED) {
-            ending.begin(lingerUs);
+            lingeringClose.begin(lingerUs);
         }
-        return state == State.CLOSED && !ending.isClosed();
+        return state == State.CLOSED && !lingeringClose.isClosed();
     }
 
-    /** Whether a request is in hand whose answer nobody has taken on. */
-    boolean holds() {
-        Exchange held = current;
-        return held != null && !held.isClaimed();
+    /** True if there is a request to which no thread has taken on the response. */
+    boolean hasUnansweredRequest() {
+        Exchange exchange = currentExchange;
+        return exchange != null && !exchange.isClaimed();
     }
 
-    /** There is no time left to wait for the answer to the request in hand: it fails, better told than cut off. */
-    void failHeld() {
-        Exchange held = current;
-        if (held != null) {
-            side.conductor().rejectUpload(held, Answers.failure(504));
+    /** Fails the current request, as there is no time left: the client is better told than cut off. */
+    void failUnansweredRequest() {
+        Exchange exchange = currentExchange;
+        if (exchange != null) {
+            listener.conductor().rejectUpload(exchange, ClientResponses.failure(504));
         }
     }
 
-    /** The same where the sidecar is being emptied: one that has just come is given the time to ask. */
-    synchronized void closeToEmpty(long lingerUs) {
-        if (asked || side.deadlines().now() - sinceUs >= FRESH_US) {
+    /** Closes an idle connection for a drain or shutdown; a new connection first gets time for its first request. */
+    synchronized void closeIfIdleForDrain(long lingerUs) {
+        if (hasRequested || listener.deadlines().now() - acceptedUs >= FIRST_REQUEST_WAIT_US) {
             closeIfIdle(lingerUs);
         }
     }
 
-    /** Whether nothing has been asked for whole on this connection. */
-    synchronized boolean isStranger() {
-        return !asked && (state == State.IDLE || state == State.READING);
+    /** True if no complete request has arrived on this connection. */
+    synchronized boolean isUnproven() {
+        return !hasRequested && (state == State.IDLE || state == State.READING);
     }
 
     /**
-     * Closes a grown stranger, which has no answer to lose: true if this was one. In the middle of a request it has
-     * longer, but for a {@code flood} of strangers, and where what came is not looked at yet, in any case.
+     * Closes the connection to make room if it is unproven and old enough, as then it has no response to lose; true if
+     * it was closed. A connection within a request, or with unread input, has longer; in a flood of unproven
+     * connections only unread input gives it longer.
      */
-    synchronized boolean closeIfStranger(boolean flood) {
-        if (!isStranger()) {
+    synchronized boolean closeIfUnproven(boolean isFlood) {
+        if (!isUnproven()) {
             return false;
         }
-        long ageUs = side.deadlines().now() - sinceUs;
-        boolean waits = state == State.READING && !flood || hasUnread();
-        if (ageUs < (waits ? HALF_US : STRANGER_US) || isInHand()) {
-            return false;           // what is in hand may be a whole request
+        long ageUs = listener.deadlines().now() - acceptedUs;
+        boolean isWaiting = state == State.READING && !isFlood || hasUnreadInput();
+        if (ageUs < (isWaiting ? PARTIAL_REQUEST_MIN_AGE_US : UNPROVEN_MIN_AGE_US) || hasUnprocessedInput()) {
+            return false;   // the input may be a complete request
         }
         state = State.CLOSED;
         close();
--- /dev/null
+++ b/sidecar/src/main/java/dapplequay/net/ClientListener.java
@@ -0,0 +1,399 @@
+package dapplequay.net;
+
+import dapplequay.facade.Facade;
+import dapplequay.http.Sockets;
+import dapplequay.management.RequestCounts;
+import dapplequay.settings.SettingsReader.Setup;
+import dapplequay.time.DeadlineQueue;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Supplier;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/** Accepts clients and keeps their connections. */
+final class ClientListener implements Runnable {
+    private static final Logger LOG = Logger.getLogger(ClientListener.class.getName());
+    private static final long RETRY_PAUSE_MS = 20;
+    /**
+     * How long to wait for the accepting thread to stop, in milliseconds. It stops at once; if it were stuck, shutdown
+     * must not be.
+     */
+    private static final long STOP_WAIT_MS = 500;
+    /** Unproven connections (without a complete request yet) are a flood from this share of the connection limit on. */
+    private static final double FLOOD_SHARE = 0.25;
+    /**
+     * How long the client of an idle connection has to close too, in microseconds: usually, and when connections are
+     * short.
+     */
+    private static final long IDLE_LINGER_US = 100_000;
+    private static final long SHORT_LINGER_US = 10_000;
+
+    /** The share of the present clients that may stay when the system has no more threads. */
+    private static final double SHORTAGE_KEEP_SHARE = 0.8;
+    private static final double NEAR_LIMIT_SHARE = 0.75;
+    /** The connection limit never falls below this. */
+    private static final int MIN_CONNECTIONS = 4;
+    /** After this time without a shortage of threads, the connection limit is restored, in microseconds. */
+    private static final long LIMIT_RECOVERY_US = 60_000_000;
+
+    private final Supplier<Setup> setup;
+    private final Facade facade;
+    private final RequestDispatcher conductor;
+    private final DeadlineQueue deadlines;
+    private final int maxConnections;
+    private final int crowdThreshold;
+    private final int maxUploads;
+    private final AtomicInteger uploads = new AtomicInteger();
+    private final ListeningSocket listeningSocket;
+    private final Set<ClientConnection> connections = new LinkedHashSet<>();
+    private final CountDownLatch acceptingStopped = new CountDownLatch(1);
+    private final RecentCallIds recentCallIds = new RecentCallIds();
+    private final RequestCounts counts;
+    private final SidecarLifecycle lifecycle;
+    private volatile boolean isEndingTimeOver;
+    /** Whether clients were crowded at any time since shutdown began; used only by the accepting thread. */
+    private boolean endingSawCrowd;
+    private final LongBodyThrottle headroom;
+    private final LagMonitor punctuality;
+    private final ThreadReserve threads;
+    /** The current limit of connections: below {@link #maxConnections} after a shortage of threads. Guarded by this. */
+    private int connectionLimit;
+
+    ClientListener(ListeningSocket listeningSocket, Supplier<Setup> setup, Facade facade, RequestDispatcher conductor,
+                 DeadlineQueue deadlines, RequestCounts counts, SidecarLifecycle lifecycle, LongBodyThrottle headroom,
+                         int maxConnections,
+                 int crowdThreshold, int maxUploads, ThreadReserve threads) {
+        this.maxUploads = maxUploads;
+        this.listeningSocket = listeningSocket;
+        this.setup = setup;
+        this.facade = facade;
+        this.conductor = conductor;
+        this.deadlines = deadlines;
+        this.counts = counts;
+        this.lifecycle = lifecycle;
+        this.headroom = headroom;
+        this.maxConnections = maxConnections;
+        this.threads = threads;
+        connectionLimit = maxConnections;
+        threads.onShortage(this::lowerConnectionLimit);
+        this.crowdThreshold = crowdThreshold;
+        punctuality = new LagMonitor(deadlines.now());
+    }
+
+    InetSocketAddress address() {
+        return listeningSocket.address();
+    }
+
+    /** Returns the current settings. */
+    Setup setup() {
+        return setup.get();
+    }
+
+    /** Registers the id of a request; false if a recent request has the same id. */
+    boolean registerCallId(long callId, long nowUs) {
+        return recentCallIds.addIfNew(callId, nowUs, 2 * setup().longestDeadlineUs());
+    }
+
+    long nextExchangeId() {
+        return facade.nextRequestId();
+    }
+
+    RequestDispatcher conductor() {
+        return conductor;
+    }
+
+    DeadlineQueue deadlines() {
+        return deadlines;
+    }
+
+    /**
+     * True if clients hold nearly as many descriptors as they may. Each response then ends its connection, as clients
+     * that send one request and keep the connection would leave no descriptor for the next request.
+     */
+    synchronized boolean isCrowded() {
+        return connections.size() >= crowdThreshold;
+    }
+
+    RequestCounts counts() {
+        return counts;
+    }
+
+    /** Counts another streamed request; false if there are too many at once, so that no attempt may begin for it. */
+    boolean beginUpload() {
+        return uploads.incrementAndGet() <= maxUploads;
+    }
+
+    void endUpload() {
+        uploads.decrementAndGet();
+    }
+
+    /** Returns how long a thread that passes on a streamed body currently pauses between pieces, in milliseconds. */
+    long streamPauseMs() {
+        return headroom.pauseMs();
+    }
+
+    /** True if input that is read now may have been waiting in the socket for long. */
+    boolean isLate(long nowUs) {
+        return punctuality.isLate(nowUs);
+    }
+
+    /** True if connections are being closed for a drain or shutdown: each response is then its connection's last. */
+    boolean isEmptying() {
+        return lifecycle.isEmptying();
+    }
+
+    ClientResponses.Response health() {
+        return lifecycle.isReadyForClients() ? ClientResponses.plainText(200, "ok")
+                : ClientResponses.plainText(503, "takes no clients");
+    }
+
+    /** Accepts connections until accepting is stopped; after any other failure the next connection is tried. */
+    @Override
+    public void run() {
+        try {
+            acceptAll();
+        } finally {
+            acceptingStopped.countDown();
+        }
+    }
+
+    private void acceptAll() {
+        while (!listeningSocket.isStopped()) {
+            Socket socket = null;
+            try {
+                awaitRoom();
+                if (stopsForCrowd()) {
+                    listeningSocket.stopAccepting();
+                    return;
+                }
+                socket = listeningSocket.accept();
+                if (socket == null) {
+                    return;
+                }
+                if (stopsForCrowd()) {
+                    Sockets.closeQuietly(socket);
+                    listeningSocket.stopAccepting();
+                    return;
+                }
+                ClientConnection connection = new ClientConnection(this, socket);
+                synchronized (this) {
+                    connections.add(connection);
+                }
+                startThread(connection);
+            } catch (IOException | RuntimeException | OutOfMemoryError e) {
+                // Out of descriptors, threads or memory: other connections will end and release theirs.
+                if (!listeningSocket.isStopped()) {
+                    Sockets.closeQuietly(socket);
+                    LOG.log(Level.SEVERE, "connection could not be accepted: {0}", e.toString());
+                    pauseBeforeRetry();
+                }
+            } catch (InterruptedException e) {
+                return;
+            }
+        }
+    }
+
+    /**
+     * True if accepting should stop: shutdown has begun, clients were crowded since, and connections are to be closed.
+     * Accepting all queued clients, and those that take their places, would take the time that is needed to respond to
+     * requests which were already read.
+     */
+    private boolean stopsForCrowd() {
+        if (!lifecycle.isEnding()) {
+            return false;
+        }
+        endingSawCrowd |= isCrowded() || isNearLimit();
+        return endingSawCrowd && lifecycle.isEmptying();
+    }
+
+    /**
+     * True if connections are near their limit. Where memory allows few clients, they may be crowded far below their
+     * share of the descriptors.
+     */
+    private synchronized boolean isNearLimit() {
+        return connections.size() >= connectionLimit * NEAR_LIMIT_SHARE;
+    }
+
+    private void startThread(ClientConnection connection) {
+        try {
+            new Thread(connection, "client").start();
+        } catch (OutOfMemoryError e) {
+            connectionEnded(connection);
+            threads.reportShortage();
+            throw e;
+        }
+    }
+
+    /** Lowers the connection limit, as each client takes a thread; idle connections are then closed to make room. */
+    private synchronized void lowerConnectionLimit() {
+        connectionLimit = Math.max(MIN_CONNECTIONS,
+                Math.min(connectionLimit, (int) (connections.size() * SHORTAGE_KEEP_SHARE)));
+        notifyAll();
+    }
+
+    /** Restores the connection limit some time after the last shortage of threads. */
+    private synchronized void restoreConnectionLimit() {
+        long lastShortageUs = threads.lastShortageUs();
+        if (connectionLimit < maxConnections && lastShortageUs != Long.MIN_VALUE
+                && deadlines.now() - lastShortageUs > LIMIT_RECOVERY_US) {
+            connectionLimit = maxConnections;
+        }
+    }
+
+    private static void pauseBeforeRetry() {
+        try {
+            Thread.sleep(RETRY_PAUSE_MS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Waits, at the connection limit, until a connection has ended. */
+    private synchronized void awaitRoom() throws InterruptedException {
+        if (connections.size() < connectionLimit) {
+            return;
+        }
+        long sinceUs = deadlines.now();
+        while (connections.size() >= connectionLimit && !listeningSocket.isStopped()) {
+            boolean anyEnding = false;
+            for (ClientConnection connection : connections) {
+                anyEnding |= connection.shortenLinger(SHORT_LINGER_US);
+            }
+            if (!anyEnding) {
+                makeRoom();
+            }
+            wait(RETRY_PAUSE_MS);
+        }
+        punctuality.recordWait(sinceUs, deadlines.now());
+    }
+
+    /**
+     * Closes the oldest unproven connection, else the oldest idle one. Only one at a time: closing all idle connections
+     * also closed new ones whose first request was on its way. Unproven connections are closed first; in a flood of
+     * them nothing else is closed while they are too young, as the flood would otherwise push out the clients' idle
+     * connections. But every client is unproven at first, and a few of them must not hold up the others.
+     */
+    private void makeRoom() {
+        boolean isFlood = connections.stream().filter(ClientConnection::isUnproven).count()
+                >= connectionLimit * FLOOD_SHARE;
+        if (connections.stream().noneMatch(c -> c.closeIfUnproven(isFlood)) && !isFlood) {
+            connections.stream().anyMatch(c -> c.closeIfIdle(SHORT_LINGER_US));
+        }
+    }
+
+    synchronized void connectionEnded(ClientConnection connection) {
+        connections.remove(connection);
+        notifyAll();
+    }
+
+    /** Does the periodic work. During a drain or shutdown, closes idle connections. */
+    void tick() {
+        punctuality.recordWakeUp(deadlines.now());
+        restoreConnectionLimit();
+        if (!lifecycle.isEmptying()) {
+            return;
+        }
+        List<ClientConnection> remaining = openConnections();
+        remaining.forEach(connection -> connection.closeIfIdleForDrain(IDLE_LINGER_US));
+        lifecycle.setOpenConnections(remaining.size());
+    }
+
+    /** Returns a copy of the open connections, on which methods can be called without the lock. */
+    private synchronized List<ClientConnection> openConnections() {
+        return new ArrayList<>(connections);
+    }
+
+    /**
+     * Stops accepting at once if other processes accept from the same socket; true if so. All clients that were
+     * accepted before are then among the connections.
+     */
+    boolean stopIfShared() throws InterruptedException {
+        if (!listeningSocket.isShared()) {
+            listeningSocket.prepareToStop();
+            return false;
+        }
+        listeningSocket.stopAccepting();
+        acceptingStopped.await(STOP_WAIT_MS, TimeUnit.MILLISECONDS);
+        return true;
+    }
+
+    /**
+     * Closes a connection that was idle for too long; not during shutdown, as the client could not open another one.
+     */
+    void idleTimeout(ClientConnection connection) {
+        if (!lifecycle.isEnding()) {
+            connection.idleTimeout(IDLE_LINGER_US);
+        }
+    }
+
+    /**
+     * Waits until there are no connections and, from {@code newClientsUntilUs} on, no new ones come, or until {@code
+     * untilUs}. Requests that are unanswered then fail, and the failures have until {@code closeAtUs} to reach the
+     * clients. A listening socket of this process alone stays open meanwhile, as the clients that the system has
+     * accepted have to be answered. It is closed once all of these are accepted here, however late the accepting thread
+     * is, and at {@code closeAtUs} in any case.
+     */
+    void awaitEmpty(long newClientsUntilUs, long untilUs, long closeAtUs) throws InterruptedException {
+        if (!awaitNoConnections(newClientsUntilUs, untilUs) || !acceptQueued(untilUs)
+                || !awaitNoConnections(newClientsUntilUs, untilUs)) {
+            // Set before the loop, so that each connection is either seen here or sees this.
+            isEndingTimeOver = true;
+            openConnections().stream().filter(ClientConnection::hasUnansweredRequest)
+                    .forEach(ClientListener::failInBackground);
+            if (acceptQueued(closeAtUs)) {
+                awaitNoConnections(newClientsUntilUs, closeAtUs);
+            }
+        }
+        listeningSocket.stopAccepting();
+        // The exit would close them, too, but only after waiting for threads that block in reads.
+        openConnections().forEach(ClientConnection::close);
+    }
+
+    /**
+     * Fails the request on a new thread, so that a client that does not read can't keep the others from their
+     * responses.
+     */
+    private static void failInBackground(ClientConnection connection) {
+        Thread writer = new Thread(connection::failUnansweredRequest, "last failure");
+        writer.setDaemon(true);
+        try {
+            writer.start();
+        } catch (OutOfMemoryError e) {
+            // No thread available: responding one after the other is better than not at all.
+            connection.failUnansweredRequest();
+        }
+    }
+
+    /** Stops accepting once the queue is empty; true once all queued clients are among the connections. */
+    private boolean acceptQueued(long untilUs) throws InterruptedException {
+        listeningSocket.stopOnceQueueEmpty();
+        return acceptingStopped.await(Math.max(0, untilUs - deadlines.now()), TimeUnit.MICROSECONDS);
+    }
+
+    /**
+     * True once the unanswered requests were failed for lack of time; a request that becomes complete now can't be
+     * answered.
+     */
+    boolean isEndingTimeOver() {
+        return isEndingTimeOver;
+    }
+
+    private synchronized boolean awaitNoConnections(long newClientsUntilUs, long untilUs) throws InterruptedException {
+        while (deadlines.now() < newClientsUntilUs || !connections.isEmpty()) {
+            if (deadlines.now() >= untilUs) {
+                return false;
+            }
+            wait(RETRY_PAUSE_MS);
+        }
+        return true;
+    }
+}
--- a/sidecar/src/main/java/dapplequay/net/ClientRequest.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientRequest.java
@@ -13,17 +13,19 @@
 import java.util.List;
 
 /**
- * A request of the client's, checked against the settings: what is wrong with it, no upstream sees. {@code body}:
- * all of a short one's; of a long one the part that is held, and {@code rest} is what is still to come (else null).
- * {@code about}: the key that hosts may remember, or null.
+ * A client's request, validated against the settings; an invalid one is never sent upstream.
+ *
+ * @param body          the whole body, or for a streamed request the buffered beginning
+ * @param remainingBody the part of a streamed body that is still to be read, else null
+ * @param objectKey     the key that upstreams may cache by, or null
  */
-record ClientRequest(Head head, byte[] body, Body rest, String className, String tenant, String about,
+record ClientRequest(Head head, byte[] body, Body remainingBody, String className, String tenant, String objectKey,
                        long budgetUs) {
-    private static final List<String> REPLACED = List.of("host", "x-budget-ms");
-    private static final String ABOUT = "obj=";
-    private static final int LONGEST_ABOUT = 1_024;
+    private static final List<String> REPLACED_FIELDS = List.of("host", "x-budget-ms");
+    private static final String OBJECT_PARAMETER = "obj=";
+    private static final int MAX_OBJECT_PARAMETER_LENGTH = 1_024;
 
-    static ClientRequest check(Head head, byte[] body, Body rest, Setup setup) throws BadMessageException {
+    static ClientRequest parse(Head head, byte[] body, Body remainingBody, Setup setup) throws BadMessageException {
         String[] target = head.startLine[1].split("\\?", 2);
         String className = target[0].substring(1).split("/", 2)[0];
         Integer serviceClass = setup.classes().get(className);
@@ -34,7 +36,7 @@
         if (!head.startLine[0].equals(semantics == Semantics.RETRYABLE ? "GET" : "POST")) {
             throw new BadMessageException(400, "wrong method for this class");
         }
-        if (semantics == Semantics.RETRYABLE && (rest != null || body.length > 0)) {
+        if (semantics == Semantics.RETRYABLE && (remainingBody != null || body.length > 0)) {
             throw new BadMessageException(400, "a body with a class that is safe to repeat");
         }
         String key = head.get("Idempotency-Key");
@@ -49,25 +51,26 @@
         if (budget == null || !budget.matches("[0-9]{1,9}") || Long.parseLong(budget) < 1) {
             throw new BadMessageException(400, "missing or bad X-Budget-Ms");
         }
-        // No client waits for longer than its class grants: a greater figure would hold an attempt for good, and
-        // make all others look like later tries to the module.
-        long longestUs = setup.settings().classes().get(serviceClass).deadlineUs();
-        return new ClientRequest(head, body, rest, className, tenant(head, setup), about(target),
-                Math.min(Long.parseLong(budget) * 1000, longestUs));
+        // No client waits longer than the deadline of its class. A larger budget would keep an attempt open far too
+        // long, and the decision module would take all other requests for later tries.
+        long maxBudgetUs = setup.settings().classes().get(serviceClass).deadlineUs();
+        return new ClientRequest(head, body, remainingBody, className, tenant(head, setup), objectKey(target),
+                Math.min(Long.parseLong(budget) * 1000, maxBudgetUs));
     }
 
-    /** What the request is about, as its query says; null where it does not. */
-    private static String about(String[] target) throws BadMessageException {
-        String found = null;
+    /** Returns the value of the query's {@code obj} parameter, or null if there is none. */
+    private static String objectKey(String[] target) throws BadMessageException {
+        String objectKey = null;
         for (String pair : target.length < 2 ? new String[0] : target[1].split("&")) {
-            if (pair.startsWith(ABOUT)) {
-                if (found != null || pair.length() == ABOUT.length() || pair.length() > LONGEST_ABOUT) {
+            if (pair.startsWith(OBJECT_PARAMETER)) {
+                if (objectKey != null || pair.length() == OBJECT_PARAMETER.length()
+                        || pair.length() > MAX_OBJECT_PARAMETER_LENGTH) {
                     throw new BadMessageException(400, "obj is empty, too long or there twice");
                 }
-                found = pair.substring(ABOUT.length());
+                objectKey = pair.substring(OBJECT_PARAMETER.length());
             }
         }
-        return found;
+        return objectKey;
     }
 
     private static String tenant(Head head, Setup setup) throws BadMessageException {
@@ -81,57 +84,57 @@
         return name;
     }
 
-    /** The id as the number it is: other ways of writing it are no other ids. */
+    /** Returns the id as a number, so that other spellings of it (case, leading zeros) are the same id. */
     long callId() throws BadMessageException {
         return Long.parseUnsignedLong(head.get("X-Call-Id"), 16);
     }
 
-    RequestInfo call(long leftUs) throws BadMessageException {
-        long hint = 0;
-        String info = head.get("X-Call-Info");
-        if (info != null) {
-            for (String pair : info.split(",")) {
+    RequestInfo toCall(long leftUs) throws BadMessageException {
+        long estimateUs = 0;
+        String callInfo = head.get("X-Call-Info");
+        if (callInfo != null) {
+            for (String pair : callInfo.split(",")) {
                 if (pair.strip().matches("estimate_us=[0-9]{1,15}")) {
-                    hint = Long.parseLong(pair.strip().substring("estimate_us=".length()));
+                    estimateUs = Long.parseLong(pair.strip().substring("estimate_us=".length()));
                 }
             }
         }
-        return new RequestInfo(className, tenant, about, leftUs, hint,
-                "1".equals(head.get("X-Again")), isLong());
+        return new RequestInfo(className, tenant, objectKey, leftUs, estimateUs,
+                "1".equals(head.get("X-Again")), isStreamed());
     }
 
-    /** Whether its body passes through, as it is too long to be held. */
-    boolean isLong() {
-        return rest != null;
+    /** True if the body is too long to buffer and is passed on as it arrives. */
+    boolean isStreamed() {
+        return remainingBody != null;
     }
 
-    /** Whether the upstream gets its body in chunks, as nobody knows yet how long it is. */
+    /** True if the upstream gets the body in chunks, as its length is not known in advance. */
     boolean isChunked() {
-        return rest != null && rest.length() < 0;
+        return remainingBody != null && remainingBody.length() < 0;
     }
 
     /**
-     * The bytes for the upstream: as the client sent it, but for what concerns one connection alone. Of a long
-     * request this is the beginning.
+     * Returns the message for the upstream: what the client sent, without the fields that concern one connection only.
+     * For a streamed request this is the head and the buffered beginning of the body.
      */
-    byte[] bytesFor(InetSocketAddress endpoint, long leftUs) {
+    byte[] toBytes(InetSocketAddress endpoint, long leftUs) {
         StringBuilder out = new StringBuilder(512);
         out.append(head.startLine[0]).append(' ').append(head.startLine[1]).append(" HTTP/1.1\r\nHost: ")
                 .append(Sockets.hostAndPort(endpoint)).append("\r\n");
-        head.appendEndToEndFields(out, REPLACED);
+        head.appendEndToEndFields(out, REPLACED_FIELDS);
         out.append("X-Budget-Ms: ").append(Math.max(1, leftUs / 1000)).append("\r\n");
         if (isChunked()) {
             out.append("Transfer-Encoding: chunked\r\n");
-            return message(out, ChunkedFraming.chunkOf(body));
+            return toMessage(out, ChunkedFraming.chunkOf(body));
         }
         if (body.length > 0 || !head.startLine[0].equals("GET")) {
-            out.append("Content-Length: ").append(isLong() ? rest.length() : body.length).append("\r\n");
+            out.append("Content-Length: ").append(isStreamed() ? remainingBody.length() : body.length).append("\r\n");
         }
-        return message(out, body);
+        return toMessage(out, body);
     }
 
-    /** A whole message in one piece, so that it leaves in one write. */
-    static byte[] message(StringBuilder head, byte[] body) {
+    /** Returns head and body as one array, so that they are sent in one write. */
+    static byte[] toMessage(StringBuilder head, byte[] body) {
         byte[] text = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
         ByteArrayOutputStream out = new ByteArrayOutputStream(text.length + body.length);
         out.writeBytes(text);
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
@@ -12,50 +12,57 @@
 import java.util.function.LongSupplier;
 
 /**
- * One connection to discovery with a thread of its own, which makes one call at a time. How long a call may take its
- * owner decides: it goes on reading until it is closed, so that an answer is read also where nobody waits for it any
+ * One connection to discovery, with its own thread; makes one call at a time. Its owner decides how long a call may
+ * take: the connection keeps reading until it is closed, so that a response is read even if nobody waits for it any
  * more.
  */
 final class DiscoveryConnection implements Runnable {
-    /** Hears how calls end, on the connection's thread. */
-    interface Owner {
-        /** The first byte of an answer has come. */
-        void answering(DiscoveryConnection connection);
+    /** Is told about calls, on the connection's thread. */
+    interface Listener {
+        /** The first byte of a response has arrived. */
+        void answerStarted(DiscoveryConnection connection);
 
-        /** An answer was read whole at that time; {@code stays}: another call may follow on this connection. */
-        void answered(DiscoveryConnection connection, Endpoints.EndpointUpdate update, long receivedUs, boolean stays);
+        /**
+         * A whole response was read at {@code receivedUs}; {@code isReusable}: another call may follow on this
+         * connection.
+         */
+        void answerReceived(DiscoveryConnection connection, Endpoints.EndpointUpdate update, long receivedUs,
+                boolean isReusable);
 
-        /** The call failed, and with it the connection; {@code answered}: by an answer that can't be used. */
-        void failed(DiscoveryConnection connection, Throwable failure, boolean answered);
+        /** The call failed, and the connection with it; {@code gotAnswer}: discovery had responded, but not usably. */
+        void callFailed(DiscoveryConnection connection, Throwable failure, boolean gotAnswer);
     }
 
     private final InetSocketAddress address;
-    private final Owner owner;
-    private final LongSupplier now;
+    private final Listener listener;
+    private final LongSupplier clock;
     private final Socket socket = new Socket();
     private MessageReader reader;
-    private boolean answerHasBegun;
-    private boolean hasAnswered;
+    private boolean hasAnswerStarted;
+    private boolean gotAnswer;
     private boolean isStarted;
-    private String query;
-    private int connectWithinMs;
+    private String pendingQuery;
+    private int connectTimeoutMs;
     private boolean isClosed;
 
-    /** {@code now}: microseconds, never backwards. */
-    DiscoveryConnection(InetSocketAddress address, Owner owner, LongSupplier now) {
+    /** {@code clock}: monotonic, in microseconds. */
+    DiscoveryConnection(InetSocketAddress address, Listener listener, LongSupplier clock) {
         this.address = address;
-        this.owner = owner;
-        this.now = now;
+        this.listener = listener;
+        this.clock = clock;
     }
 
     InetSocketAddress address() {
         return address;
     }
 
-    /** Makes a call, the one before being over; {@code itsQuery}: with its question mark, or empty. */
-    synchronized void call(String itsQuery, int itsConnectWithinMs) {
-        query = itsQuery;
-        connectWithinMs = itsConnectWithinMs;
+    /**
+     * Makes a call, once the previous one has ended. {@code callQuery}: with its question mark, or empty; {@code
+     * timeoutMs}: for connecting, in milliseconds.
+     */
+    synchronized void call(String callQuery, int timeoutMs) {
+        pendingQuery = callQuery;
+        connectTimeoutMs = timeoutMs;
         if (!isStarted) {
             isStarted = true;
             Thread thread = new Thread(this, "discovery " + Sockets.hostAndPort(address));
@@ -65,7 +72,7 @@
         notifyAll();
     }
 
-    /** Nothing is read any more. */
+    /** Closes the connection; nothing more is read. */
     void close() {
         synchronized (this) {
             isClosed = true;
@@ -77,15 +84,15 @@
     @Override
     public void run() {
         try {
-            String next = awaitCall();
+            String callQuery = awaitCall();
             connect();
-            while (next != null) {
-                exchange(next);
-                next = awaitCall();
+            while (callQuery != null) {
+                makeCall(callQuery);
+                callQuery = awaitCall();
             }
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
             Sockets.closeQuietly(socket);
-            owner.failed(this, e, hasAnswered);
+            listener.callFailed(this, e, gotAnswer);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -94,45 +101,45 @@
     }
 
     private void connect() throws IOException {
-        socket.connect(address, connectWithinMs);
+        socket.connect(address, connectTimeoutMs);
         socket.setTcpNoDelay(true);
         reader = new MessageReader(new AnswerInput(socket.getInputStream()), MessageReader.MAX_SERVER_LIST_BYTES);
     }
 
-    /** Null where the connection was closed. */
+    /** Waits for the next call and returns its query; null if the connection was closed. */
     private synchronized String awaitCall() throws InterruptedException {
-        while (query == null && !isClosed) {
+        while (pendingQuery == null && !isClosed) {
             wait();
         }
-        String next = isClosed ? null : query;
-        query = null;
-        return next;
+        String callQuery = isClosed ? null : pendingQuery;
+        pendingQuery = null;
+        return callQuery;
     }
 
-    private void exchange(String itsQuery) throws IOException {
-        hasAnswered = false;
-        answerHasBegun = false;
-        String request = "GET /v1/servers" + itsQuery + " HTTP/1.1\r\nHost: " + Sockets.hostAndPort(address)
+    private void makeCall(String callQuery) throws IOException {
+        gotAnswer = false;
+        hasAnswerStarted = false;
+        String request = "GET /v1/servers" + callQuery + " HTTP/1.1\r\nHost: " + Sockets.hostAndPort(address)
                 + "\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         Head head = reader.readResponseHead();
         byte[] body = reader.readResponseBody(head);
-        long receivedUs = now.getAsLong();
+        long receivedUs = clock.getAsLong();
         if (!head.startLine[1].equals("200")) {
             throw new IOException("discovery answered " + head.startLine[1]);
         }
-        hasAnswered = true;
+        gotAnswer = true;
         Endpoints.EndpointUpdate update = Endpoints.parse(body);
-        // Bytes that nobody asked for would be read as the next answer.
-        boolean stays = !head.closesConnection(head.startLine[0]) && !MessageReader.isCloseDelimited(head)
+        // Unexpected bytes would be read as the next response.
+        boolean isReusable = !head.closesConnection(head.startLine[0]) && !MessageReader.isCloseDelimited(head)
                 && !reader.hasBufferedBytes();
-        owner.answered(this, update, receivedUs, stays);
-        if (!stays) {
+        listener.answerReceived(this, update, receivedUs, isReusable);
+        if (!isReusable) {
             close();
         }
     }
 
-    /** Tells when the first byte of an answer comes. */
+    /** Reports when the first byte of a response arrives. */
     private final class AnswerInput extends FilterInputStream {
         AnswerInput(InputStream in) {
             super(in);
@@ -141,9 +148,9 @@
         @Override
         public int read(byte[] into, int from, int length) throws IOException {
             int count = super.read(into, from, length);
-            if (count > 0 && !answerHasBegun) {
-                answerHasBegun = true;
-                owner.answering(DiscoveryConnection.this);
+            if (count > 0 && !hasAnswerStarted) {
+                hasAnswerStarted = true;
+                listener.answerStarted(DiscoveryConnection.this);
             }
             return count;
         }
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -22,14 +22,14 @@
         this.client = client;
         this.request = request;
         this.counts = counts;
-        if (!request.isLong()) {
+        if (!request.isStreamed()) {
             markReceived();
         }
     }
 
     /** Checks whether the client is still connected; called right before the first byte of an attempt. */
     void checkClientPresence() {
-        client.lookFor(this);
+        client.checkClientPresent(this);
     }
 
     /** Counts the request as received completely. */
@@ -96,7 +96,7 @@
         if (attempt == ended) {
             attempt = null;
         }
-        return committed ? RequestBodyState.STREAMING_UNREPLAYABLE : request.isLong()
+        return committed ? RequestBodyState.STREAMING_UNREPLAYABLE : request.isStreamed()
                 ? RequestBodyState.STREAMING_REPLAYABLE : RequestBodyState.BUFFERED;
     }
 
--- a/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
+++ b/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
@@ -40,17 +40,17 @@
             upstreams.send(attempt);
         } else if (decision instanceof Decision.Refuse refuse && exchange.claim()) {
             LOG.fine(() -> "refused " + exchange.id);
-            finish(exchange, End.THROTTLED, Answers.refusal(refuse.retryAfterUs()));
+            finish(exchange, End.THROTTLED, ClientResponses.refusal(refuse.retryAfterUs()));
         } else if (decision instanceof Decision.Fail && exchange.claim()) {
             LOG.fine(() -> "failed " + exchange.id);
-            finish(exchange, End.FAULTED, Answers.failure(exchange.failureStatus()));
+            finish(exchange, End.FAULTED, ClientResponses.failure(exchange.failureStatus()));
         }
     }
 
     /** Sends the only response; called by whoever claimed the exchange. Counted before the client can see it. */
-    private static void finish(Exchange exchange, End end, Answers.Answer answer) {
+    private static void finish(Exchange exchange, End end, ClientResponses.Response answer) {
         exchange.recordEnd(end);
-        exchange.client.answer(answer);
+        exchange.client.writeResponse(answer);
     }
 
     /** Called when an attempt is no longer held back: from now on it is being connected or written. */
@@ -75,9 +75,9 @@
                     attempt.durationUs(end, upstreams.now()), exchange.isClaimed(), load, upload);
             if (answersClient) {
                 if (end == AttemptEnd.SERVED) {
-                    finish(exchange, End.FULFILLED, Answers.served(head, body));
+                    finish(exchange, End.FULFILLED, ClientResponses.fromUpstream(head, body));
                 } else {
-                    finish(exchange, End.FAULTED, Answers.plain(400, "not accepted"));
+                    finish(exchange, End.FAULTED, ClientResponses.plainText(400, "not accepted"));
                 }
             } else {
                 execute(exchange, next);
@@ -101,7 +101,7 @@
         }
         boolean whole = false;
         try {
-            whole = exchange.client.relay(head, body, start, exchange.deadlineUs());
+            whole = exchange.client.relayResponse(head, body, start, exchange.deadlineUs());
         } finally {
             exchange.recordEnd(whole ? End.FULFILLED : End.FAULTED);
         }
@@ -131,7 +131,7 @@
     }
 
     /** Answers a long request that can't continue through its client's fault, and gives up the attempt. */
-    void rejectUpload(Exchange exchange, Answers.Answer answer) {
+    void rejectUpload(Exchange exchange, ClientResponses.Response answer) {
         giveUp(exchange, () -> finish(exchange, End.FAULTED, answer));
     }
 
@@ -168,7 +168,7 @@
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "exchange failed", e);
             if (exchange.claim()) {
-                finish(exchange, End.FAULTED, Answers.failure(500));
+                finish(exchange, End.FAULTED, ClientResponses.failure(500));
             }
         }
     }
--- a/sidecar/src/main/java/dapplequay/net/ResponseRelay.java
+++ b/sidecar/src/main/java/dapplequay/net/ResponseRelay.java
@@ -29,14 +29,14 @@
 
     private final Socket client;
     private final ClientInput clientInput;
-    private final OrderlyClose clientClose;
+    private final LingeringClose clientClose;
     private final DeadlineQueue deadlines;
     private final LongSupplier pauseMs;
     private long hostProgressUs;
     private long relayedBytes;
 
     /** {@code pauseMs} is how long to pause after a piece in favour of other requests, milliseconds. */
-    ResponseRelay(Socket client, ClientInput clientInput, OrderlyClose clientClose, DeadlineQueue deadlines,
+    ResponseRelay(Socket client, ClientInput clientInput, LingeringClose clientClose, DeadlineQueue deadlines,
             LongSupplier pauseMs) {
         this.client = client;
         this.clientInput = clientInput;
@@ -58,7 +58,7 @@
     boolean relay(byte[] start, int startBodyBytes, Body body, boolean chunked, long deadlineUs) {
         byte[] piece = BodyBuffers.acquire();
         ProgressWatchdog.StallTimeout stallTimeout = new ProgressWatchdog.StallTimeout(deadlines, STALL_TIMEOUT_US);
-        clientClose.breaksOff(body.length() < 0 && !chunked);
+        clientClose.setResetOnClose(body.length() < 0 && !chunked);
         hostProgressUs = deadlines.now();
         relayedBytes = startBodyBytes;
         try (ProgressWatchdog watchdog = new ProgressWatchdog(deadlines, stallTimeout, clientClose::close)) {
@@ -72,7 +72,7 @@
                 relayedBytes += read;
                 BodyBuffers.pauseAfterPiece(read, body, pauseMs.getAsLong());
             }
-            clientClose.breaksOff(false);
+            clientClose.setResetOnClose(false);
             return true;
         } catch (IOException e) {
             LOG.log(Level.FINE, "relay of a long response failed: {0}", e.toString());
@@ -91,7 +91,7 @@
                 hostProgressUs = deadlines.now();
                 return read;
             } catch (SocketTimeoutException e) {
-                if (!clientInput.isThere()) {
+                if (!clientInput.isClientPresent()) {
                     throw new EOFException("client closed the connection");
                 }
                 if (isHostStalled(body, deadlineUs)) {
--- a/sidecar/src/main/java/dapplequay/net/Lifetime.java
+++ b/sidecar/src/main/java/dapplequay/net/SidecarLifecycle.java
@@ -3,23 +3,26 @@
 import dapplequay.lifecycle.ServiceLifecycle;
 import java.util.function.LongSupplier;
 
-/** Whether this sidecar wants clients: the pure machine, with a clock and for many threads. */
-final class Lifetime {
-    /** After a drain the front asks within 0.1 s, and goes on sending for 0.2 s more. */
-    private static final long FRONT_US = 350_000;
+/** The life cycle of this sidecar: {@link ServiceLifecycle} with a clock, safe for use by several threads. */
+final class SidecarLifecycle {
+    /**
+     * How long clients may still be sent here after a drain, in microseconds: the front end asks for health within 0.1
+     * s and goes on sending for 0.2 s more.
+     */
+    private static final long FRONT_END_GRACE_US = 350_000;
 
     private final LongSupplier clock;
-    private final ServiceLifecycle life = new ServiceLifecycle(FRONT_US);
+    private final ServiceLifecycle life = new ServiceLifecycle(FRONT_END_GRACE_US);
 
-    Lifetime(LongSupplier clock) {
+    SidecarLifecycle(LongSupplier clock) {
         this.clock = clock;
     }
 
-    synchronized boolean wantsClients() {
+    synchronized boolean isReadyForClients() {
         return life.acceptsClients();
     }
 
-    synchronized boolean empties() {
+    synchronized boolean isEmptying() {
         return life.closesConnections(clock.getAsLong());
     }
 
@@ -43,7 +46,7 @@
         life.beginShutdown(clock.getAsLong(), graceUs);
     }
 
-    synchronized void holds(int connections) {
+    synchronized void setOpenConnections(int connections) {
         life.updateConnectionCount(connections, clock.getAsLong());
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/ThreadReserve.java
+++ b/sidecar/src/main/java/dapplequay/net/ThreadReserve.java
@@ -7,116 +7,122 @@
 import java.util.logging.Logger;
 
 /**
- * Threads kept for what has to go on where the system gives the process no more of them: signals, for each of which the
- * JVM starts one, the ending, and calls to discovery. They do nothing but wait. At the first shortage they end, which
- * leaves their places free, and whoever holds many threads is told to give some back; once there has been none for a
- * while they are started again. Times in microseconds of a clock that does not run backwards.
+ * Keeps threads in reserve for work that has to go on when the system gives the process no more threads: signals, for
+ * each of which the JVM starts a thread, shutdown, and calls to discovery. The threads only wait. At the first shortage
+ * they end, which frees their places, and the holder of many threads is told to release some; after a while without a
+ * shortage they are started again. Times are in microseconds of a monotonic clock.
  */
 final class ThreadReserve {
     private static final Logger LOG = Logger.getLogger(ThreadReserve.class.getName());
-    /** An ending takes three, and one for each answer that it fails; a signal and a call to discovery one each. */
+    /**
+     * Shutdown takes three threads, and one for each response that it fails; a signal and a call to discovery take one
+     * each.
+     */
     static final int SIZE = 8;
-    /** Between two looks at whether a thread is to be had. */
-    static final long LOOK_US = 1_000_000;
-    /** Without a shortage for so long, they are kept again. */
-    static final long QUIET_US = 5_000_000;
+    /** Interval of the checks whether a thread can be started, in microseconds. */
+    static final long CHECK_INTERVAL_US = 1_000_000;
+    /** After this time without a shortage the threads are reserved again, in microseconds. */
+    static final long RECOVERY_US = 5_000_000;
     private static final long NEVER = Long.MIN_VALUE;
 
     private final LongSupplier clock;
     private final ThreadFactory factory;
-    private volatile Runnable giveBack = () -> { };
-    private CountDownLatch held;        // null: they are not kept
-    private long shortUs = NEVER;
-    private long lookedUs = NEVER;
+    private volatile Runnable shortageHandler = () -> { };
+    private CountDownLatch releaseLatch;   // ends the reserved threads; null while none are reserved
+    private long lastShortageUs = NEVER;
+    private long lastCheckUs = NEVER;
 
     ThreadReserve(LongSupplier clock) {
         this(clock, Thread::new);
     }
 
-    /** {@code factory}: where its threads come from, not started. */
+    /** {@code factory}: creates the threads, without starting them. */
     ThreadReserve(LongSupplier clock, ThreadFactory factory) {
         this.clock = clock;
         this.factory = factory;
     }
 
-    /** What is done at a shortage by whoever holds threads that can be spared. */
-    void onShortage(Runnable toGiveBack) {
-        giveBack = toGiveBack;
+    /** Sets what is called at a shortage; it should release threads that can be spared. */
+    void onShortage(Runnable handler) {
+        shortageHandler = handler;
     }
 
-    /** A thread could not be started. */
-    void shortage() {
-        boolean first;
+    /** Reports that a thread could not be started. */
+    void reportShortage() {
+        boolean isFirst;
         synchronized (this) {
-            first = held != null || shortUs == NEVER;
-            shortUs = clock.getAsLong();
-            release();
+            isFirst = releaseLatch != null || lastShortageUs == NEVER;
+            lastShortageUs = clock.getAsLong();
+            releaseReserve();
         }
-        if (first) {
+        if (isFirst) {
             LOG.warning("threads are short: idle clients are let go");
         }
-        giveBack.run();
+        shortageHandler.run();
     }
 
-    /** When a thread could not be started the last time, or {@link Long#MIN_VALUE}. */
+    /** Returns when a thread last could not be started, or {@link Long#MIN_VALUE} for never. */
     synchronized long lastShortageUs() {
-        return shortUs;
+        return lastShortageUs;
     }
 
-    /** Where idle clients take the last thread without a vain start after it, nobody else would notice. */
-    void turn() {
-        boolean isHeld;
+    /**
+     * Checks from time to time whether a thread can be started: idle clients may take the last one, and without a
+     * failed start after that nobody else would notice.
+     */
+    void tick() {
+        boolean isReserved;
         synchronized (this) {
-            long now = clock.getAsLong();
-            if (lookedUs != NEVER && now - lookedUs < LOOK_US) {
+            long nowUs = clock.getAsLong();
+            if (lastCheckUs != NEVER && nowUs - lastCheckUs < CHECK_INTERVAL_US) {
                 return;
             }
-            lookedUs = now;
-            if (held == null && shortUs != NEVER && now - shortUs < QUIET_US) {
+            lastCheckUs = nowUs;
+            if (releaseLatch == null && lastShortageUs != NEVER && nowUs - lastShortageUs < RECOVERY_US) {
                 return;
             }
-            isHeld = held != null;
+            isReserved = releaseLatch != null;
         }
         try {
-            if (isHeld) {
-                start(() -> { });
+            if (isReserved) {
+                startThread(() -> { });
             } else {
-                hold();
+                startReserve();
             }
         } catch (OutOfMemoryError e) {
-            shortage();
+            reportShortage();
         }
     }
 
-    private void hold() {
-        CountDownLatch gate = new CountDownLatch(1);
+    private void startReserve() {
+        CountDownLatch latch = new CountDownLatch(1);
         synchronized (this) {
-            held = gate;
+            releaseLatch = latch;
         }
         for (int i = 0; i < SIZE; i++) {
-            start(() -> awaitOpen(gate));
+            startThread(() -> awaitRelease(latch));
         }
     }
 
-    private void start(Runnable work) {
+    private void startThread(Runnable work) {
         Thread thread = factory.newThread(work);
         thread.setName("reserve");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static void awaitOpen(CountDownLatch gate) {
+    private static void awaitRelease(CountDownLatch latch) {
         try {
-            gate.await();
+            latch.await();
         } catch (InterruptedException e) {
-            LOG.log(Level.FINE, "a thread of the reserve was interrupted", e);
+            LOG.log(Level.FINE, "a reserved thread was interrupted", e);
         }
     }
 
-    private void release() {
-        if (held != null) {
-            held.countDown();
-            held = null;
+    private void releaseReserve() {
+        if (releaseLatch != null) {
+            releaseLatch.countDown();
+            releaseLatch = null;
         }
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/TransitionLog.java
+++ b/sidecar/src/main/java/dapplequay/net/TransitionLog.java
@@ -10,15 +10,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Servers' changes of status as a log line and as figures. */
+/** Formats changes of the servers' status for the log and counts them in the metrics. */
 final class TransitionLog {
-    /** So many servers are named for each kind of change; of the others, how many they are. */
-    private static final int MOST_NAMED = 8;
+    /** Limit of servers that are named for each kind of change; the others are only counted. */
+    private static final int MAX_NAMED_SERVERS = 8;
 
     private TransitionLog() { }
 
-    /** One line: what changed, grouped by the status before and after and by its cause, and what brought it. */
-    static String text(Result outcome, String source) {
+    /** Returns one line: the changes, grouped by the status before and after and by cause, and their source. */
+    static String format(Result outcome, String source) {
         Map<String, List<String>> uids = new TreeMap<>();
         for (Transition transition : outcome.transitions()) {
             String kind = transition.from() + " -> " + transition.to() + " (" + transition.cause() + ")";
@@ -27,15 +27,15 @@
         StringBuilder line = new StringBuilder("servers by ").append(source);
         uids.forEach((kind, names) -> {
             line.append("; ").append(kind).append(": ")
-                    .append(String.join(" ", names.subList(0, Math.min(MOST_NAMED, names.size()))));
-            if (names.size() > MOST_NAMED) {
-                line.append(" and ").append(names.size() - MOST_NAMED).append(" more");
+                    .append(String.join(" ", names.subList(0, Math.min(MAX_NAMED_SERVERS, names.size()))));
+            if (names.size() > MAX_NAMED_SERVERS) {
+                line.append(" and ").append(names.size() - MAX_NAMED_SERVERS).append(" more");
             }
         });
         return line.toString();
     }
 
-    static void count(Result outcome, DiscoveryMetrics figures) {
+    static void addFigures(Result outcome, DiscoveryMetrics figures) {
         for (Transition transition : outcome.transitions()) {
             figures.countTransition(transition.to().name().toLowerCase(Locale.ROOT));
             if (transition.from() == ServerStatus.UNCONFIRMED) {
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -117,7 +117,7 @@
     WriteResult write(Attempt current) {
         current.exchange.checkClientPresence();       // first, as it may block
         ClientRequest request = current.exchange.request;
-        byte[] message = request.bytesFor(endpoint.address(), current.expiresAtUs() - pool.now());
+        byte[] message = request.toBytes(endpoint.address(), current.expiresAtUs() - pool.now());
         if (!pool.mayBegin(current, endpoint)) {
             return WriteResult.STOPPED;
         }
@@ -128,7 +128,7 @@
         boolean awaitsBody = false;
         try {
             socket.getOutputStream().write(message);
-            awaitsBody = request.isLong();
+            awaitsBody = request.isStreamed();
             whole = !awaitsBody;
         } catch (IOException e) {
             LOG.log(Level.FINE, "attempt could not be written to {0}: {1}", new Object[] {endpoint.address(), e});
--- a/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
@@ -122,7 +122,7 @@
         if (endpoint == null) {
             figures.countStoppedSend(stopReason(attempt));
         }
-        if (endpoint == null || attempt.isUploading() && !attempt.exchange.client.hasRoom()) {
+        if (endpoint == null || attempt.isUploading() && !attempt.exchange.client.isUploadAdmitted()) {
             dispatcher.attemptEnded(attempt, AttemptEnd.NOT_SENT, null, null, null);
             return;
         }
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -20,67 +20,67 @@
 import java.util.logging.Logger;
 
 /**
- * Walks made-up requests through the parsers, the decisions and the answers, in memory alone, before the
- * listener opens. A process that is still loading and compiling its classes needs several times the CPU for
- * a request; with clients at the door from its first moment, it falls behind and fails them.
+ * Runs made-up requests through the parsers, the decisions and the responses, in memory only, before the listening
+ * socket is opened. A process that is still loading and compiling its classes needs several times the CPU for a
+ * request; if clients came from its first moment, it would fall behind and fail them.
  */
 final class WarmUp {
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
-    /** Enough for the compiler to have taken up what each request runs through. */
-    private static final int ROUNDS = 1_200;
-    /** Clients wait meanwhile. */
-    private static final long LONGEST_US = 1_000_000;
-    private static final int HOSTS = 9;
-    private static final String ANSWER = "HTTP/1.1 200 OK\r\nX-Load-Report: inflight=2,queue=1\r\n"
+    /** Enough rounds for the JIT compiler to have compiled the code that each request runs. */
+    private static final int MAX_ROUNDS = 1_200;
+    /** Time limit in microseconds, as clients wait meanwhile. */
+    private static final long MAX_DURATION_US = 1_000_000;
+    private static final int HOST_COUNT = 9;
+    private static final String RESPONSE = "HTTP/1.1 200 OK\r\nX-Load-Report: inflight=2,queue=1\r\n"
             + "Content-Type: text/plain\r\nContent-Length: 4\r\n\r\ndone";
 
     private final Setup setup;
     private final DeadlineQueue deadlines;
     private final Facade facade;
 
-    /** Its facade is its own and is thrown away: nothing made up here may be taken for news of a host. */
+    /** Uses a facade of its own, which is discarded, so that the made-up responses don't count as news of a host. */
     WarmUp(Setup setup, DeadlineQueue deadlines) {
         this.setup = setup;
         this.deadlines = deadlines;
         facade = new Facade(setup, 1, deadlines::now, line -> { });
     }
 
-    /** Returns how many rounds were walked; a fault ends it and is told, as serving does not hang on it. */
+    /** Returns the number of rounds run. A failure ends the warm-up and is logged; serving does not depend on it. */
     int run() {
         int rounds = 0;
-        long until = deadlines.now() + LONGEST_US;
+        long endUs = deadlines.now() + MAX_DURATION_US;
         try {
             List<ListUpdate.ServerEntry> lines = new ArrayList<>();
-            for (int i = 0; i < HOSTS; i++) {
+            for (int i = 0; i < HOST_COUNT; i++) {
                 String zone = setup.settings().zones().get(i % setup.settings().zones().size());
                 lines.add(new ListUpdate.ServerEntry("w" + i, zone, i % 2, ListUpdate.State.SERVING, 1, 0));
             }
             facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, lines));
-            while (rounds < ROUNDS && deadlines.now() < until) {
-                round(rounds++);
+            while (rounds < MAX_ROUNDS && deadlines.now() < endUs) {
+                runRound(rounds++);
             }
         } catch (IOException | RuntimeException | OutOfMemoryError | StackOverflowError e) {
-            LOG.log(Level.WARNING, "not warmed up", e);
+            LOG.log(Level.WARNING, "warm-up failed", e);
         }
         return rounds;
     }
 
-    private void round(int number) throws IOException {
-        MessageReader in = reader(requestText(number));
-        in.awaitData();
-        Head head = in.readRequestHead();
-        ClientRequest request = ClientRequest.check(head, in.readRequestBody(head), null, setup);
+    private void runRound(int number) throws IOException {
+        MessageReader requestReader = reader(requestText(number));
+        requestReader.awaitData();
+        Head head = requestReader.readRequestHead();
+        ClientRequest request = ClientRequest.parse(head, requestReader.readRequestBody(head), null, setup);
         long id = facade.nextRequestId();
-        Decision decision = facade.pick(id, request.call(request.budgetUs()));
+        Decision decision = facade.pick(id, request.toCall(request.budgetUs()));
         if (decision instanceof Decision.Send send) {
             DeadlineQueue.Deadline deadline = deadlines.schedule(send.timeoutUs(), () -> { });
-            request.bytesFor(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), send.timeoutUs());
-            MessageReader back = reader(ANSWER);
-            Head answer = back.readResponseHead();
-            byte[] body = back.readResponseBody(answer);
+            request.toBytes(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), send.timeoutUs());
+            MessageReader responseReader = reader(RESPONSE);
+            Head responseHead = responseReader.readResponseHead();
+            byte[] body = responseReader.readResponseBody(responseHead);
             facade.reportAttempt(id, send.attempt(), send.host(), AttemptEnd.SERVED, 1_000, true,
-                    LoadReportParser.parse(answer));
-            Answers.served(answer, body).bytes("");
+                    LoadReportParser.parse(responseHead));
+            ClientResponses.fromUpstream(responseHead, body).toBytes("");
             deadlines.cancel(deadline);
         }
         facade.tick();
@@ -92,14 +92,14 @@
 
     private String requestText(int number) {
         int index = number % setup.settings().classes().size();
-        var type = setup.settings().classes().get(index);
+        var serviceClass = setup.settings().classes().get(index);
         var tenants = setup.settings().tenants();
         String tenant = tenants.isEmpty() ? ""
                 : "X-Caller: " + tenants.get(number % tenants.size()).name() + "\r\n";
-        boolean get = type.semantics() == Semantics.RETRYABLE;
-        return (get ? "GET /" : "POST /") + type.name() + "/1?obj=w" + number
+        boolean isGet = serviceClass.semantics() == Semantics.RETRYABLE;
+        return (isGet ? "GET /" : "POST /") + serviceClass.name() + "/1?obj=w" + number
                 + " HTTP/1.1\r\nHost: w\r\nX-Call-Id: " + Integer.toHexString(number) + "\r\n" + tenant
-                + "X-Budget-Ms: " + Math.max(1, type.deadlineUs() / 1000) + "\r\n"
-                + (get ? "\r\n" : "Idempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody");
+                + "X-Budget-Ms: " + Math.max(1, serviceClass.deadlineUs() / 1000) + "\r\n"
+                + (isGet ? "\r\n" : "Idempotency-Key: k\r\nContent-Length: 4\r\n\r\nbody");
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -115,7 +115,7 @@
     }
 
     /** The process's own door, with hooks. */
-    private static Door door(Hooks hooks, BlockingQueue<Accepted> accepted) throws IOException {
+    private static ListeningSocket door(Hooks hooks, BlockingQueue<Accepted> accepted) throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress()) {
             @Override
             public Socket accept() throws IOException {
@@ -126,13 +126,13 @@
             }
         };
         listener.setReceiveBufferSize(BUFFER);
-        return new Door.Own(listener);
+        return new ListeningSocket.Owned(listener);
     }
 
     final BlockingQueue<Accepted> accepted = new LinkedBlockingQueue<>();
-    final Lifetime lifetime;
+    final SidecarLifecycle lifetime;
     private final List<AutoCloseable> toClose = new ArrayList<>();
-    private final ClientSide side;
+    private final ClientListener side;
     private final DeadlineQueue deadlines;
     private final UnixClock running = new UnixClock();
     private volatile long stoppedUs = -1;
@@ -164,13 +164,13 @@
         facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
         RequestCounts counts = new RequestCounts();
         counts.addClasses(setup.classes().keySet());
-        lifetime = new Lifetime(deadlines::now);
+        lifetime = new SidecarLifecycle(deadlines::now);
         UpstreamPool upstreams = new UpstreamPool(table, deadlines, () -> setup, 100, counts, new DiscoveryMetrics(),
                 sockets);
         RequestDispatcher conductor = new RequestDispatcher(facade, upstreams);
         upstreams.setDispatcher(conductor);
-        Door door = door(hooks, accepted);
-        side = new ClientSide(door, () -> setup, facade, conductor, deadlines, counts, lifetime,
+        ListeningSocket door = door(hooks, accepted);
+        side = new ClientListener(door, () -> setup, facade, conductor, deadlines, counts, lifetime,
                 new LongBodyThrottle(1),
                 most, crowd, 10, new ThreadReserve(deadlines::now));
         Host.daemon(side::run);
@@ -180,12 +180,12 @@
                 conductor.abort(facade.tick());
                 deadlines.runExpired();
                 if (tellsTurns) {
-                    side.turn();
+                    side.tick();
                 }
                 deadlines.awaitNext(10_000);
             }
         });
-        toClose.add(door::shut);
+        toClose.add(door::stopAccepting);
     }
 
     private static String list(int... ports) {
@@ -199,7 +199,7 @@
 
     /** The timekeeper's turn, by the caller. */
     void turn() {
-        side.turn();
+        side.tick();
     }
 
     /** From now on the timekeeper is not heard of, as in a process that does not get the processor. */
--- a/sidecar/src/test/java/dapplequay/net/OrderlyCloseTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LingeringCloseTest.java
@@ -12,23 +12,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How a client's connection ends, with bytes that come in the very moment. */
+/** How a client's connection is closed while more bytes arrive. */
 @Timeout(90)
-class OrderlyCloseTest extends ClosesWhatItOpened {
+class LingeringCloseTest extends ClosesWhatItOpened {
     private volatile Host.Client sender;
 
     private Host host() throws IOException {
         return open(new Host((head, seen) -> Host.ok("done")));
     }
 
-    private static Host.Client asked(ClientRig rig) throws IOException {
+    private static Host.Client clientAfterOneRequest(ClientRig rig) throws IOException {
         Host.Client client = rig.client();
         client.send(ClientRig.pay("first"));
         assertThat(client.answer().status()).isEqualTo(200);
         return client;
     }
 
-    private static void empty(ClientRig rig, String cause) {
+    private static void closeConnections(ClientRig rig, String cause) {
         if (cause.equals("drain")) {
             rig.lifetime.drain();
         } else if (cause.equals("ending")) {
@@ -36,10 +36,10 @@
         }
     }
 
-    /** The close came over bytes that nobody had read, and reset the connection. */
+    /** Closing the socket with unread bytes reset the connection. */
     @ParameterizedTest
     @ValueSource(strings = {"idle", "drain", "ending"})
-    void requestInTheMomentOfTheEndIsNeitherServedNorMetWithAReset(String cause) throws Exception {
+    void requestThatCrossesTheCloseIsNeitherServedNorReset(String cause) throws Exception {
         Host host = host();
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks() {
             @Override
@@ -51,21 +51,21 @@
         sender.send(ClientRig.pay("first"));
         assertThat(host.next().head().get("Idempotency-Key")).isEqualTo("first");
         assertThat(sender.answer().status()).isEqualTo(200);
-        empty(rig, cause);
-        assertThat(sender.atEnd()).as("the end, and no reset").isTrue();
+        closeConnections(rig, cause);
+        assertThat(sender.atEnd()).as("orderly end of the stream without a reset").isTrue();
         sender.send("more that nobody reads");
         sender.close();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
-        assertThat(host.seen).as("requests sent on after the end").isEmpty();
+        assertThat(host.seen).as("requests sent upstream after the close").isEmpty();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"idle", "ending"})
-    void descriptorComesBackWhereTheClientNeverCloses(String cause) throws Exception {
+    void socketIsClosedEvenIfTheClientNeverCloses(String cause) throws Exception {
         Host host = host();
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), 100, host.port()));
-        Host.Client client = asked(rig);
-        empty(rig, cause);
+        Host.Client client = clientAfterOneRequest(rig);
+        closeConnections(rig, cause);
         assertThat(client.atEnd()).isTrue();
         client.send(ClientRig.pay("late"));
         assertThat(rig.accepted().isClosedInTime()).isTrue();
@@ -74,30 +74,33 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"drain", "ending"})
-    void requestThatIsHalfReadWhenConnectionsAreToGoIsServedAsTheLast(String cause) throws Exception {
+    void partlyReadRequestIsServedAsTheLastOneDuringADrain(String cause) throws Exception {
         Host host = host();
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), 100, host.port()));
-        Host.Client half = asked(rig);
-        Host.Client resting = asked(rig);
+        Host.Client partial = clientAfterOneRequest(rig);
+        Host.Client idle = clientAfterOneRequest(rig);
         ClientRig.Accepted accepted = rig.accepted();
-        int before = accepted.read.get();
+        int readBefore = accepted.read.get();
         String request = ClientRig.pay("half");
-        half.send(request.substring(0, 40));
-        while (accepted.read.get() < before + 40) {
+        partial.send(request.substring(0, 40));
+        while (accepted.read.get() < readBefore + 40) {
             Thread.sleep(1);
         }
-        empty(rig, cause);
-        assertThat(resting.atEnd()).as("connections go").isTrue();
-        half.send(request.substring(40));
-        Host.Answer answer = half.answer();
+        closeConnections(rig, cause);
+        assertThat(idle.atEnd()).as("idle connections are closed").isTrue();
+        partial.send(request.substring(40));
+        Host.Answer answer = partial.answer();
         assertThat(answer.status()).isEqualTo(200);
         assertThat(answer.head().closesConnection("HTTP/1.1")).isTrue();
-        assertThat(half.atEnd()).isTrue();
+        assertThat(partial.atEnd()).isTrue();
     }
 
-    /** More than may lie unread behind a request: it is thrown away, so that the answer is the connection's last. */
+    /**
+     * The client sends more than is buffered behind a request. That input is discarded, so the connection closes after
+     * the response.
+     */
     @Test
-    void answerBehindAFloodArrivesWholeAndIsTheLast() throws Exception {
+    void responseToAClientThatFloodsInputIsCompleteAndTheLast() throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
         Host host = open(new Host((head, seen) -> {
             sent.await();
@@ -108,7 +111,7 @@
         client.send(ClientRig.pay("first"));
         host.next();
         Host.daemon(() -> {
-            client.socket.getOutputStream().write(new byte[3 << 20]);       // far more than the sockets hold
+            client.socket.getOutputStream().write(new byte[3 << 20]);   // far more than the socket buffers hold
             sent.countDown();
         });
         Host.Answer answer = client.answer();
@@ -117,35 +120,35 @@
         assertThat(client.atEnd()).isTrue();
     }
 
-    /** At the bound it had to go before those that rest, in the middle of its first request. */
+    /** At the connection limit it was closed before idle connections, in the middle of its first request. */
     @Test
-    void clientInTheMiddleOfItsFirstRequestDoesNotMakeRoomForOthers() throws Exception {
-        int most = 12;              // three strangers would be a flood
+    void clientWithinItsFirstRequestIsNotClosedToMakeRoom() throws Exception {
+        int maxConnections = 12;   // three connections without a request would be a flood
         Host host = host();
-        ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), most, host.port()));
+        ClientRig rig = open(new ClientRig(new ClientRig.Hooks(), maxConnections, host.port()));
         rig.stopClock(0);
-        List<Host.Client> resting = new ArrayList<>();
-        for (int i = 0; i < most - 1; i++) {
-            resting.add(asked(rig));
+        List<Host.Client> idle = new ArrayList<>();
+        for (int i = 0; i < maxConnections - 1; i++) {
+            idle.add(clientAfterOneRequest(rig));
             rig.accepted();
-            rig.stopClock(UpstreamPool.SETTLE_US);      // else the next one waits for the host's connection
+            rig.stopClock(UpstreamPool.SETTLE_US);   // else the next request waits for the host's connection
         }
-        Host.Client half = rig.client();
+        Host.Client partial = rig.client();
         String request = ClientRig.pay("half");
-        half.send(request.substring(0, 40));
+        partial.send(request.substring(0, 40));
         ClientRig.Accepted accepted = rig.accepted();
         while (accepted.read.get() < 40) {
             Thread.sleep(1);
         }
-        assertThat(resting.get(0).atEnd()).as("one goes for who may come next").isTrue();
-        rig.stopClock(60_000);      // of age
-        resting.get(0).close();
+        assertThat(idle.get(0).atEnd()).as("one idle connection is closed to make room").isTrue();
+        rig.stopClock(60_000);   // old enough to be closed
+        idle.get(0).close();
         Host.Client next = rig.client();
-        assertThat(resting.get(1).atEnd()).isTrue();
+        assertThat(idle.get(1).atEnd()).isTrue();
         next.send(ClientRig.pay("next"));
         assertThat(next.answer().status()).isEqualTo(200);
         rig.stopClock(UpstreamPool.SETTLE_US);
-        half.send(request.substring(40));
-        assertThat(half.answer().status()).isEqualTo(200);
+        partial.send(request.substring(40));
+        assertThat(partial.answer().status()).isEqualTo(200);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
@@ -33,7 +33,7 @@
     private static final ShutdownSchedule ENDING = new ShutdownSchedule(100_000, 200_000, 20_000_000);
     private final AtomicInteger calls = new AtomicInteger();
 
-    private static Sidecar.Plan plan(int... ports) throws Exception {
+    private static Sidecar.Options plan(int... ports) throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
         StringBuilder targets = new StringBuilder();
         for (int i = 0; i < ports.length; i++) {
@@ -41,7 +41,7 @@
                     .append(ports[i]).append("\",\"az\":\"north\",\"pod_group\":1,\"state\":\"SERVING\","
                             + "\"capacity_hint\":1,\"boot_ms\":0}");
         }
-        return new Sidecar.Plan(ANY, null, new InetSocketAddress(ANY.getAddress(), 1), 7, 1, 1024, 192,
+        return new Sidecar.Options(ANY, null, new InetSocketAddress(ANY.getAddress(), 1), 7, 1, 1024, 192,
                 Json.parse(("{\"rev\":5,\"all\":true,\"targets\":[" + targets + "]}").getBytes()),
                 SettingsReader.of(example.get("settings"), "example"), false);
     }
@@ -58,8 +58,8 @@
         CountDownLatch goesOn = new CountDownLatch(1);
         InetSocketAddress[] address = new InetSocketAddress[1];
         try (Host host = new Host((head, seen) -> Host.ok("done"))) {
-            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.Memory.NONE, () -> {
-                Door door = new Door.Own(ANY);
+            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.ListPersistence.NONE, () -> {
+                ListeningSocket door = new ListeningSocket.Owned(ANY);
                 address[0] = door.address();
                 bound.countDown();
                 try {
@@ -110,8 +110,8 @@
     }
 
     /** A door whose accepting thread does not get to accept before somebody shuts the door, in whatever way. */
-    private static final class LateDoor implements Door {
-        private final Door own = new Door.Own(ANY);
+    private static final class LateDoor implements ListeningSocket {
+        private final ListeningSocket own = new ListeningSocket.Owned(ANY);
         private final CountDownLatch shut = new CountDownLatch(1);
 
         LateDoor() throws IOException { }
@@ -137,25 +137,25 @@
         }
 
         @Override
-        public void shut() {
-            own.shut();
+        public void stopAccepting() {
+            own.stopAccepting();
             shut.countDown();
         }
 
         @Override
-        public void endsSoon() {
-            own.endsSoon();
+        public void prepareToStop() {
+            own.prepareToStop();
         }
 
         @Override
-        public void shutOnceEmpty() {
-            own.shutOnceEmpty();
+        public void stopOnceQueueEmpty() {
+            own.stopOnceQueueEmpty();
             shut.countDown();
         }
 
         @Override
-        public boolean isShut() {
-            return own.isShut();
+        public boolean isStopped() {
+            return own.isStopped();
         }
     }
 
@@ -163,7 +163,7 @@
     @Test
     void whomTheSystemHasLetInIsAnsweredHoweverLateTheAcceptingThreadIs() throws Exception {
         try (Host host = new Host((head, seen) -> Host.ok("done"))) {
-            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.Memory.NONE, LateDoor::new);
+            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.ListPersistence.NONE, LateDoor::new);
             sidecar.start();
             try (Host.Client first = new Host.Client(sidecar.address());
                     Host.Client second = new Host.Client(sidecar.address())) {
@@ -180,9 +180,9 @@
     @Test
     void anEndingThatComesBeforeTheDoorIsOpenedKeepsItShut() throws Exception {
         AtomicBoolean opened = new AtomicBoolean();
-        Sidecar sidecar = new Sidecar(plan(1), Sidecar.Memory.NONE, () -> {
+        Sidecar sidecar = new Sidecar(plan(1), Sidecar.ListPersistence.NONE, () -> {
             opened.set(true);
-            return new Door.Own(ANY);
+            return new ListeningSocket.Owned(ANY);
         });
         sidecar.end(ENDING);
         sidecar.start();
