--- a/sidecar/src/main/java/dapplequay/net/ClientListener.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientListener.java
@@ -336,14 +336,14 @@
 
     /**
      * Waits until there are no connections and, from {@code newClientsUntilUs} on, no new ones come, or until {@code
-     * untilUs}. Requests that are unanswered then fail, and the failures have until {@code closeAtUs} to reach the
-     * clients. A listening socket of this process alone stays open meanwhile, as the clients that the system has
+     * answerUntilUs}. Requests that are unanswered then fail, and the failures have until {@code closeAtUs} to reach
+     * the clients. A listening socket of this process alone stays open meanwhile, as the clients that the system has
      * accepted have to be answered. It is closed once all of these are accepted here, however late the accepting thread
      * is, and at {@code closeAtUs} in any case.
      */
-    void awaitEmpty(long newClientsUntilUs, long untilUs, long closeAtUs) throws InterruptedException {
-        if (!awaitNoConnections(newClientsUntilUs, untilUs) || !acceptQueued(untilUs)
-                || !awaitNoConnections(newClientsUntilUs, untilUs)) {
+    void awaitEmpty(long newClientsUntilUs, long answerUntilUs, long closeAtUs) throws InterruptedException {
+        if (!awaitNoConnections(newClientsUntilUs, answerUntilUs) || !acceptQueued(answerUntilUs)
+                || !awaitNoConnections(newClientsUntilUs, answerUntilUs)) {
             // Set before the loop, so that each connection is either seen here or sees this.
             isEndingTimeOver = true;
             openConnections().stream().filter(ClientConnection::hasUnansweredRequest)
