--- a/lab/src/main/java/dapplequay/lab/cli/FleetCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/FleetCommand.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dapplequay.lab.fleet.FaultScript;
 import dapplequay.lab.fleet.Fleet;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
 import org.kohsuke.args4j.Argument;
@@ -23,7 +23,7 @@
     public int run() throws Exception {
         LabFile.Parsed parsed = LabFile.read(Path.of(file), seed);
         if (parsed.fleet() == null) {
-            throw new dapplequay.lab.text.BadFile(file, 1, "fleet", "is missing");
+            throw new dapplequay.lab.text.InvalidFileException(file, 1, "fleet", "is missing");
         }
         CountDownLatch told = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
@@ -37,7 +37,7 @@
         }, "ending"));
         try (Fleet fleet = new Fleet(parsed.fleet(), seed)) {
             fleet.log().keepCountsAlone();
-            fleet.play(FaultScript.draw(parsed.fleet(), parsed.faults(), seed), Loop.nowUs());
+            fleet.play(FaultScript.draw(parsed.fleet(), parsed.faults(), seed), EventLoop.nowUs());
             System.out.println(firstLine(fleet));
             System.out.flush();
             told.await();
--- a/lab/src/main/java/dapplequay/lab/cli/LabFile.java
+++ b/lab/src/main/java/dapplequay/lab/cli/LabFile.java
@@ -4,8 +4,8 @@
 import dapplequay.lab.fleet.FaultSpec;
 import dapplequay.lab.fleet.FleetSpec;
 import dapplequay.lab.load.Profile;
-import dapplequay.lab.text.BadFile;
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.InvalidFileException;
+import dapplequay.lab.text.TomlFile;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +18,7 @@
     private LabFile() { }
 
     static Parsed read(Path file, Long seed) {
-        Doc doc = Doc.read(file);
+        TomlFile doc = TomlFile.read(file);
         boolean hasFleet = doc.root().has("fleet");
         boolean hasLoad = doc.root().has("load");
         if (hasFleet && hasLoad) {
@@ -38,6 +38,6 @@
             return new Parsed(null, List.of(), load, null);
         }
         doc.finish();
-        throw new BadFile(file.toString(), 1, "", "holds neither [fleet] nor [load]");
+        throw new InvalidFileException(file.toString(), 1, "", "holds neither [fleet] nor [load]");
     }
 }
--- a/lab/src/main/java/dapplequay/lab/cli/LabMain.java
+++ b/lab/src/main/java/dapplequay/lab/cli/LabMain.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.cli;
 
-import dapplequay.lab.text.BadFile;
+import dapplequay.lab.text.InvalidFileException;
 import java.io.IOException;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.CmdLineException;
@@ -51,7 +51,7 @@
             System.err.println("dapplequay lab: " + e.getMessage());
             System.err.print(USAGE);
             return Command.BAD_USAGE;
-        } catch (BadFile e) {
+        } catch (InvalidFileException e) {
             System.err.println(e.getMessage());
             return Command.BAD_FILE;
         } catch (IOException e) {
--- a/lab/src/main/java/dapplequay/lab/cli/LoadCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/LoadCommand.java
@@ -7,7 +7,7 @@
 import dapplequay.lab.load.Profile;
 import dapplequay.lab.load.Schedule;
 import dapplequay.lab.load.WarmUp;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import dapplequay.lab.report.ReportHtml;
 import dapplequay.lab.report.ReportJson;
 import dapplequay.lab.report.Table;
@@ -55,7 +55,7 @@
         InetSocketAddress to = address();
         WarmUp.run();
         Generator generator = new Generator(load, schedule, List.of(to), connectionsMax);
-        generator.start(Loop.nowUs() + LEAD_US);
+        generator.start(EventLoop.nowUs() + LEAD_US);
         LoadResult result = generator.await();
         ObjectNode report = ReportJson.load(result);
         ReportJson.write(report, Path.of(out));
@@ -86,7 +86,7 @@
         }
         LabFile.Parsed parsed = LabFile.read(Path.of(profile), seed);
         if (parsed.load() == null) {
-            throw new dapplequay.lab.text.BadFile(profile, 1, "load", "is missing");
+            throw new dapplequay.lab.text.InvalidFileException(profile, 1, "load", "is missing");
         }
         return parsed.load().with(rate == 0 ? parsed.load().ratePerS() : rate,
                 forUs == 0 ? parsed.load().forUs() : forUs);
--- a/lab/src/main/java/dapplequay/lab/experiment/ExperimentSpec.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/ExperimentSpec.java
@@ -3,7 +3,7 @@
 import dapplequay.lab.fleet.FaultSpec;
 import dapplequay.lab.fleet.FleetSpec;
 import dapplequay.lab.load.Profile;
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.TomlFile;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -30,20 +30,20 @@
 
     /** Reads a whole file; its faults are told as BadFile, unknown keys among them. */
     public static ExperimentSpec read(Path file, Long seedGiven) {
-        Doc doc = Doc.read(file);
+        TomlFile doc = TomlFile.read(file);
         ExperimentSpec spec = read(doc, file.toAbsolutePath().getParent(), seedGiven);
         doc.finish();
         return spec;
     }
 
-    private static ExperimentSpec read(Doc doc, Path folder, Long seedGiven) {
-        Doc.Table root = doc.root();
-        Doc.Table run = root.table("run");
+    private static ExperimentSpec read(TomlFile doc, Path folder, Long seedGiven) {
+        TomlFile.Table root = doc.root();
+        TomlFile.Table run = root.table("run");
         long seed = seedGiven != null ? seedGiven : run.whole("seed", 1, 0, Integer.MAX_VALUE);
         if (seedGiven != null) {
             run.has("seed");
         }
-        Doc.Table s = root.table("sidecars");
+        TomlFile.Table s = root.table("sidecars");
         SidecarsSpec sidecars = new SidecarsSpec(s.whole("count", 4, 1, 500), s.whole("memory_mb", 192, 16, 65536),
                 s.whole("sockets", 1024, 64, 1_000_000), s.whole("send_cap", 3, 1, 10),
                 s.truth("second_copies", true), s.duration("connect_timeout", 250_000),
@@ -53,7 +53,7 @@
             throw root.table("fleet").bad("views", "must not be fewer than the sidecars");
         }
         List<FaultSpec> faults = new ArrayList<>();
-        for (Doc.Table table : root.tables("fault")) {
+        for (TomlFile.Table table : root.tables("fault")) {
             faults.add(FaultSpec.read(table, fleet));
         }
         Profile load = Profile.read(root.table("load"), folder);
@@ -61,12 +61,12 @@
             throw root.table("load").bad("class", "is missing: name at least one class under [[load.class]]");
         }
         List<Wave> waves = new ArrayList<>();
-        for (Doc.Table table : root.tables("wave")) {
+        for (TomlFile.Table table : root.tables("wave")) {
             waves.add(Wave.read(table));
         }
         List<Variant> variants = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Doc.Table table : root.tables("variant")) {
+        for (TomlFile.Table table : root.tables("variant")) {
             Variant variant = Variant.read(table);
             if (!names.add(variant.name())) {
                 throw table.bad("name", "is given twice: " + variant.name());
--- a/lab/src/main/java/dapplequay/lab/experiment/Judge.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Judge.java
@@ -3,9 +3,9 @@
 import dapplequay.lab.fleet.FleetLog;
 import dapplequay.lab.fleet.FleetLog.Visit;
 import dapplequay.lab.fleet.FleetSpec;
+import dapplequay.lab.load.ClientAttempt;
 import dapplequay.lab.load.LoadResult;
 import dapplequay.lab.load.Profile;
-import dapplequay.lab.load.Try;
 import dapplequay.lab.model.ColdBudget;
 import dapplequay.lab.model.HostSpec;
 import java.util.ArrayList;
@@ -37,7 +37,7 @@
     private final List<Visit> allVisits;
     private final List<FleetLog.Told> allTold;
     private final Map<String, List<Visit>> byCall = new HashMap<>();
-    private final Map<String, Try> tryOfCall = new HashMap<>();
+    private final Map<String, ClientAttempt> tryOfCall = new HashMap<>();
 
     private Judge(Run run) {
         this.run = run;
@@ -47,8 +47,8 @@
             byCall.computeIfAbsent(visit.call, c -> new ArrayList<>()).add(visit);
         }
         byCall.values().forEach(visits -> visits.sort(Comparator.comparingLong(visit -> visit.firstByteUs)));
-        for (List<Try> tries : run.result().tries()) {
-            for (Try one : tries) {
+        for (List<ClientAttempt> tries : run.result().tries()) {
+            for (ClientAttempt one : tries) {
                 tryOfCall.put(one.call, one);
             }
         }
@@ -81,9 +81,9 @@
         long none = 0;
         Map<Integer, double[]> byTenant = new TreeMap<>();
         Map<Long, double[]> byWindow = new TreeMap<>();
-        for (List<Try> tries : run.result().tries()) {
-            Try first = tries.get(0);
-            Try last = tries.get(tries.size() - 1);
+        for (List<ClientAttempt> tries : run.result().tries()) {
+            ClientAttempt first = tries.get(0);
+            ClientAttempt last = tries.get(tries.size() - 1);
             Profile.Service service = run.load().services().get(first.arrival.service());
             double worth = 0;
             if (last.isServed() && last.endUs <= last.giveUpUs) {
@@ -162,7 +162,7 @@
     private void answers() {
         Verdict.Rule answered = verdict.rule("answered", "each request taken is answered before its client gives up");
         Verdict.Rule genuine = verdict.rule("genuine", "what is served is what a host answered to this request");
-        for (Try one : tryOfCall.values()) {
+        for (ClientAttempt one : tryOfCall.values()) {
             if (one.sentUs == 0) {
                 continue;
             }
@@ -179,7 +179,7 @@
     }
 
     /** Whether the sidecar was there for the whole of this try, or had taken it before it was told to end. */
-    private boolean isHeldTo(Try one) {
+    private boolean isHeldTo(ClientAttempt one) {
         Lives.Life life = run.lives().at(one.arrival.target(), one.sentUs);
         if (life == null || life.readyUs == 0) {
             return false;
@@ -190,7 +190,7 @@
         return life.toldUs == 0 || one.sentUs <= life.toldUs + LATE_AFTER_TERM_US;
     }
 
-    private boolean isGenuine(Try one) {
+    private boolean isGenuine(ClientAttempt one) {
         for (Visit visit : byCall.getOrDefault(one.call, List.of())) {
             if (visit.did == FleetLog.Did.SERVED && one.body != null
                     && one.body.equals(visit.call + " " + Long.toHexString(visit.nonce) + " " + visit.uid + "\n")) {
@@ -203,7 +203,7 @@
     private void refusals() {
         Verdict.Rule truthful = verdict.rule("refusal", "nothing is refused that may have run and may not be repeated");
         Verdict.Rule advice = verdict.rule("retry_after", "each refusal says when to come back");
-        for (Try one : tryOfCall.values()) {
+        for (ClientAttempt one : tryOfCall.values()) {
             if (!one.isRefused()) {
                 continue;
             }
@@ -233,7 +233,7 @@
         byKey.values().forEach(visits -> visits.sort(Comparator.comparingLong(visit -> visit.firstByteUs)));
         long doubled = 0;
         for (Map.Entry<String, List<Visit>> entry : byKey.entrySet()) {
-            Try one = tryOfCall.get(entry.getValue().get(0).call);
+            ClientAttempt one = tryOfCall.get(entry.getValue().get(0).call);
             if (one != null) {
                 Profile.Service service = run.load().services().get(one.arrival.service());
                 repeated(service, entry.getKey(), entry.getValue(), rule);
@@ -241,7 +241,7 @@
             }
         }
         for (Map.Entry<String, List<Visit>> entry : byCall.entrySet()) {
-            Try one = tryOfCall.get(entry.getKey());
+            ClientAttempt one = tryOfCall.get(entry.getKey());
             Profile.Service service = one == null ? null : run.load().services().get(one.arrival.service());
             if (service != null && service.repeats().equals("fragile")) {
                 repeated(service, entry.getKey(), entry.getValue(), rule);
@@ -321,7 +321,7 @@
         }
         long grace = run.sidecars().drainGraceUs() + CLOCK_SLACK_US;
         for (Visit visit : allVisits) {
-            Try one = tryOfCall.get(visit.call);
+            ClientAttempt one = tryOfCall.get(visit.call);
             if (one == null) {
                 continue;
             }
@@ -371,7 +371,7 @@
     }
 
     private boolean wasToldOf(FleetLog.Start start, Visit visit) {
-        Try one = tryOfCall.get(visit.call);
+        ClientAttempt one = tryOfCall.get(visit.call);
         for (FleetLog.Told news : allTold) {
             if (one != null && news.view() == one.arrival.target() && news.uid().equals(start.uid())
                     && news.bootMs() >= start.atUs() / 1000 - 1 && news.atUs() <= visit.firstByteUs) {
--- a/lab/src/main/java/dapplequay/lab/experiment/Runner.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Runner.java
@@ -7,7 +7,7 @@
 import dapplequay.lab.load.Profile;
 import dapplequay.lab.load.Schedule;
 import dapplequay.lab.load.WarmUp;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -77,7 +77,7 @@
             throws InterruptedException {
         Schedule schedule = Schedule.draw(load, targets.size(), seed);
         Generator generator = new Generator(load, schedule, targets, spec.connectionsMax());
-        long start = Loop.nowUs() + LEAD_US;
+        long start = EventLoop.nowUs() + LEAD_US;
         fleet.play(script, start);
         if (sidecars != null) {
             sidecars.play(Wave.steps(spec.waves(), spec.sidecars().count(), seed), start);
--- a/lab/src/main/java/dapplequay/lab/experiment/Sidecars.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Sidecars.java
@@ -2,7 +2,7 @@
 
 import dapplequay.lab.fleet.Fleet;
 import dapplequay.lab.load.Profile;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -105,7 +105,7 @@
     /** Plays the waves; {@code startUs} is the time from which their steps count. */
     void play(List<Wave.Step> steps, long startUs) {
         for (Wave.Step step : steps) {
-            long wait = Math.max(0, startUs + step.atUs() - Loop.nowUs());
+            long wait = Math.max(0, startUs + step.atUs() - EventLoop.nowUs());
             waves.add(hands.schedule(() -> act(step), wait, TimeUnit.MICROSECONDS));
         }
     }
@@ -131,7 +131,7 @@
             Process process;
             synchronized (child) {
                 process = child.process;
-                child.life.toldUs = Loop.nowUs();
+                child.life.toldUs = EventLoop.nowUs();
                 child.life.end = step.signal().equals("KILL") ? Lives.End.KILLED : Lives.End.IN_ORDER;
             }
             if (step.signal().equals("KILL")) {
@@ -143,7 +143,7 @@
                     child.life.end = Lives.End.KILLED;
                 }
             }
-            child.life.endUs = Loop.nowUs();
+            child.life.endUs = EventLoop.nowUs();
             Thread.sleep(step.downUs() / 1000);
             if (!ending) {
                 start(child);
@@ -178,7 +178,7 @@
         builder.redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("n" + child.place + ".log").toFile()));
         synchronized (child) {
             child.starts++;
-            child.life = lives.begin(child.place, Loop.nowUs());
+            child.life = lives.begin(child.place, EventLoop.nowUs());
             child.process = builder.start();
         }
     }
@@ -194,18 +194,18 @@
     }
 
     private void awaitReady(Child child) throws IOException, InterruptedException {
-        long until = Loop.nowUs() + READY_WITHIN_US;
+        long until = EventLoop.nowUs() + READY_WITHIN_US;
         while (!isHealthy(child.listen)) {
             if (ending) {
                 return;
             }
-            if (!child.process.isAlive() || Loop.nowUs() > until) {
+            if (!child.process.isAlive() || EventLoop.nowUs() > until) {
                 throw new IOException("sidecar n" + child.place + " did not get ready; its log is "
                         + folder.resolve("n" + child.place + ".log"));
             }
             Thread.sleep(POLL_MS);
         }
-        child.life.readyUs = Loop.nowUs();
+        child.life.readyUs = EventLoop.nowUs();
         child.life.startCpuUs = cpuUs(child.process);
     }
 
@@ -231,7 +231,7 @@
                 if (!child.process.isAlive()) {
                     if (life.end == Lives.End.NONE && !ending) {
                         life.end = Lives.End.CRASHED;
-                        life.endUs = Loop.nowUs();
+                        life.endUs = EventLoop.nowUs();
                         LOG.log(Level.WARNING, "sidecar n{0} ended by itself", child.place);
                     }
                     continue;
--- a/lab/src/main/java/dapplequay/lab/experiment/Variant.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Variant.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.experiment;
 
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.TomlFile;
 import java.util.List;
 
 /**
@@ -14,7 +14,7 @@
  */
 public record Variant(String name, boolean direct, String command, List<String> flags, double rate,
                       boolean faults) {
-    static Variant read(Doc.Table table) {
+    static Variant read(TomlFile.Table table) {
         String name = table.text("name");
         if (!name.matches("[A-Za-z0-9_.-]{1,40}")) {
             throw table.bad("name", "must be 1 to 40 letters, digits, dots, dashes: " + name);
--- a/lab/src/main/java/dapplequay/lab/experiment/Wave.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Wave.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.experiment;
 
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.TomlFile;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -19,7 +19,7 @@
     /** What is done to one sidecar, at a time from the start of the load. */
     public record Step(long atUs, int sidecar, String signal, long downUs) { }
 
-    static Wave read(Doc.Table table) {
+    static Wave read(TomlFile.Table table) {
         return new Wave(table.duration("at"), table.word("signal", "TERM", List.of("TERM", "KILL", "HUP")),
                 table.real("share", 1, 0, 1), table.whole("batch", 1, 1, 10_000),
                 table.duration("gap", 1_000_000), table.duration("down", 300_000));
--- a/lab/src/main/java/dapplequay/lab/fleet/Discovery.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/Discovery.java
@@ -1,9 +1,9 @@
 package dapplequay.lab.fleet;
 
-import dapplequay.lab.http.BadHttp;
+import dapplequay.lab.http.HttpConnection;
+import dapplequay.lab.http.MalformedHttpException;
 import dapplequay.lab.http.Message;
-import dapplequay.lab.http.Wire;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -25,7 +25,7 @@
     private static final long LONGEST_WATCH_MS = 60_000;
 
     private final FleetSpec fleet;
-    private final Loop loop;
+    private final EventLoop loop;
     private final FleetLog log;
     private final ListState list = new ListState();
     private final List<ListState.Entry> heldBack = new ArrayList<>();
@@ -38,7 +38,7 @@
     private boolean stale;
     private boolean down;
 
-    Discovery(FleetSpec fleet, Loop loop, FleetLog log) throws IOException {
+    Discovery(FleetSpec fleet, EventLoop loop, FleetLog log) throws IOException {
         this.fleet = fleet;
         this.loop = loop;
         this.log = log;
@@ -76,7 +76,7 @@
 
     /** The list shows this after its delay. */
     void change(ListState.Entry entry) {
-        loop.at(Loop.nowUs() + fleet.listDelayUs(), () -> publish(entry));
+        loop.at(EventLoop.nowUs() + fleet.listDelayUs(), () -> publish(entry));
     }
 
     /** The list shows this now, unless it is stale. */
@@ -145,15 +145,15 @@
         for (ServerSocketChannel listener : listeners) {
             listener.close();
         }
-        List.copyOf(calls).forEach(Wire::reset);
+        List.copyOf(calls).forEach(HttpConnection::reset);
     }
 
     /** One caller's connection, on which it asks again and again. */
-    private final class Call extends Wire {
+    private final class Call extends HttpConnection {
         private final int view;
         private boolean watching;
         private long after;
-        private Loop.Timer until;
+        private EventLoop.Timer until;
 
         Call(SocketChannel channel, int view) {
             super(channel, false);
@@ -165,7 +165,7 @@
             Message request;
             try {
                 request = framer.next();
-            } catch (BadHttp e) {
+            } catch (MalformedHttpException e) {
                 close();
                 return;
             }
@@ -176,7 +176,7 @@
                 serve(request);
                 return;
             }
-            long now = Loop.nowUs();
+            long now = EventLoop.nowUs();
             long starts = Math.max(now, freeAtUs);
             if (starts - now > fleet.listWaitUs()) {
                 write(http(503, new byte[0]));
@@ -210,7 +210,7 @@
                 return;
             }
             watching = true;
-            until = loop.at(Loop.nowUs() + waitMs * 1000, () -> {
+            until = loop.at(EventLoop.nowUs() + waitMs * 1000, () -> {
                 watching = false;
                 if (down) {
                     unanswered.add(() -> answer(list.after(after)));
@@ -230,7 +230,7 @@
 
         private void answer(ListState.Answer answer) {
             write(http(200, ListState.json(answer, fleet.viewZones().get(view))));
-            long now = Loop.nowUs();
+            long now = EventLoop.nowUs();
             log.listCall(answer.entries().size());
             for (ListState.Entry entry : answer.entries()) {
                 log.add(new FleetLog.Told(view, entry.uid(), entry.state(), entry.bootMs(), now));
--- a/lab/src/main/java/dapplequay/lab/fleet/FaultSpec.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/FaultSpec.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.fleet;
 
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.TomlFile;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -93,7 +93,7 @@
     }
 
     /** Reads one table {@code [[fault]]}. */
-    public static FaultSpec read(Doc.Table table, FleetSpec fleet) {
+    public static FaultSpec read(TomlFile.Table table, FleetSpec fleet) {
         Kind kind = Kind.valueOf(table.word("kind", "", WORDS).toUpperCase(Locale.ROOT));
         List<Integer> hosts = new ArrayList<>();
         for (double host : table.numbers("hosts", List.of())) {
--- a/lab/src/main/java/dapplequay/lab/fleet/Fleet.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/Fleet.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.fleet;
 
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -17,9 +17,9 @@
 
     private final FleetSpec spec;
     private final FleetLog log;
-    private final List<Loop> loops = new ArrayList<>();
+    private final List<EventLoop> loops = new ArrayList<>();
     private final List<HostServer> hosts = new ArrayList<>();
-    private final Loop listLoop = new Loop("discovery");
+    private final EventLoop listLoop = new EventLoop("discovery");
     private final Discovery discovery;
     private boolean closed;
 
@@ -29,10 +29,10 @@
         log = new FleetLog(spec.hosts().size());
         int count = Math.max(1, Math.min(MOST_LOOPS, Runtime.getRuntime().availableProcessors() / 2));
         for (int i = 0; i < count; i++) {
-            loops.add(new Loop("hosts-" + i));
+            loops.add(new EventLoop("hosts-" + i));
         }
         discovery = new Discovery(spec, listLoop, log);
-        long now = Loop.nowUs();
+        long now = EventLoop.nowUs();
         for (int i = 0; i < spec.hosts().size(); i++) {
             HostServer host = new HostServer(spec, i, address(i), loops.get(i % count), log,
                     RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1_000_003 + i));
@@ -95,7 +95,7 @@
                 listLoop.post(() -> listLoop.at(at, () -> listFault(step)));
             }
             for (int place : step.hosts()) {
-                Loop loop = loops.get(place % loops.size());
+                EventLoop loop = loops.get(place % loops.size());
                 loop.post(() -> loop.at(at, () -> hostFault(place, step)));
             }
         }
@@ -111,7 +111,7 @@
 
     private void hostFault(int place, FaultScript.Step step) {
         HostServer host = hosts.get(place);
-        long now = Loop.nowUs();
+        long now = EventLoop.nowUs();
         ListState.Entry before = entry(place, host, "DELETED", 0);
         try {
             if (step.begins()) {
@@ -167,7 +167,7 @@
             HostServer host = hosts.get(i);
             loops.get(i % loops.size()).call(host::close);
         }
-        loops.forEach(Loop::close);
+        loops.forEach(EventLoop::close);
         listLoop.close();
     }
 }
--- a/lab/src/main/java/dapplequay/lab/fleet/FleetSpec.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/FleetSpec.java
@@ -1,7 +1,7 @@
 package dapplequay.lab.fleet;
 
 import dapplequay.lab.model.HostSpec;
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.TomlFile;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -35,7 +35,7 @@
     public record Host(String uid, int zone, int pod, String kind, HostSpec spec) { }
 
     /** Reads the table {@code [fleet]}; kinds of hosts are spread by their shares, in an order of the seed. */
-    public static FleetSpec read(Doc.Table fleet, int views, long seed) {
+    public static FleetSpec read(TomlFile.Table fleet, int views, long seed) {
         int count = fleet.whole("hosts", 9, 1, 2000);
         List<String> zones = fleet.texts("zones", List.of("north", "south"));
         if (zones.isEmpty()) {
@@ -49,10 +49,10 @@
         }
         List<HostSpec> specs = new ArrayList<>();
         List<String> kinds = new ArrayList<>();
-        List<Doc.Table> tables = fleet.tables("kind");
+        List<TomlFile.Table> tables = fleet.tables("kind");
         int given = 0;
         for (int k = 0; k < tables.size(); k++) {
-            Doc.Table kind = tables.get(k);
+            TomlFile.Table kind = tables.get(k);
             double share = kind.real("share", 1, 0, 1);
             int until = k == tables.size() - 1 ? count : Math.min(count, given + (int) Math.round(share * count));
             HostSpec spec = kind(kind);
@@ -93,7 +93,7 @@
         }
     }
 
-    private static HostSpec kind(Doc.Table table) {
+    private static HostSpec kind(TomlFile.Table table) {
         return new HostSpec.Builder().cores(table.whole("cores", 1, 1, 256))
                 .speed(table.real("speed", 1, 0.001, 1e6))
                 .slots(table.whole("slots", 4, 1, 100_000)).room(table.whole("room", 30, 0, 1_000_000))
--- a/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
@@ -1,10 +1,10 @@
 package dapplequay.lab.fleet;
 
 import dapplequay.lab.fleet.FaultSpec.Kind;
-import dapplequay.lab.http.BadHttp;
+import dapplequay.lab.http.HttpConnection;
+import dapplequay.lab.http.MalformedHttpException;
 import dapplequay.lab.http.Message;
-import dapplequay.lab.http.Wire;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import dapplequay.lab.model.HostModel;
 import dapplequay.lab.model.LoadReport;
 import java.io.IOException;
@@ -42,7 +42,7 @@
     private final FleetSpec fleet;
     private final FleetSpec.Host host;
     private final int place;
-    private final Loop loop;
+    private final EventLoop loop;
     private final FleetLog log;
     private final UniformRandomProvider random;
     private final InetAddress address;
@@ -54,7 +54,7 @@
     private final List<HostModel.Ended> ended = new ArrayList<>();
     private final HostFaults faults = new HostFaults();
     private HostModel model;
-    private Loop.Timer wake;
+    private EventLoop.Timer wake;
     private long wakeAtUs;
     private long lastId;
     private String uid;
@@ -67,7 +67,7 @@
     /** A request in the model: the connection that waits for it, and its line in the log. */
     private record Pending(Connection from, FleetLog.Visit visit) { }
 
-    HostServer(FleetSpec fleet, int place, InetAddress address, Loop loop, FleetLog log,
+    HostServer(FleetSpec fleet, int place, InetAddress address, EventLoop loop, FleetLog log,
                UniformRandomProvider random) {
         this.fleet = fleet;
         this.place = place;
@@ -164,7 +164,7 @@
 
     private void accepted(SocketChannel channel, int callerZone) throws IOException {
         Connection connection = new Connection(channel, callerZone);
-        if (model.connect(Loop.nowUs(), ended)) {
+        if (model.connect(EventLoop.nowUs(), ended)) {
             connection.counted = true;
             log.counts(place).handshakes++;
         } else {
@@ -267,7 +267,7 @@
         }
         if (model.isFallen() && up) {
             LOG.log(Level.INFO, "{0} fell over: too much work while cold", uid);
-            log.add(new FleetLog.Fall(place, uid, Loop.nowUs()));
+            log.add(new FleetLog.Fall(place, uid, EventLoop.nowUs()));
             stop();
             return;
         }
@@ -284,7 +284,7 @@
             wake = loop.at(next, () -> {
                 wake = null;
                 if (up) {
-                    model.advance(Loop.nowUs(), ended);
+                    model.advance(EventLoop.nowUs(), ended);
                     settle();
                 }
             });
@@ -314,7 +314,7 @@
     }
 
     private void sweepIdle() {
-        long now = Loop.nowUs();
+        long now = EventLoop.nowUs();
         for (Connection connection : List.copyOf(connections)) {
             if (!silent && connection.isIdleSince(now - fleet.idleUs())) {
                 connection.close();
@@ -324,7 +324,7 @@
     }
 
     private void sample() {
-        long now = Loop.nowUs();
+        long now = EventLoop.nowUs();
         if (up) {
             model.advance(now, ended);
             settle();
@@ -340,7 +340,7 @@
     }
 
     /** One connection of a caller. */
-    private final class Connection extends Wire {
+    private final class Connection extends HttpConnection {
         private final int callerZone;
         private boolean counted;
         private boolean refused;
@@ -348,7 +348,7 @@
         private String about;
         private long requestInModel = -1;
         private long firstByteUs;
-        private long quietSinceUs = Loop.nowUs();
+        private long quietSinceUs = EventLoop.nowUs();
 
         Connection(SocketChannel channel, int callerZone) {
             super(channel, false);
@@ -370,12 +370,12 @@
         @Override
         protected void received() throws IOException {
             if (firstByteUs == 0) {
-                firstByteUs = Loop.nowUs();
+                firstByteUs = EventLoop.nowUs();
             }
             Message request;
             try {
                 request = framer.next();
-            } catch (BadHttp e) {
+            } catch (MalformedHttpException e) {
                 answerPlain(400, e.getMessage() + "\n", true);
                 return;
             }
@@ -383,7 +383,7 @@
                 return;
             }
             long first = firstByteUs;
-            long whole = Loop.nowUs();
+            long whole = EventLoop.nowUs();
             firstByteUs = 0;
             if (latencyUs() == 0) {
                 take(request, first, whole);
@@ -446,7 +446,7 @@
                 return;
             }
             long id = ++lastId;
-            HostModel.Admission admission = model.offer(Loop.nowUs(), id, visit.askedUs, about, ended);
+            HostModel.Admission admission = model.offer(EventLoop.nowUs(), id, visit.askedUs, about, ended);
             switch (admission) {
                 case WORKING, WAITING -> {
                     requestInModel = id;
@@ -467,13 +467,13 @@
                 return;
             }
             log.counts(place).probes++;
-            model.probe(Loop.nowUs(), ended);
+            model.probe(EventLoop.nowUs(), ended);
             answerPlain(draining ? 503 : 200, path.equals("/load") ? report().header() : "ok\n", false);
             settle();
         }
 
         private LoadReport report() {
-            return model.report(Loop.nowUs(), ended);
+            return model.report(EventLoop.nowUs(), ended);
         }
 
         void answerServed(FleetLog.Visit visit) {
@@ -516,11 +516,11 @@
 
         private void send(byte[] answer, End end) {
             requestInModel = -1;
-            quietSinceUs = Loop.nowUs();
+            quietSinceUs = EventLoop.nowUs();
             if (latencyUs() == 0) {
                 sendNow(answer, end);
             } else {
-                loop.at(Loop.nowUs() + latencyUs(), () -> sendNow(answer, end));
+                loop.at(EventLoop.nowUs() + latencyUs(), () -> sendNow(answer, end));
             }
         }
 
@@ -533,7 +533,7 @@
                 closeWhenWritten();
             } else if (end == End.RESET) {
                 // The bytes go first: a reset that overtakes them would be another fault.
-                loop.at(Loop.nowUs() + 5_000, this::reset);
+                loop.at(EventLoop.nowUs() + 5_000, this::reset);
             }
         }
 
@@ -551,7 +551,7 @@
             if (requestInModel > 0 && up) {
                 long id = requestInModel;
                 requestInModel = -1;
-                model.giveUp(Loop.nowUs(), id, ended);
+                model.giveUp(EventLoop.nowUs(), id, ended);
                 settle();
             }
         }
--- a/lab/src/main/java/dapplequay/lab/http/Wire.java
+++ b/lab/src/main/java/dapplequay/lab/http/HttpConnection.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.http;
 
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.net.StandardSocketOptions;
 import java.nio.ByteBuffer;
@@ -9,24 +9,24 @@
 import java.util.ArrayDeque;
 
 /** One non-blocking connection of a loop: reads into a framer, writes what it can and keeps the rest. */
-public abstract class Wire implements Loop.Handler {
+public abstract class HttpConnection implements EventLoop.Handler {
     /** One buffer for each loop's thread: what is read is copied into the framer at once. */
     private static final ThreadLocal<ByteBuffer> READ = ThreadLocal.withInitial(() -> ByteBuffer.allocate(65536));
 
     protected final SocketChannel channel;
-    protected final Framer framer;
+    protected final MessageParser framer;
     private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>(0);
     private SelectionKey key;
     private boolean closed;
     private boolean closeWhenWritten;
     private boolean deaf;
 
-    protected Wire(SocketChannel channel, boolean responses) {
+    protected HttpConnection(SocketChannel channel, boolean responses) {
         this.channel = channel;
-        framer = new Framer(responses);
+        framer = new MessageParser(responses);
     }
 
-    public void register(Loop loop, int interest) throws IOException {
+    public void register(EventLoop loop, int interest) throws IOException {
         key = loop.register(channel, interest, this);
     }
 
@@ -128,7 +128,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            java.util.logging.Logger.getLogger(Wire.class.getName()).finest(e.toString());
+            java.util.logging.Logger.getLogger(HttpConnection.class.getName()).finest(e.toString());
         }
         gone();
     }
@@ -138,7 +138,7 @@
         try {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException e) {
-            java.util.logging.Logger.getLogger(Wire.class.getName()).finest(e.toString());
+            java.util.logging.Logger.getLogger(HttpConnection.class.getName()).finest(e.toString());
         }
         close();
     }
--- a/lab/src/main/java/dapplequay/lab/http/BadHttp.java
+++ b/lab/src/main/java/dapplequay/lab/http/MalformedHttpException.java
@@ -3,10 +3,10 @@
 import java.io.IOException;
 
 /** Bytes that are no HTTP/1.1 message. */
-public final class BadHttp extends IOException {
+public final class MalformedHttpException extends IOException {
     private static final long serialVersionUID = 1;
 
-    public BadHttp(String what) {
+    public MalformedHttpException(String what) {
         super(what);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/http/Framer.java
+++ b/lab/src/main/java/dapplequay/lab/http/MessageParser.java
@@ -10,7 +10,7 @@
  * Cuts a stream of bytes into HTTP/1.1 messages. It is the laboratory's own reading, apart from the sidecar's,
  * so that a fault of one is not hidden by the same fault in the other.
  */
-public final class Framer {
+public final class MessageParser {
     private static final int MAX_HEAD = 32 * 1024;
     private static final int MAX_BODY = 64 * 1024 * 1024;
     private static final byte[] NONE = new byte[0];
@@ -27,7 +27,7 @@
     private final java.io.ByteArrayOutputStream chunks = new java.io.ByteArrayOutputStream(0);
 
     /** {@code responses}: whether the stream holds responses, or else requests. */
-    public Framer(boolean responses) {
+    public MessageParser(boolean responses) {
         this.responses = responses;
     }
 
@@ -51,7 +51,7 @@
     }
 
     /** The next whole message, or null where more bytes are needed. */
-    public Message next() throws BadHttp {
+    public Message next() throws MalformedHttpException {
         if (startLine == null && !head()) {
             return null;
         }
@@ -88,11 +88,11 @@
         return message;
     }
 
-    private boolean head() throws BadHttp {
+    private boolean head() throws MalformedHttpException {
         int end = endOfHead();
         if (end < 0) {
             if (to - from > MAX_HEAD) {
-                throw new BadHttp("head is too long");
+                throw new MalformedHttpException("head is too long");
             }
             return false;
         }
@@ -103,7 +103,7 @@
         for (int i = 1; i < lines.length; i++) {
             int colon = lines[i].indexOf(':');
             if (colon <= 0) {
-                throw new BadHttp("header without a name");
+                throw new MalformedHttpException("header without a name");
             }
             headers.put(lines[i].substring(0, colon).toLowerCase(Locale.ROOT), lines[i].substring(colon + 1).trim());
         }
@@ -112,15 +112,15 @@
         return true;
     }
 
-    private void checkStart(String line) throws BadHttp {
+    private void checkStart(String line) throws MalformedHttpException {
         boolean good = responses ? line.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")
                 : line.matches("[A-Z]+ [^ ]+ HTTP/1\\.[01]");
         if (!good) {
-            throw new BadHttp("no HTTP/1.1 message");
+            throw new MalformedHttpException("no HTTP/1.1 message");
         }
     }
 
-    private void frame() throws BadHttp {
+    private void frame() throws MalformedHttpException {
         chunked = "chunked".equalsIgnoreCase(headers.get("transfer-encoding"));
         String length = headers.get("content-length");
         untilEnd = false;
@@ -130,7 +130,7 @@
         }
         if (length != null) {
             if (!length.matches("[0-9]{1,9}") || Integer.parseInt(length) > MAX_BODY) {
-                throw new BadHttp("bad Content-Length");
+                throw new MalformedHttpException("bad Content-Length");
             }
             bodyLeft = Integer.parseInt(length);
         } else if (responses) {
@@ -140,7 +140,7 @@
     }
 
     /** Whether the last chunk is in. */
-    private boolean nextChunk() throws BadHttp {
+    private boolean nextChunk() throws MalformedHttpException {
         while (true) {
             int lineEnd = find(from, "\r\n");
             if (lineEnd < 0) {
@@ -149,7 +149,7 @@
             String line = new String(bytes, from, lineEnd - from, StandardCharsets.ISO_8859_1);
             String size = line.contains(";") ? line.substring(0, line.indexOf(';')).trim() : line.trim();
             if (!size.matches("[0-9a-fA-F]{1,7}")) {
-                throw new BadHttp("bad chunk size");
+                throw new MalformedHttpException("bad chunk size");
             }
             int count = Integer.parseInt(size, 16);
             if (to < lineEnd + 2 + count + 2) {
--- a/lab/src/main/java/dapplequay/lab/load/Try.java
+++ b/lab/src/main/java/dapplequay/lab/load/ClientAttempt.java
@@ -1,7 +1,7 @@
 package dapplequay.lab.load;
 
 /** One try of a client, with what came of it. Times are Unix microseconds; 0: did not happen. */
-public final class Try {
+public final class ClientAttempt {
     /** What a client saw that is no status of an answer. */
     public static final String TIMEOUT = "timeout";
     public static final String RESET = "reset";
@@ -23,7 +23,7 @@
     public boolean hasRetryAfter;
     public long retryAfterUs;
 
-    Try(Arrival arrival, int number, String call, long dueUs) {
+    ClientAttempt(Arrival arrival, int number, String call, long dueUs) {
         this.arrival = arrival;
         this.number = number;
         this.call = call;
--- a/lab/src/main/java/dapplequay/lab/load/Generator.java
+++ b/lab/src/main/java/dapplequay/lab/load/Generator.java
@@ -1,9 +1,9 @@
 package dapplequay.lab.load;
 
-import dapplequay.lab.http.BadHttp;
+import dapplequay.lab.http.HttpConnection;
+import dapplequay.lab.http.MalformedHttpException;
 import dapplequay.lab.http.Message;
-import dapplequay.lab.http.Wire;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -34,8 +34,8 @@
     private final Schedule schedule;
     private final List<InetSocketAddress> targets;
     private final int connectionsMax;
-    private final List<Loop> loops = new ArrayList<>();
-    private final List<List<Try>> tries = new ArrayList<>();
+    private final List<EventLoop> loops = new ArrayList<>();
+    private final List<List<ClientAttempt>> tries = new ArrayList<>();
     private final CountDownLatch left;
     private final AtomicLong opened = new AtomicLong();
     private long startUs;
@@ -58,7 +58,7 @@
         int count = Math.max(1, Math.min(connectionsMax,
                 Math.min(4, Runtime.getRuntime().availableProcessors() / 2)));
         for (int i = 0; i < count; i++) {
-            loops.add(new Loop("load-" + i));
+            loops.add(new EventLoop("load-" + i));
         }
         for (int i = 0; i < count; i++) {
             List<Arrival> own = new ArrayList<>();
@@ -72,7 +72,7 @@
     }
 
     public Progress progress() {
-        long passed = Loop.nowUs() - startUs;
+        long passed = EventLoop.nowUs() - startUs;
         long due = schedule.arrivals().stream().filter(a -> a.dueUs() <= passed).count();
         return new Progress(due, schedule.arrivals().size() - left.getCount());
     }
@@ -85,14 +85,14 @@
                 .orElse(profile.timeoutUs());
         long until = startUs + lastDue + AFTER_END_US
                 + (profile.retries() + 1) * (patience + profile.retryWaitUs() + 5_000_000);
-        left.await(Math.max(0, until - Loop.nowUs()), TimeUnit.MICROSECONDS);
-        loops.forEach(Loop::close);
+        left.await(Math.max(0, until - EventLoop.nowUs()), TimeUnit.MICROSECONDS);
+        loops.forEach(EventLoop::close);
         return new LoadResult(profile, schedule, tries, startUs, opened.get());
     }
 
     /** The part of the load that one loop sends; all of it runs on that loop's thread. */
     private final class Sender {
-        private final Loop loop;
+        private final EventLoop loop;
         private final List<Arrival> arrivals;
         private final int most;
         private final List<ArrayDeque<Client>> idle = new ArrayList<>();
@@ -100,7 +100,7 @@
         private int open;
         private int at;
 
-        Sender(Loop loop, List<Arrival> arrivals, int most) {
+        Sender(EventLoop loop, List<Arrival> arrivals, int most) {
             this.loop = loop;
             this.arrivals = arrivals;
             this.most = most;
@@ -108,7 +108,7 @@
         }
 
         void next() {
-            long now = Loop.nowUs();
+            long now = EventLoop.nowUs();
             while (at < arrivals.size() && startUs + arrivals.get(at).dueUs() <= now) {
                 Arrival arrival = arrivals.get(at++);
                 begin(new Flight(arrival, 0, startUs + arrival.dueUs()));
@@ -122,7 +122,7 @@
             tries.get(flight.row.arrival.number()).add(flight.row);
             long grace = profile.services().isEmpty() ? 0 : GRACE_US;
             flight.giveUp = loop.at(flight.row.giveUpUs + grace, () -> end(flight, flight.row.sentUs == 0
-                    ? Try.UNSENT : Try.TIMEOUT));
+                    ? ClientAttempt.UNSENT : ClientAttempt.TIMEOUT));
             place(flight);
         }
 
@@ -167,7 +167,7 @@
                     client.connected();
                 }
             } catch (IOException e) {
-                end(flight, Try.REFUSED);
+                end(flight, ClientAttempt.REFUSED);
             }
         }
 
@@ -189,7 +189,7 @@
             flight.over = true;
             flight.giveUp.cancel();
             flight.row.outcome = outcome;
-            flight.row.endUs = Loop.nowUs();
+            flight.row.endUs = EventLoop.nowUs();
             Client client = flight.on;
             flight.on = null;
             if (client != null) {
@@ -208,25 +208,25 @@
             freed();
         }
 
-        private boolean mayRetry(Try row) {
+        private boolean mayRetry(ClientAttempt row) {
             if (row.number >= profile.retries() || profile.services().isEmpty() || row.isServed()
-                    || row.outcome.equals(Try.UNSENT)) {
+                    || row.outcome.equals(ClientAttempt.UNSENT)) {
                 return false;
             }
-            boolean harmless = row.isRefused() || row.outcome.equals(Try.REFUSED);
+            boolean harmless = row.isRefused() || row.outcome.equals(ClientAttempt.REFUSED);
             return harmless || profile.services().get(row.arrival.service()).isRetryable();
         }
 
         /** A try under way. */
         private final class Flight {
-            private final Try row;
+            private final ClientAttempt row;
             private Client on;
-            private Loop.Timer giveUp;
+            private EventLoop.Timer giveUp;
             private boolean over;
             private boolean sentAgain;
 
             Flight(Arrival arrival, int number, long dueUs) {
-                row = new Try(arrival, number, Long.toHexString(arrival.call() + number), dueUs);
+                row = new ClientAttempt(arrival, number, Long.toHexString(arrival.call() + number), dueUs);
                 long patience = profile.services().isEmpty() ? profile.timeoutUs()
                         : Math.round(profile.services().get(arrival.service()).deadlineUs() * arrival.patience());
                 row.giveUpUs = dueUs + patience;
@@ -244,7 +244,7 @@
                         .append(a.number()).append("?w=").append(a.workUs())
                         .append(a.about() == null ? "" : "&obj=" + a.about()).append(" HTTP/1.1\r\nHost: ")
                         .append(host(a.target())).append("\r\nX-Call-Id: ").append(row.call)
-                        .append("\r\nX-Budget-Ms: ").append(Math.max(1, (row.giveUpUs - Loop.nowUs()) / 1000));
+                        .append("\r\nX-Budget-Ms: ").append(Math.max(1, (row.giveUpUs - EventLoop.nowUs()) / 1000));
                 if (a.tenant() >= 0) {
                     text.append("\r\nX-Caller: ").append(profile.tenants().get(a.tenant()).name());
                 }
@@ -268,7 +268,7 @@
         }
 
         /** One client connection. */
-        private final class Client extends Wire {
+        private final class Client extends HttpConnection {
             private final int target;
             private Flight flight;
             private boolean isUp;
@@ -299,7 +299,7 @@
                 Flight now = flight;
                 write(now.bytes());
                 if (!isClosed() && now.row.sentUs == 0) {
-                    now.row.sentUs = Loop.nowUs();
+                    now.row.sentUs = EventLoop.nowUs();
                 }
             }
 
@@ -308,7 +308,7 @@
                 Message answer;
                 try {
                     answer = framer.next();
-                } catch (BadHttp e) {
+                } catch (MalformedHttpException e) {
                     unreadable();
                     return;
                 }
@@ -321,7 +321,7 @@
                 if (flight == null) {
                     close();
                 } else {
-                    end(flight, Try.UNREADABLE);
+                    end(flight, ClientAttempt.UNREADABLE);
                 }
             }
 
@@ -375,13 +375,13 @@
                 }
                 cut.on = null;
                 if (!isUp) {
-                    end(cut, Try.REFUSED);
+                    end(cut, ClientAttempt.REFUSED);
                 } else if (used && !cut.sentAgain && !framer.isWithin()) {
                     // The close crossed this request, which the other side has not read: sent once more.
                     cut.sentAgain = true;
                     connect(cut, target);
                 } else {
-                    end(cut, Try.RESET);
+                    end(cut, ClientAttempt.RESET);
                 }
             }
         }
--- a/lab/src/main/java/dapplequay/lab/load/LoadResult.java
+++ b/lab/src/main/java/dapplequay/lab/load/LoadResult.java
@@ -15,7 +15,7 @@
 
     private final Profile profile;
     private final Schedule schedule;
-    private final List<List<Try>> tries;
+    private final List<List<ClientAttempt>> tries;
     private final long startUs;
     private final Histogram latency = histogram();
     private final Histogram sendLag = histogram();
@@ -25,7 +25,7 @@
     private final long connectionsOpened;
 
     /** {@code tries}: for each arrival its tries in order, at least one. */
-    LoadResult(Profile profile, Schedule schedule, List<List<Try>> tries, long startUs, long connectionsOpened) {
+    LoadResult(Profile profile, Schedule schedule, List<List<ClientAttempt>> tries, long startUs, long connectionsOpened) {
         this.profile = profile;
         this.schedule = schedule;
         this.tries = tries;
@@ -33,9 +33,9 @@
         this.connectionsOpened = connectionsOpened;
         long written = 0;
         long whole = 0;
-        for (List<Try> all : tries) {
-            Try first = all.get(0);
-            Try last = all.get(all.size() - 1);
+        for (List<ClientAttempt> all : tries) {
+            ClientAttempt first = all.get(0);
+            ClientAttempt last = all.get(all.size() - 1);
             written += all.stream().anyMatch(one -> one.sentUs > 0) ? 1 : 0;
             if (first.sentUs > 0) {
                 sendLag.recordValue(clamp(first.sentUs - first.dueUs));
@@ -68,7 +68,7 @@
     }
 
     /** For each arrival its tries in order. */
-    public List<List<Try>> tries() {
+    public List<List<ClientAttempt>> tries() {
         return tries;
     }
 
@@ -108,7 +108,7 @@
 
     /** First tries that were neither written nor turned away at the door: the generator sent less than due. */
     public long unsent() {
-        return outcomes.getOrDefault(Try.UNSENT, 0L);
+        return outcomes.getOrDefault(ClientAttempt.UNSENT, 0L);
     }
 
     /** Whether the generator fell behind: something was not sent at all, or the send lag is over its bound. */
@@ -131,8 +131,8 @@
      * of this very run: it sees a pause once, however many requests were due in it.
      */
     public Histogram closedLoopLatency() {
-        List<Try> firsts = new ArrayList<>();
-        for (List<Try> all : tries) {
+        List<ClientAttempt> firsts = new ArrayList<>();
+        for (List<ClientAttempt> all : tries) {
             if (all.get(0).isAnswered()) {
                 firsts.add(all.get(0));
             }
@@ -140,7 +140,7 @@
         firsts.sort(java.util.Comparator.comparingLong(t -> t.sentUs));
         Histogram seen = histogram();
         long free = 0;
-        for (Try one : firsts) {
+        for (ClientAttempt one : firsts) {
             if (one.sentUs >= free) {
                 seen.recordValue(clamp(one.endUs - one.sentUs));
                 free = one.endUs;
@@ -152,8 +152,8 @@
     /** Latency second by second, each with its time, for a histogram log. */
     public List<Histogram> latencyBySecond() {
         List<Histogram> seconds = new ArrayList<>();
-        for (List<Try> all : tries) {
-            Try last = all.get(all.size() - 1);
+        for (List<ClientAttempt> all : tries) {
+            ClientAttempt last = all.get(all.size() - 1);
             if (!last.isAnswered()) {
                 continue;
             }
--- a/lab/src/main/java/dapplequay/lab/load/NullServer.java
+++ b/lab/src/main/java/dapplequay/lab/load/NullServer.java
@@ -1,8 +1,8 @@
 package dapplequay.lab.load;
 
-import dapplequay.lab.http.BadHttp;
-import dapplequay.lab.http.Wire;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.http.HttpConnection;
+import dapplequay.lab.http.MalformedHttpException;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -23,14 +23,14 @@
     private static final int BACKLOG = 1024;
 
     private final ServerSocketChannel listener = ServerSocketChannel.open();
-    private final Loop accepting = new Loop("null-accept");
-    private final List<Loop> loops = new ArrayList<>();
+    private final EventLoop accepting = new EventLoop("null-accept");
+    private final List<EventLoop> loops = new ArrayList<>();
     private int accepted;
 
     public NullServer(int threads) throws IOException {
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         for (int i = 0; i < Math.max(1, threads); i++) {
-            loops.add(new Loop("null-" + i));
+            loops.add(new EventLoop("null-" + i));
         }
         accepting.post(() -> accepting.accept(listener,
                 channel -> serve(channel, loops.get(accepted++ % loops.size()))));
@@ -40,7 +40,7 @@
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    private static void serve(SocketChannel channel, Loop loop) {
+    private static void serve(SocketChannel channel, EventLoop loop) {
         loop.post(() -> {
             try {
                 new Connection(channel).register(loop, SelectionKey.OP_READ);
@@ -50,7 +50,7 @@
         });
     }
 
-    private static final class Connection extends Wire {
+    private static final class Connection extends HttpConnection {
         Connection(SocketChannel channel) {
             super(channel, false);
         }
@@ -61,7 +61,7 @@
                 while (!isClosed() && framer.next() != null) {
                     write(ANSWER);
                 }
-            } catch (BadHttp e) {
+            } catch (MalformedHttpException e) {
                 close();
             }
         }
@@ -81,6 +81,6 @@
     public void close() throws IOException {
         listener.close();
         accepting.close();
-        loops.forEach(Loop::close);
+        loops.forEach(EventLoop::close);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/load/Profile.java
+++ b/lab/src/main/java/dapplequay/lab/load/Profile.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.load;
 
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.TomlFile;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -53,9 +53,9 @@
     }
 
     /** Reads the table {@code [load]}; a trace is looked for beside the file. */
-    public static Profile read(Doc.Table load, Path folder) {
+    public static Profile read(TomlFile.Table load, Path folder) {
         List<Service> services = new ArrayList<>();
-        for (Doc.Table table : load.tables("class")) {
+        for (TomlFile.Table table : load.tables("class")) {
             List<Double> work = table.numbers("work_ms", List.of(77.0, 140.0));
             if (work.size() != 2 || !(work.get(0) > 0) || work.get(1) < work.get(0)) {
                 throw table.bad("work_ms", "must hold the least and the most work in ms");
@@ -73,7 +73,7 @@
                     table.duration("window", 4_000_000)));
         }
         List<Tenant> tenants = new ArrayList<>();
-        for (Doc.Table table : load.tables("tenant")) {
+        for (TomlFile.Table table : load.tables("tenant")) {
             double share = table.real("share", 1, 0, 1);
             tenants.add(new Tenant(table.text("name"), share, table.real("load", share, 0, 1000)));
         }
--- a/lab/src/main/java/dapplequay/lab/load/Shape.java
+++ b/lab/src/main/java/dapplequay/lab/load/Shape.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.load;
 
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.TomlFile;
 import java.util.List;
 import java.util.Locale;
 
@@ -37,7 +37,7 @@
         return new Shape(kind, 1, 0, 1, 1);
     }
 
-    static Shape read(Doc.Table load) {
+    static Shape read(TomlFile.Table load) {
         Kind kind = Kind.valueOf(load.word("shape", "poisson", WORDS).toUpperCase(Locale.ROOT));
         double from = load.real("spike_from", 0.4, 0, 1);
         double until = load.real("spike_until", 0.6, 0, 1);
--- a/lab/src/main/java/dapplequay/lab/load/Trace.java
+++ b/lab/src/main/java/dapplequay/lab/load/Trace.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.load;
 
-import dapplequay.lab.text.BadFile;
+import dapplequay.lab.text.InvalidFileException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -29,7 +29,7 @@
         try {
             return parse(file.toString(), Files.readAllLines(file), profile);
         } catch (IOException e) {
-            throw new BadFile(file.toString(), 1, "", "unreadable: " + e.getMessage());
+            throw new InvalidFileException(file.toString(), 1, "", "unreadable: " + e.getMessage());
         }
     }
 
@@ -43,21 +43,21 @@
             }
             String[] words = line.split("\\s+");
             if (words.length < 3 || words.length > 5) {
-                throw new BadFile(file, i + 1, "", "must hold due_ms, class, tenant and perhaps work_ms and key");
+                throw new InvalidFileException(file, i + 1, "", "must hold due_ms, class, tenant and perhaps work_ms and key");
             }
             long due = us(file, i + 1, "due_ms", words[0]);
             if (due < last) {
-                throw new BadFile(file, i + 1, "due_ms", "runs backwards: " + words[0]);
+                throw new InvalidFileException(file, i + 1, "due_ms", "runs backwards: " + words[0]);
             }
             last = due;
             int service = profile.services().stream().map(Profile.Service::name).toList().indexOf(words[1]);
             if (service < 0 && !profile.services().isEmpty()) {
-                throw new BadFile(file, i + 1, "class", "is none of the profile's: " + words[1]);
+                throw new InvalidFileException(file, i + 1, "class", "is none of the profile's: " + words[1]);
             }
             int tenant = words[2].equals("-") ? -1
                     : profile.tenants().stream().map(Profile.Tenant::name).toList().indexOf(words[2]);
             if (tenant < 0 && !words[2].equals("-") && !profile.tenants().isEmpty()) {
-                throw new BadFile(file, i + 1, "tenant", "is none of the profile's: " + words[2]);
+                throw new InvalidFileException(file, i + 1, "tenant", "is none of the profile's: " + words[2]);
             }
             long work = words.length < 4 || words[3].equals("-") ? -1 : us(file, i + 1, "work_ms", words[3]);
             lines.add(new Line(due, Math.max(0, service), tenant, work,
@@ -75,6 +75,6 @@
         } catch (NumberFormatException e) {
             // Told below, as for a number out of range.
         }
-        throw new BadFile(file, line, what, "is not a number of milliseconds: " + text);
+        throw new InvalidFileException(file, line, what, "is not a number of milliseconds: " + text);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/load/WarmUp.java
+++ b/lab/src/main/java/dapplequay/lab/load/WarmUp.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.load;
 
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.util.List;
 
@@ -18,7 +18,7 @@
         Profile profile = Profile.plain(RATE, FOR_US);
         try (NullServer server = new NullServer(1)) {
             Generator generator = new Generator(profile, Schedule.draw(profile, 1, 1), List.of(server.address()), 64);
-            generator.start(Loop.nowUs());
+            generator.start(EventLoop.nowUs());
             generator.await();
         }
     }
--- a/lab/src/main/java/dapplequay/lab/loop/Loop.java
+++ b/lab/src/main/java/dapplequay/lab/loop/EventLoop.java
@@ -23,8 +23,8 @@
  * One thread that serves many sockets: it waits for sockets that are ready, for timers that are due and for
  * tasks that other threads hand in. What belongs to a loop is touched by its thread alone.
  */
-public final class Loop implements AutoCloseable {
-    private static final Logger LOG = Logger.getLogger(Loop.class.getName());
+public final class EventLoop implements AutoCloseable {
+    private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
     private static final long ANCHOR_US = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     private static final long ANCHOR_NANOS = System.nanoTime();
     /** Below this the selector's whole milliseconds are too coarse, and the loop naps instead. */
@@ -68,7 +68,7 @@
     private long timersSet;
     private volatile boolean ended;
 
-    public Loop(String name) {
+    public EventLoop(String name) {
         try {
             selector = Selector.open();
         } catch (IOException e) {
--- a/lab/src/main/java/dapplequay/lab/report/ReportJson.java
+++ b/lab/src/main/java/dapplequay/lab/report/ReportJson.java
@@ -10,7 +10,7 @@
 import dapplequay.lab.experiment.Verdict;
 import dapplequay.lab.fleet.FaultScript;
 import dapplequay.lab.load.LoadResult;
-import dapplequay.lab.text.BadFile;
+import dapplequay.lab.text.InvalidFileException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -166,13 +166,13 @@
         try {
             JsonNode root = JSON.readTree(Files.readString(file));
             if (root.path("version").asInt() != VERSION) {
-                throw new BadFile(file.toString(), 1, "version", "is not " + VERSION);
+                throw new InvalidFileException(file.toString(), 1, "version", "is not " + VERSION);
             }
             return root;
         } catch (com.fasterxml.jackson.core.JsonProcessingException e) {
-            throw new BadFile(file.toString(), e.getLocation().getLineNr(), "", "is not JSON");
+            throw new InvalidFileException(file.toString(), e.getLocation().getLineNr(), "", "is not JSON");
         } catch (IOException e) {
-            throw new BadFile(file.toString(), 1, "", "no report there");
+            throw new InvalidFileException(file.toString(), 1, "", "no report there");
         }
     }
 }
--- a/lab/src/main/java/dapplequay/lab/report/Series.java
+++ b/lab/src/main/java/dapplequay/lab/report/Series.java
@@ -1,8 +1,8 @@
 package dapplequay.lab.report;
 
 import dapplequay.lab.fleet.FleetLog;
+import dapplequay.lab.load.ClientAttempt;
 import dapplequay.lab.load.LoadResult;
-import dapplequay.lab.load.Try;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -36,8 +36,8 @@
         for (int i = 0; i < buckets; i++) {
             latencies.add(new ArrayList<>());
         }
-        for (List<Try> tries : result.tries()) {
-            Try last = tries.get(tries.size() - 1);
+        for (List<ClientAttempt> tries : result.tries()) {
+            ClientAttempt last = tries.get(tries.size() - 1);
             int bucket = (int) (tries.get(0).arrival.dueUs() / 1e6 / BUCKET_S);
             List<Double> counts = outcomes.computeIfAbsent(last.outcome, o -> zeros(buckets));
             counts.set(bucket, counts.get(bucket) + 1 / BUCKET_S);
--- a/lab/src/main/java/dapplequay/lab/text/BadFile.java
+++ b/lab/src/main/java/dapplequay/lab/text/InvalidFileException.java
@@ -1,10 +1,10 @@
 package dapplequay.lab.text;
 
 /** A file that is no good: one line that names the file, the line and the key. */
-public final class BadFile extends RuntimeException {
+public final class InvalidFileException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    public BadFile(String file, int line, String key, String what) {
+    public InvalidFileException(String file, int line, String key, String what) {
         super(file + ":" + line + ": " + (key.isEmpty() ? "" : key + " ") + what);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/text/KeyLines.java
+++ b/lab/src/main/java/dapplequay/lab/text/KeyLineIndex.java
@@ -11,7 +11,7 @@
  * and a message about a value is of little use without it. Keys inside an inline table have the line on which
  * that table begins.
  */
-final class KeyLines {
+final class KeyLineIndex {
     private static final Pattern HEADER = Pattern.compile("\\s*\\[([^\\[\\]]+)]\\s*(#.*)?");
     private static final Pattern ARRAY_HEADER = Pattern.compile("\\s*\\[\\[([^\\[\\]]+)]]\\s*(#.*)?");
     private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_\\-.\"]+)\\s*=.*");
@@ -19,7 +19,7 @@
     private final Map<String, Integer> lines = new HashMap<>();
     private final Map<String, Integer> counts = new HashMap<>();
 
-    KeyLines(List<String> text) {
+    KeyLineIndex(List<String> text) {
         String table = "";
         for (int i = 0; i < text.size(); i++) {
             Matcher array = ARRAY_HEADER.matcher(text.get(i));
--- a/lab/src/main/java/dapplequay/lab/text/Doc.java
+++ b/lab/src/main/java/dapplequay/lab/text/TomlFile.java
@@ -13,44 +13,44 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeSet;
 import java.util.Set;
+import java.util.TreeSet;
 
 /**
  * A TOML file whose every key has to be asked for: what nobody asked for is an unknown key. All faults are
  * told as {@link BadFile}, with file, line and key.
  */
-public final class Doc {
+public final class TomlFile {
     private final String file;
-    private final KeyLines lines;
+    private final KeyLineIndex lines;
     private final Table root;
     private final Map<String, Table> tables = new HashMap<>();
 
-    private Doc(String file, List<String> text, ObjectNode tree) {
+    private TomlFile(String file, List<String> text, ObjectNode tree) {
         this.file = file;
-        lines = new KeyLines(text);
+        lines = new KeyLineIndex(text);
         root = table("", tree);
     }
 
-    public static Doc read(Path file) {
+    public static TomlFile read(Path file) {
         try {
             return parse(file.toString(), Files.readString(file));
         } catch (NoSuchFileException e) {
-            throw new BadFile(file.toString(), 1, "", "no such file");
+            throw new InvalidFileException(file.toString(), 1, "", "no such file");
         } catch (IOException e) {
-            throw new BadFile(file.toString(), 1, "", "unreadable: " + e.getMessage());
+            throw new InvalidFileException(file.toString(), 1, "", "unreadable: " + e.getMessage());
         }
     }
 
-    public static Doc parse(String file, String text) {
+    public static TomlFile parse(String file, String text) {
         try {
             JsonNode tree = new TomlMapper().readTree(text);
-            return new Doc(file, text.lines().toList(),
+            return new TomlFile(file, text.lines().toList(),
                     tree instanceof ObjectNode object ? object : new TomlMapper().createObjectNode());
         } catch (JacksonException e) {
             int line = e.getLocation() == null ? 1 : Math.max(1, e.getLocation().getLineNr());
             String what = e.getOriginalMessage().lines().findFirst().orElse("not TOML");
-            throw new BadFile(file, line, "", "is not TOML: " + what);
+            throw new InvalidFileException(file, line, "", "is not TOML: " + what);
         }
     }
 
@@ -86,9 +86,9 @@
             this.node = node;
         }
 
-        public BadFile bad(String key, String what) {
+        public InvalidFileException bad(String key, String what) {
             String full = path.isEmpty() ? key : key.isEmpty() ? path : path + "." + key;
-            return new BadFile(file, lines.of(full), full, what);
+            return new InvalidFileException(file, lines.of(full), full, what);
         }
 
         public boolean has(String key) {
@@ -211,7 +211,7 @@
             if (!(node.get(key) instanceof ObjectNode object)) {
                 throw bad(key, "must be a table");
             }
-            return Doc.this.table(path.isEmpty() ? key : path + "." + key, object);
+            return TomlFile.this.table(path.isEmpty() ? key : path + "." + key, object);
         }
 
         public List<Table> tables(String key) {
@@ -227,7 +227,7 @@
                 if (!(one instanceof ObjectNode object)) {
                     throw bad(key, "must hold tables");
                 }
-                list.add(Doc.this.table(base + "[" + list.size() + "]", object));
+                list.add(TomlFile.this.table(base + "[" + list.size() + "]", object));
             }
             return list;
         }
--- a/lab/src/test/java/dapplequay/lab/experiment/ExperimentTest.java
+++ b/lab/src/test/java/dapplequay/lab/experiment/ExperimentTest.java
@@ -7,7 +7,7 @@
 import dapplequay.lab.report.Compare;
 import dapplequay.lab.report.ReportHtml;
 import dapplequay.lab.report.ReportJson;
-import dapplequay.lab.text.BadFile;
+import dapplequay.lab.text.InvalidFileException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -120,7 +120,7 @@
         "name = \"straight\"#name = \"sidecars\"#is given twice", "pod_size = 2#views = 1#must not be fewer"})
     void aBadFileIsNamedWithLineAndKey(String find, String replace, String message) throws Exception {
         String text = TEXT.formatted("TERM", "x").replace(find, replace);
-        assertThatThrownBy(() -> ExperimentSpec.read(file(text), null)).isInstanceOf(BadFile.class)
+        assertThatThrownBy(() -> ExperimentSpec.read(file(text), null)).isInstanceOf(InvalidFileException.class)
                 .hasMessageContaining(message);
     }
 
--- a/lab/src/test/java/dapplequay/lab/experiment/JudgeTest.java
+++ b/lab/src/test/java/dapplequay/lab/experiment/JudgeTest.java
@@ -10,8 +10,8 @@
 import dapplequay.lab.load.LoadResult;
 import dapplequay.lab.load.Profile;
 import dapplequay.lab.load.Schedule;
-import dapplequay.lab.loop.Loop;
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.loop.EventLoop;
+import dapplequay.lab.text.TomlFile;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -57,7 +57,7 @@
 
     private static Verdict judge(ScriptedSidecar.Script script, String faultsText, String classText,
                                  ExperimentSpec.SidecarsSpec sidecars) throws Exception {
-        Doc doc = Doc.parse("test.toml", FLEET + faultsText + CLASS + classText);
+        TomlFile doc = TomlFile.parse("test.toml", FLEET + faultsText + CLASS + classText);
         FleetSpec spec = FleetSpec.read(doc.root().table("fleet"), 1, 1);
         List<FaultSpec> faults = new ArrayList<>();
         doc.root().tables("fault").forEach(table -> faults.add(FaultSpec.read(table, spec)));
@@ -65,7 +65,7 @@
         doc.finish();
         try (Fleet fleet = new Fleet(spec, 1); ScriptedSidecar sidecar = new ScriptedSidecar(fleet, script)) {
             Lives lives = new Lives();
-            long start = Loop.nowUs() + 100_000;
+            long start = EventLoop.nowUs() + 100_000;
             lives.begin(0, start - 1_000_000).readyUs = start;
             fleet.play(FaultScript.draw(spec, faults, 1), start);
             Generator generator = new Generator(load, Schedule.draw(load, 1, 1), List.of(sidecar.address()), 100);
@@ -235,13 +235,13 @@
 
     @Test
     void crashesAndMemoryAreCaught() throws Exception {
-        Doc doc = Doc.parse("test.toml", FLEET + CLASS);
+        TomlFile doc = TomlFile.parse("test.toml", FLEET + CLASS);
         FleetSpec spec = FleetSpec.read(doc.root().table("fleet"), 1, 1);
         Profile load = Profile.read(doc.root().table("load"), Path.of(".")).with(0.5, 1);
         try (Fleet fleet = new Fleet(spec, 1);
                 ScriptedSidecar sidecar = new ScriptedSidecar(fleet, (self, request, number) -> self.ask(0, request))) {
             Generator generator = new Generator(load, Schedule.draw(load, 1, 1), List.of(sidecar.address()), 1);
-            generator.start(Loop.nowUs());
+            generator.start(EventLoop.nowUs());
             LoadResult result = generator.await();
             Lives lives = new Lives();
             lives.begin(0, 0).end = Lives.End.CRASHED;
--- a/lab/src/test/java/dapplequay/lab/fleet/FleetTest.java
+++ b/lab/src/test/java/dapplequay/lab/fleet/FleetTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dapplequay.lab.loop.Loop;
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.loop.EventLoop;
+import dapplequay.lab.text.TomlFile;
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -26,16 +26,16 @@
     private static final int PATIENCE_MS = 10_000;
 
     private static FleetSpec spec(String more) {
-        Doc doc = Doc.parse("f.toml", "[fleet]\nhosts = 2\nlist_delay = '1ms'\n".replace('\'', '"')
+        TomlFile doc = TomlFile.parse("f.toml", "[fleet]\nhosts = 2\nlist_delay = '1ms'\n".replace('\'', '"')
                 + more.replace('\'', '"').replace("|", "\n"));
         return FleetSpec.read(doc.root().table("fleet"), 2, 1);
     }
 
     private static void play(Fleet fleet, String fault) {
-        Doc doc = Doc.parse("f.toml", "[[fault]]\n" + fault.replace('\'', '"').replace("|", "\n"));
+        TomlFile doc = TomlFile.parse("f.toml", "[[fault]]\n" + fault.replace('\'', '"').replace("|", "\n"));
         List<FaultSpec> faults = new ArrayList<>();
         doc.root().tables("fault").forEach(table -> faults.add(FaultSpec.read(table, fleet.spec())));
-        fleet.play(FaultScript.draw(fleet.spec(), faults, 1), Loop.nowUs());
+        fleet.play(FaultScript.draw(fleet.spec(), faults, 1), EventLoop.nowUs());
     }
 
     private static Socket connect(String endpoint) throws IOException {
@@ -368,7 +368,7 @@
     @Test
     void theSameSeedDrawsTheSameFleetAndTheSameFaults() {
         String kinds = "|[[fleet.kind]]|name = 'quick'|share = 0.5|[[fleet.kind]]|name = 'slow'|share = 0.5";
-        Doc one = Doc.parse("f", ("[fleet]|hosts = 40" + kinds).replace('\'', '"').replace("|", "\n"));
+        TomlFile one = TomlFile.parse("f", ("[fleet]|hosts = 40" + kinds).replace('\'', '"').replace("|", "\n"));
         FleetSpec first = FleetSpec.read(one.root().table("fleet"), 1, 3);
         assertThat(FleetSpec.read(one.root().table("fleet"), 1, 3)).isEqualTo(first);
         assertThat(FleetSpec.read(one.root().table("fleet"), 1, 4)).isNotEqualTo(first);
--- a/lab/src/test/java/dapplequay/lab/http/FramerTest.java
+++ b/lab/src/test/java/dapplequay/lab/http/MessageParserTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class FramerTest {
+class MessageParserTest {
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static List<Message> all(Framer framer, String text) throws BadHttp {
+    private static List<Message> all(MessageParser framer, String text) throws MalformedHttpException {
         framer.append(bytes(text));
         List<Message> messages = new ArrayList<>();
         for (Message next = framer.next(); next != null; next = framer.next()) {
@@ -26,11 +26,11 @@
     }
 
     @Test
-    void messagesAreCutWhereverTheBytesAreCut() throws BadHttp {
+    void messagesAreCutWhereverTheBytesAreCut() throws MalformedHttpException {
         String text = "POST /a?w=5&x=y HTTP/1.1|Content-Length: 3|X-Call-Id: 9||abcGET /b HTTP/1.1||";
         byte[] whole = bytes(text).array();
         for (int cut = 1; cut < whole.length; cut++) {
-            Framer framer = new Framer(false);
+            MessageParser framer = new MessageParser(false);
             List<Message> messages = new ArrayList<>();
             for (int[] part : new int[][] {{0, cut}, {cut, whole.length - cut}}) {
                 framer.append(ByteBuffer.wrap(whole, part[0], part[1]));
@@ -53,19 +53,19 @@
         "HTTP/1.1 204 No Content||# 204# ''",
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||2|ok|3;x=1|abc|0||# 200# okabc",
         "HTTP/1.0 503 No|Content-Length: 0||# 503# ''"})
-    void answersAreReadWithTheirBodies(String text, int status, String body) throws BadHttp {
-        List<Message> messages = all(new Framer(true), text);
+    void answersAreReadWithTheirBodies(String text, int status, String body) throws MalformedHttpException {
+        List<Message> messages = all(new MessageParser(true), text);
         assertThat(messages).hasSize(1);
         assertThat(messages.get(0).status()).isEqualTo(status);
         assertThat(messages.get(0).bodyText()).isEqualTo(body);
     }
 
     @Test
-    void anAnswerWithoutLengthEndsWithItsConnection() throws BadHttp {
-        Framer framer = new Framer(true);
+    void anAnswerWithoutLengthEndsWithItsConnection() throws MalformedHttpException {
+        MessageParser framer = new MessageParser(true);
         assertThat(all(framer, "HTTP/1.1 200 OK||some")).isEmpty();
         assertThat(framer.atEnd().bodyText()).isEqualTo("some");
-        assertThat(new Framer(true).atEnd()).isNull();
+        assertThat(new MessageParser(true).atEnd()).isNull();
     }
 
     @ParameterizedTest
@@ -73,6 +73,6 @@
         "HTTP/1.1 200 OK|Content-Length: x||", "HTTP/1.1 200 OK|nothing||",
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||zz|ok|"})
     void otherBytesAreNoAnswer(String text) {
-        assertThatThrownBy(() -> all(new Framer(true), text)).isInstanceOf(BadHttp.class);
+        assertThatThrownBy(() -> all(new MessageParser(true), text)).isInstanceOf(MalformedHttpException.class);
     }
 }
--- a/lab/src/test/java/dapplequay/lab/load/GeneratorTest.java
+++ b/lab/src/test/java/dapplequay/lab/load/GeneratorTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dapplequay.lab.Daemons;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -54,7 +54,7 @@
     private static LoadResult play(Profile profile, int connectionsMax, ServerSocket target) throws Exception {
         Generator generator = new Generator(profile, Schedule.draw(profile, 1, 1),
                 List.of((InetSocketAddress) target.getLocalSocketAddress()), connectionsMax);
-        generator.start(Loop.nowUs() + 100_000);
+        generator.start(EventLoop.nowUs() + 100_000);
         return generator.await();
     }
 
@@ -145,7 +145,7 @@
         })) {
             LoadResult result = play(Profile.plain(30, 1_000_000), 1, server);
             assertThat(result.outcomes()).containsEntry("503", 10L).containsEntry("200", 10L)
-                    .containsEntry(Try.UNREADABLE, 10L);
+                    .containsEntry(ClientAttempt.UNREADABLE, 10L);
         }
     }
 
--- a/lab/src/test/java/dapplequay/lab/load/ScheduleTest.java
+++ b/lab/src/test/java/dapplequay/lab/load/ScheduleTest.java
@@ -5,8 +5,8 @@
 import static org.assertj.core.api.Assertions.within;
 import static org.assertj.core.api.Assertions.withinPercentage;
 
-import dapplequay.lab.text.BadFile;
-import dapplequay.lab.text.Doc;
+import dapplequay.lab.text.InvalidFileException;
+import dapplequay.lab.text.TomlFile;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,7 +15,7 @@
 
 class ScheduleTest {
     private static Profile profile(String more) {
-        Doc doc = Doc.parse("p.toml", ("[load]|" + more + "|[[load.class]]|name = 'place-order'|[[load.class]]"
+        TomlFile doc = TomlFile.parse("p.toml", ("[load]|" + more + "|[[load.class]]|name = 'place-order'|[[load.class]]"
                 + "|name = 'quote'|share = 0.5|repeats = 'retryable'|[[load.tenant]]|name = 'a'|share = 0.75"
                 + "|[[load.tenant]]|name = 'b'|share = 0.25").replace("|", "\n"));
         Profile profile = Profile.read(doc.root().table("load"), Path.of("."));
@@ -105,6 +105,6 @@
         "9 quote a fast; t:2: work_ms is not", "9 quote a 1 k more; t:2: must hold", "4 quote a; t:2: due_ms runs back"})
     void aBadLineOfATraceIsNamed(String line, String message) {
         assertThatThrownBy(() -> Trace.parse("t", List.of("5 quote a", line), profile("rate = 1")))
-                .isInstanceOf(BadFile.class).hasMessageStartingWith(message);
+                .isInstanceOf(InvalidFileException.class).hasMessageStartingWith(message);
     }
 }
--- a/lab/src/test/java/dapplequay/lab/text/DocTest.java
+++ b/lab/src/test/java/dapplequay/lab/text/TomlFileTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class DocTest {
+class TomlFileTest {
     private static void readFleet(String text) {
-        Doc doc = Doc.parse("f.toml", text.replace("|", "\n"));
+        TomlFile doc = TomlFile.parse("f.toml", text.replace("|", "\n"));
         FleetSpec fleet = FleetSpec.read(doc.root().table("fleet"), 1, 1);
         doc.root().tables("fault").forEach(table -> FaultSpec.read(table, fleet));
         doc.finish();
@@ -39,12 +39,12 @@
         "hosts = 2|[fleet]|hosts = 3; f.toml:1: hosts is no known key here",
     })
     void saysWhichLineAndKeyIsNoGood(String text, String message) {
-        assertThatThrownBy(() -> readFleet(text)).isInstanceOf(BadFile.class).hasMessageStartingWith(message);
+        assertThatThrownBy(() -> readFleet(text)).isInstanceOf(InvalidFileException.class).hasMessageStartingWith(message);
     }
 
     @Test
     void aFileThatIsNotThereIsSaidSo() {
-        assertThatThrownBy(() -> Doc.read(Path.of("no/such.toml"))).hasMessage("no/such.toml:1: no such file");
+        assertThatThrownBy(() -> TomlFile.read(Path.of("no/such.toml"))).hasMessage("no/such.toml:1: no such file");
     }
 
     @ParameterizedTest
