--- a/lab/src/main/java/dapplequay/lab/cli/LabFile.java
+++ b/lab/src/main/java/dapplequay/lab/cli/LabFile.java
@@ -29,15 +29,15 @@
             FleetSpec fleet = FleetSpec.read(doc.root().table("fleet"), 1, seed == null ? 1 : seed);
             List<FaultSpec> faults = new ArrayList<>();
             doc.root().tables("fault").forEach(table -> faults.add(FaultSpec.read(table, fleet)));
-            doc.finish();
+            doc.rejectUnknownKeys();
             return new Parsed(fleet, faults, null, null);
         }
         if (hasLoad) {
             Profile load = Profile.read(doc.root().table("load"), file.toAbsolutePath().getParent());
-            doc.finish();
+            doc.rejectUnknownKeys();
             return new Parsed(null, List.of(), load, null);
         }
-        doc.finish();
+        doc.rejectUnknownKeys();
         throw new InvalidFileException(file.toString(), 1, "", "holds neither [fleet] nor [load]");
     }
 }
--- a/lab/src/main/java/dapplequay/lab/experiment/ExperimentSpec.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/ExperimentSpec.java
@@ -32,25 +32,25 @@
     public static ExperimentSpec read(Path file, Long seedGiven) {
         TomlFile doc = TomlFile.read(file);
         ExperimentSpec spec = read(doc, file.toAbsolutePath().getParent(), seedGiven);
-        doc.finish();
+        doc.rejectUnknownKeys();
         return spec;
     }
 
     private static ExperimentSpec read(TomlFile doc, Path folder, Long seedGiven) {
         TomlFile.Table root = doc.root();
         TomlFile.Table run = root.table("run");
-        long seed = seedGiven != null ? seedGiven : run.whole("seed", 1, 0, Integer.MAX_VALUE);
+        long seed = seedGiven != null ? seedGiven : run.integer("seed", 1, 0, Integer.MAX_VALUE);
         if (seedGiven != null) {
             run.has("seed");
         }
         TomlFile.Table s = root.table("sidecars");
-        SidecarsSpec sidecars = new SidecarsSpec(s.whole("count", 4, 1, 500), s.whole("memory_mb", 192, 16, 65536),
-                s.whole("sockets", 1024, 64, 1_000_000), s.whole("send_cap", 3, 1, 10),
-                s.truth("second_copies", true), s.duration("connect_timeout", 250_000),
-                s.duration("drain_grace", 2_500_000), s.real("cross_zone_price", 0.03, 0, 1));
+        SidecarsSpec sidecars = new SidecarsSpec(s.integer("count", 4, 1, 500), s.integer("memory_mb", 192, 16, 65536),
+                s.integer("sockets", 1024, 64, 1_000_000), s.integer("send_cap", 3, 1, 10),
+                s.bool("second_copies", true), s.durationUs("connect_timeout", 250_000),
+                s.durationUs("drain_grace", 2_500_000), s.number("cross_zone_price", 0.03, 0, 1));
         FleetSpec fleet = FleetSpec.read(root.table("fleet"), sidecars.count(), seed);
         if (fleet.views() < sidecars.count()) {
-            throw root.table("fleet").bad("views", "must not be fewer than the sidecars");
+            throw root.table("fleet").error("views", "must not be fewer than the sidecars");
         }
         List<FaultSpec> faults = new ArrayList<>();
         for (TomlFile.Table table : root.tables("fault")) {
@@ -58,7 +58,7 @@
         }
         Profile load = Profile.read(root.table("load"), folder);
         if (load.services().isEmpty()) {
-            throw root.table("load").bad("class", "is missing: name at least one class under [[load.class]]");
+            throw root.table("load").error("class", "is missing: name at least one class under [[load.class]]");
         }
         List<Wave> waves = new ArrayList<>();
         for (TomlFile.Table table : root.tables("wave")) {
@@ -69,14 +69,14 @@
         for (TomlFile.Table table : root.tables("variant")) {
             Variant variant = Variant.read(table);
             if (!names.add(variant.name())) {
-                throw table.bad("name", "is given twice: " + variant.name());
+                throw table.error("name", "is given twice: " + variant.name());
             }
             variants.add(variant);
         }
         if (variants.isEmpty()) {
             variants.add(Variant.only());
         }
-        return new ExperimentSpec(run.text("title", ""), fleet, faults, load, sidecars, waves, variants, seed,
-                run.whole("repeat", 1, 1, 1000), run.whole("connections_max", 4000, 1, 100_000));
+        return new ExperimentSpec(run.string("title", ""), fleet, faults, load, sidecars, waves, variants, seed,
+                run.integer("repeat", 1, 1, 1000), run.integer("connections_max", 4000, 1, 100_000));
     }
 }
--- a/lab/src/main/java/dapplequay/lab/experiment/Judge.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Judge.java
@@ -357,14 +357,14 @@
             double all = 0;
             for (Visit visit : allVisits) {
                 if (visit.host == start.host() && visit.uid.equals(start.uid()) && visit.atUs >= start.atUs()) {
-                    budget.sent(visit.atUs - start.atUs(), visit.askedUs);
+                    budget.recordWork(visit.atUs - start.atUs(), visit.askedUs);
                     all += visit.askedUs;
                     knowing += wasToldOf(start, visit) ? visit.askedUs : 0;
                 }
             }
-            worst = Math.max(worst, budget.worst());
-            if (budget.worst() > 1 && (run.lives() == null || knowing * 3 >= all * 2)) {
-                rule.broken(start.uid() + String.format(Locale.ROOT, " was sent %.2f of its budget", budget.worst()));
+            worst = Math.max(worst, budget.maxUsedShare());
+            if (budget.maxUsedShare() > 1 && (run.lives() == null || knowing * 3 >= all * 2)) {
+                rule.broken(start.uid() + String.format(Locale.ROOT, " was sent %.2f of its budget", budget.maxUsedShare()));
             }
         }
         verdict.figure("cold_budget_used", worst);
--- a/lab/src/main/java/dapplequay/lab/experiment/Variant.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Variant.java
@@ -15,12 +15,12 @@
 public record Variant(String name, boolean direct, String command, List<String> flags, double rate,
                       boolean faults) {
     static Variant read(TomlFile.Table table) {
-        String name = table.text("name");
+        String name = table.string("name");
         if (!name.matches("[A-Za-z0-9_.-]{1,40}")) {
-            throw table.bad("name", "must be 1 to 40 letters, digits, dots, dashes: " + name);
+            throw table.error("name", "must be 1 to 40 letters, digits, dots, dashes: " + name);
         }
-        return new Variant(name, table.truth("direct", false), table.text("command", null),
-                table.texts("flags", List.of()), table.real("rate", 0, 0, 1e6), table.truth("faults", true));
+        return new Variant(name, table.bool("direct", false), table.string("command", null),
+                table.strings("flags", List.of()), table.number("rate", 0, 0, 1e6), table.bool("faults", true));
     }
 
     static Variant only() {
--- a/lab/src/main/java/dapplequay/lab/experiment/Wave.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Wave.java
@@ -20,9 +20,9 @@
     public record Step(long atUs, int sidecar, String signal, long downUs) { }
 
     static Wave read(TomlFile.Table table) {
-        return new Wave(table.duration("at"), table.word("signal", "TERM", List.of("TERM", "KILL", "HUP")),
-                table.real("share", 1, 0, 1), table.whole("batch", 1, 1, 10_000),
-                table.duration("gap", 1_000_000), table.duration("down", 300_000));
+        return new Wave(table.durationUs("at"), table.oneOf("signal", "TERM", List.of("TERM", "KILL", "HUP")),
+                table.number("share", 1, 0, 1), table.integer("batch", 1, 1, 10_000),
+                table.durationUs("gap", 1_000_000), table.durationUs("down", 300_000));
     }
 
     /** The steps of all waves in order; the order of the sidecars depends on the seed alone. */
--- a/lab/src/main/java/dapplequay/lab/fleet/Discovery.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/Discovery.java
@@ -76,7 +76,7 @@
 
     /** The list shows this after its delay. */
     void change(ListState.Entry entry) {
-        loop.at(EventLoop.nowUs() + fleet.listDelayUs(), () -> publish(entry));
+        loop.schedule(EventLoop.nowUs() + fleet.listDelayUs(), () -> publish(entry));
     }
 
     /** The list shows this now, unless it is stale. */
@@ -161,7 +161,7 @@
         }
 
         @Override
-        protected void received() throws IOException {
+        protected void onBytesReceived() throws IOException {
             Message request;
             try {
                 request = framer.next();
@@ -183,7 +183,7 @@
                 return;
             }
             freeAtUs = starts + Math.round(fleet.listCallUs() * callTimes);
-            loop.at(freeAtUs, () -> serve(request));
+            loop.schedule(freeAtUs, () -> serve(request));
         }
 
         private void serve(Message request) {
@@ -197,20 +197,20 @@
                 write(http(404, new byte[0]));
                 return;
             }
-            String known = request.query("after");
+            String known = request.queryParameter("after");
             if (known == null) {
                 answer(list.whole());
                 return;
             }
             after = Long.parseLong(known);
-            String wait = request.query("wait_ms");
+            String wait = request.queryParameter("wait_ms");
             long waitMs = wait == null ? 0 : Math.min(LONGEST_WATCH_MS, Long.parseLong(wait));
             if (after != list.revision() || waitMs == 0) {
                 answer(list.after(after));
                 return;
             }
             watching = true;
-            until = loop.at(EventLoop.nowUs() + waitMs * 1000, () -> {
+            until = loop.schedule(EventLoop.nowUs() + waitMs * 1000, () -> {
                 watching = false;
                 if (down) {
                     unanswered.add(() -> answer(list.after(after)));
@@ -246,12 +246,12 @@
         }
 
         @Override
-        protected void peerEnded() {
+        protected void onPeerClosed() {
             close();
         }
 
         @Override
-        protected void gone() {
+        protected void onClosed() {
             calls.remove(this);
             if (until != null) {
                 until.cancel();
--- a/lab/src/main/java/dapplequay/lab/fleet/FaultSpec.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/FaultSpec.java
@@ -94,21 +94,21 @@
 
     /** Reads one table {@code [[fault]]}. */
     public static FaultSpec read(TomlFile.Table table, FleetSpec fleet) {
-        Kind kind = Kind.valueOf(table.word("kind", "", WORDS).toUpperCase(Locale.ROOT));
+        Kind kind = Kind.valueOf(table.oneOf("kind", "", WORDS).toUpperCase(Locale.ROOT));
         List<Integer> hosts = new ArrayList<>();
         for (double host : table.numbers("hosts", List.of())) {
             if (host != Math.rint(host) || host < 0 || host >= fleet.hosts().size()) {
-                throw table.bad("hosts", "must hold places of hosts, 0 to " + (fleet.hosts().size() - 1));
+                throw table.error("hosts", "must hold places of hosts, 0 to " + (fleet.hosts().size() - 1));
             }
             hosts.add((int) host);
         }
-        String zone = table.text("zone", "");
+        String zone = table.string("zone", "");
         int zoneAt = fleet.zones().indexOf(zone);
         if (!zone.isEmpty() && zoneAt < 0) {
-            throw table.bad("zone", "is none of the fleet's zones: " + zone);
+            throw table.error("zone", "is none of the fleet's zones: " + zone);
         }
-        return new FaultSpec(kind, table.duration("at"), table.duration("for", 5_000_000), List.copyOf(hosts),
-                table.real("share", 1, 0, 1), zoneAt, table.real("amount", kind.ordinary, 0, 1e6),
-                table.real("requests", 1, 0, 1));
+        return new FaultSpec(kind, table.durationUs("at"), table.durationUs("for", 5_000_000), List.copyOf(hosts),
+                table.number("share", 1, 0, 1), zoneAt, table.number("amount", kind.ordinary, 0, 1e6),
+                table.number("requests", 1, 0, 1));
     }
 }
--- a/lab/src/main/java/dapplequay/lab/fleet/Fleet.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/Fleet.java
@@ -37,9 +37,9 @@
             HostServer host = new HostServer(spec, i, address(i), loops.get(i % count), log,
                     RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1_000_003 + i));
             int at = i;
-            loops.get(i % count).call(() -> start(host, now));
+            loops.get(i % count).postAndWait(() -> start(host, now));
             hosts.add(host);
-            listLoop.call(() -> discovery.publish(entry(at, host, "SERVING", 0)));
+            listLoop.postAndWait(() -> discovery.publish(entry(at, host, "SERVING", 0)));
         }
     }
 
@@ -78,7 +78,7 @@
     /** The list of this moment in discovery's form, as this view sees it. */
     public String known(int view) {
         String[] text = new String[1];
-        listLoop.call(() -> text[0] = discovery.known(view));
+        listLoop.postAndWait(() -> text[0] = discovery.known(view));
         return text[0];
     }
 
@@ -92,11 +92,11 @@
         for (FaultScript.Step step : script.steps()) {
             long at = startUs + step.atUs();
             if (step.hosts().isEmpty()) {
-                listLoop.post(() -> listLoop.at(at, () -> listFault(step)));
+                listLoop.post(() -> listLoop.schedule(at, () -> listFault(step)));
             }
             for (int place : step.hosts()) {
                 EventLoop loop = loops.get(place % loops.size());
-                loop.post(() -> loop.at(at, () -> hostFault(place, step)));
+                loop.post(() -> loop.schedule(at, () -> hostFault(place, step)));
             }
         }
     }
@@ -165,7 +165,7 @@
         closed = true;
         for (int i = 0; i < hosts.size(); i++) {
             HostServer host = hosts.get(i);
-            loops.get(i % loops.size()).call(host::close);
+            loops.get(i % loops.size()).postAndWait(host::close);
         }
         loops.forEach(EventLoop::close);
         listLoop.close();
--- a/lab/src/main/java/dapplequay/lab/fleet/FleetSpec.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/FleetSpec.java
@@ -36,16 +36,16 @@
 
     /** Reads the table {@code [fleet]}; kinds of hosts are spread by their shares, in an order of the seed. */
     public static FleetSpec read(TomlFile.Table fleet, int views, long seed) {
-        int count = fleet.whole("hosts", 9, 1, 2000);
-        List<String> zones = fleet.texts("zones", List.of("north", "south"));
+        int count = fleet.integer("hosts", 9, 1, 2000);
+        List<String> zones = fleet.strings("zones", List.of("north", "south"));
         if (zones.isEmpty()) {
-            throw fleet.bad("zones", "must name a zone");
+            throw fleet.error("zones", "must name a zone");
         }
-        int podSize = fleet.whole("pod_size", 3, 1, 2000);
-        int viewCount = Math.max(1, fleet.whole("views", views, 0, 2000));
+        int podSize = fleet.integer("pod_size", 3, 1, 2000);
+        int viewCount = Math.max(1, fleet.integer("views", views, 0, 2000));
         List<Double> work = fleet.numbers("work_ms", List.of(77.0, 140.0));
         if (work.size() != 2 || !(work.get(0) > 0) || work.get(1) < work.get(0)) {
-            throw fleet.bad("work_ms", "must hold the least and the most work in ms");
+            throw fleet.error("work_ms", "must hold the least and the most work in ms");
         }
         List<HostSpec> specs = new ArrayList<>();
         List<String> kinds = new ArrayList<>();
@@ -53,10 +53,10 @@
         int given = 0;
         for (int k = 0; k < tables.size(); k++) {
             TomlFile.Table kind = tables.get(k);
-            double share = kind.real("share", 1, 0, 1);
+            double share = kind.number("share", 1, 0, 1);
             int until = k == tables.size() - 1 ? count : Math.min(count, given + (int) Math.round(share * count));
             HostSpec spec = kind(kind);
-            String name = kind.text("name");
+            String name = kind.string("name");
             for (; given < until; given++) {
                 specs.add(spec);
                 kinds.add(name);
@@ -78,11 +78,11 @@
         for (int i = 0; i < viewCount; i++) {
             viewZones.add(i % zones.size());
         }
-        return new FleetSpec(hosts, zones, fleet.duration("zone_latency", 0), viewCount, viewZones,
-                fleet.duration("list_delay", 500_000), fleet.duration("list_call", 1_000),
-                fleet.duration("list_wait", 2_000_000), Math.round(work.get(0) * 1e3),
-                Math.round(work.get(1) * 1e3), fleet.duration("idle", 10_000_000), fleet.truth("plain", false),
-                fleet.truth("probes", false), fleet.truth("pushed", false));
+        return new FleetSpec(hosts, zones, fleet.durationUs("zone_latency", 0), viewCount, viewZones,
+                fleet.durationUs("list_delay", 500_000), fleet.durationUs("list_call", 1_000),
+                fleet.durationUs("list_wait", 2_000_000), Math.round(work.get(0) * 1e3),
+                Math.round(work.get(1) * 1e3), fleet.durationUs("idle", 10_000_000), fleet.bool("plain", false),
+                fleet.bool("probes", false), fleet.bool("pushed", false));
     }
 
     private static void shuffle(List<HostSpec> specs, List<String> kinds, UniformRandomProvider random) {
@@ -94,22 +94,22 @@
     }
 
     private static HostSpec kind(TomlFile.Table table) {
-        return new HostSpec.Builder().cores(table.whole("cores", 1, 1, 256))
-                .speed(table.real("speed", 1, 0.001, 1e6))
-                .slots(table.whole("slots", 4, 1, 100_000)).room(table.whole("room", 30, 0, 1_000_000))
-                .crowd(table.whole("crowd_from", 0, 0, 1_000_000), table.real("crowd_loss", 0.5, 0, 100))
-                .cold(table.real("cold_from", 0.31, 0.01, 1), table.duration("warm_up", 8_800_000))
-                .connections(table.whole("connections", 700, 1, 100_000), table.duration("handshake", 1_500))
-                .probe(table.duration("probe", 400))
-                .reports(Math.max(1_000, table.duration("report_every", 900_000)),
-                        table.duration("report_delay", 0), table.real("report_noise", 0.05, 0, 1))
-                .errors(table.real("errors", 0, 0, 1), table.duration("error_takes", 2_000))
-                .stopsOnCancel(table.truth("stops_on_cancel", true))
-                .tips(table.real("tip_multiple", 3, 0, 1000), table.duration("tip_after", 3_000_000))
-                .chokes(new HostSpec.Choke(table.real("choke_at", 0, 0, 1e6), table.duration("choke_after", 2_000_000),
-                        table.real("choke_slower", 2.5, 1, 1000), table.real("choke_below", 0.3, 0, 1),
-                        table.duration("choke_rest", 3_000_000), table.duration("choke_most", 25_000_000)))
-                .remembers(new HostSpec.Keys(table.real("key_gain", 0, 0, 1), table.duration("key_for", 6_000_000),
-                        table.whole("keys", 150, 1, 1_000_000))).build();
+        return new HostSpec.Builder().cores(table.integer("cores", 1, 1, 256))
+                .speed(table.number("speed", 1, 0.001, 1e6))
+                .slots(table.integer("slots", 4, 1, 100_000)).room(table.integer("room", 30, 0, 1_000_000))
+                .crowd(table.integer("crowd_from", 0, 0, 1_000_000), table.number("crowd_loss", 0.5, 0, 100))
+                .cold(table.number("cold_from", 0.31, 0.01, 1), table.durationUs("warm_up", 8_800_000))
+                .connections(table.integer("connections", 700, 1, 100_000), table.durationUs("handshake", 1_500))
+                .probe(table.durationUs("probe", 400))
+                .reports(Math.max(1_000, table.durationUs("report_every", 900_000)),
+                        table.durationUs("report_delay", 0), table.number("report_noise", 0.05, 0, 1))
+                .errors(table.number("errors", 0, 0, 1), table.durationUs("error_takes", 2_000))
+                .stopsOnCancel(table.bool("stops_on_cancel", true))
+                .tips(table.number("tip_multiple", 3, 0, 1000), table.durationUs("tip_after", 3_000_000))
+                .chokes(new HostSpec.Choke(table.number("choke_at", 0, 0, 1e6), table.durationUs("choke_after", 2_000_000),
+                        table.number("choke_slower", 2.5, 1, 1000), table.number("choke_below", 0.3, 0, 1),
+                        table.durationUs("choke_rest", 3_000_000), table.durationUs("choke_most", 25_000_000)))
+                .remembers(new HostSpec.Keys(table.number("key_gain", 0, 0, 1), table.durationUs("key_for", 6_000_000),
+                        table.integer("keys", 150, 1, 1_000_000))).build();
     }
 }
--- a/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
@@ -51,7 +51,7 @@
     private final List<SocketChannel> plugs = new ArrayList<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final Map<Long, Pending> pending = new HashMap<>();
-    private final List<HostModel.Ended> ended = new ArrayList<>();
+    private final List<HostModel.RequestEnd> ended = new ArrayList<>();
     private final HostFaults faults = new HostFaults();
     private HostModel model;
     private EventLoop.Timer wake;
@@ -110,13 +110,13 @@
     /** The counts outlive the process. */
     private void keepCounts() {
         if (model != null) {
-            doneBefore += model.doneUs();
-            wastedBefore += model.wastedUs();
+            doneBefore += model.usefulWorkUs();
+            wastedBefore += model.wastedWorkUs();
         }
     }
 
     private void listen(int backlog) throws IOException {
-        loop.release();
+        loop.releaseClosedSockets();
         for (int zone = 0; zone < ports.length; zone++) {
             int callerZone = zone;
             ServerSocketChannel listener = ServerSocketChannel.open();
@@ -227,7 +227,7 @@
     }
 
     private void refreshFaults(long nowUs) {
-        model.slowness(nowUs, faults.amount(Kind.SLOW, 1), ended);
+        model.slowdownFactor(nowUs, faults.amount(Kind.SLOW, 1), ended);
         model.errorShare(faults.amount(Kind.ERRORS, host.spec().errorShare()));
         model.reportDelayUs(host.spec().reportDelayUs()
                 + Math.round(faults.amount(Kind.LATE_REPORTS, 0) * 1e6));
@@ -261,7 +261,7 @@
     /** Carries out what the model says has ended, and sets the timer for what ends next. */
     private void settle() {
         while (!ended.isEmpty()) {
-            List<HostModel.Ended> now = List.copyOf(ended);
+            List<HostModel.RequestEnd> now = List.copyOf(ended);
             ended.clear();
             now.forEach(this::answer);
         }
@@ -281,7 +281,7 @@
         }
         wakeAtUs = next;
         if (next != Long.MAX_VALUE) {
-            wake = loop.at(next, () -> {
+            wake = loop.schedule(next, () -> {
                 wake = null;
                 if (up) {
                     model.advance(EventLoop.nowUs(), ended);
@@ -291,7 +291,7 @@
         }
     }
 
-    private void answer(HostModel.Ended end) {
+    private void answer(HostModel.RequestEnd end) {
         Pending one = pending.remove(end.id());
         if (one == null) {
             return;
@@ -299,7 +299,7 @@
         FleetLog.Visit visit = one.visit();
         visit.endUs = end.atUs();
         visit.spentUs = end.workUs();
-        switch (end.fate()) {
+        switch (end.state()) {
             case SERVED -> {
                 visit.did = FleetLog.Did.SERVED;
                 visit.nonce = random.nextLong();
@@ -320,7 +320,7 @@
                 connection.close();
             }
         }
-        loop.at(now + IDLE_SWEEP_US, this::sweepIdle);
+        loop.schedule(now + IDLE_SWEEP_US, this::sweepIdle);
     }
 
     private void sample() {
@@ -336,7 +336,7 @@
         } else {
             log.add(new FleetLog.Sample(now, place, 0, 0, 0, 0));
         }
-        loop.at(now + SAMPLE_US, this::sample);
+        loop.schedule(now + SAMPLE_US, this::sample);
     }
 
     /** One connection of a caller. */
@@ -360,15 +360,15 @@
         }
 
         boolean isIdleSince(long us) {
-            return requestInModel < 0 && !framer.isWithin() && quietSinceUs < us && !mute;
+            return requestInModel < 0 && !framer.isMidMessage() && quietSinceUs < us && !mute;
         }
 
         void hush() {
-            goDeaf();
+            stopReading();
         }
 
         @Override
-        protected void received() throws IOException {
+        protected void onBytesReceived() throws IOException {
             if (firstByteUs == 0) {
                 firstByteUs = EventLoop.nowUs();
             }
@@ -389,7 +389,7 @@
                 take(request, first, whole);
             } else {
                 requestInModel = 0;
-                loop.at(whole + latencyUs(), () -> take(request, first, whole));
+                loop.schedule(whole + latencyUs(), () -> take(request, first, whole));
             }
         }
 
@@ -417,12 +417,12 @@
             FleetLog.Visit visit = new FleetLog.Visit(name, key, place, uid, host.pod(), callerZone, first, whole,
                     work(request, key == null ? name : key));
             log.add(visit);
-            about = request.query("obj");
+            about = request.queryParameter("obj");
             begin(visit);
         }
 
         private double work(Message request, String name) {
-            String asked = request.query("w");
+            String asked = request.queryParameter("w");
             double work = asked != null && asked.matches("[0-9]{1,12}") ? Double.parseDouble(asked)
                     : fleet.workLeastUs() + HostFaults.unit(name) * (fleet.workMostUs() - fleet.workLeastUs());
             return faults.hits(Kind.HEAVY, name) ? work * faults.amount(Kind.HEAVY, 1) : work;
@@ -437,7 +437,7 @@
             if (faults.hits(Kind.SILENT_CONNECTION, visit.call + uid)) {
                 visit.did = FleetLog.Did.BROKEN;
                 mute = true;
-                goDeaf();
+                stopReading();
                 return;
             }
             if (refused || draining) {
@@ -520,7 +520,7 @@
             if (latencyUs() == 0) {
                 sendNow(answer, end);
             } else {
-                loop.at(EventLoop.nowUs() + latencyUs(), () -> sendNow(answer, end));
+                loop.schedule(EventLoop.nowUs() + latencyUs(), () -> sendNow(answer, end));
             }
         }
 
@@ -533,17 +533,17 @@
                 closeWhenWritten();
             } else if (end == End.RESET) {
                 // The bytes go first: a reset that overtakes them would be another fault.
-                loop.at(EventLoop.nowUs() + 5_000, this::reset);
+                loop.schedule(EventLoop.nowUs() + 5_000, this::reset);
             }
         }
 
         @Override
-        protected void peerEnded() {
+        protected void onPeerClosed() {
             close();
         }
 
         @Override
-        protected void gone() {
+        protected void onClosed() {
             connections.remove(this);
             if (counted) {
                 model.disconnect();
--- a/lab/src/main/java/dapplequay/lab/http/HttpConnection.java
+++ b/lab/src/main/java/dapplequay/lab/http/HttpConnection.java
@@ -11,15 +11,15 @@
 /** One non-blocking connection of a loop: reads into a framer, writes what it can and keeps the rest. */
 public abstract class HttpConnection implements EventLoop.Handler {
     /** One buffer for each loop's thread: what is read is copied into the framer at once. */
-    private static final ThreadLocal<ByteBuffer> READ = ThreadLocal.withInitial(() -> ByteBuffer.allocate(65536));
+    private static final ThreadLocal<ByteBuffer> READ_BUFFER = ThreadLocal.withInitial(() -> ByteBuffer.allocate(65536));
 
     protected final SocketChannel channel;
     protected final MessageParser framer;
-    private final ArrayDeque<ByteBuffer> out = new ArrayDeque<>(0);
+    private final ArrayDeque<ByteBuffer> pendingWrites = new ArrayDeque<>(0);
     private SelectionKey key;
     private boolean closed;
     private boolean closeWhenWritten;
-    private boolean deaf;
+    private boolean readingStopped;
 
     protected HttpConnection(SocketChannel channel, boolean responses) {
         this.channel = channel;
@@ -31,22 +31,22 @@
     }
 
     /** Bytes have come; they are in the framer. */
-    protected abstract void received() throws IOException;
+    protected abstract void onBytesReceived() throws IOException;
 
     /** The peer sends nothing more. */
-    protected abstract void peerEnded();
+    protected abstract void onPeerClosed();
 
     /** The connection is closed, whoever did it; told once. */
-    protected abstract void gone();
+    protected abstract void onClosed();
 
-    protected void connected() throws IOException { }
+    protected void onConnected() throws IOException { }
 
     @Override
-    public void ready(SelectionKey ready) throws IOException {
+    public void onReady(SelectionKey ready) throws IOException {
         if (ready.isConnectable()) {
             channel.finishConnect();
             ready.interestOps(SelectionKey.OP_READ);
-            connected();
+            onConnected();
         }
         if (!closed && ready.isWritable()) {
             flush();
@@ -57,60 +57,60 @@
     }
 
     private void read() throws IOException {
-        ByteBuffer buffer = READ.get();
+        ByteBuffer buffer = READ_BUFFER.get();
         buffer.clear();
         int count = channel.read(buffer);
         if (count < 0) {
-            peerEnded();
+            onPeerClosed();
             return;
         }
         buffer.flip();
         framer.append(buffer);
-        received();
+        onBytesReceived();
     }
 
     public void write(byte[] bytes) {
         if (closed) {
             return;
         }
-        out.add(ByteBuffer.wrap(bytes));
+        pendingWrites.add(ByteBuffer.wrap(bytes));
         try {
             flush();
         } catch (IOException e) {
-            broken(e);
+            onError(e);
         }
     }
 
     /** Closes in order when all that was written has left. */
     protected void closeWhenWritten() {
         closeWhenWritten = true;
-        if (out.isEmpty()) {
+        if (pendingWrites.isEmpty()) {
             close();
         }
     }
 
     private void flush() throws IOException {
-        while (!out.isEmpty()) {
-            channel.write(out.peek());
-            if (out.peek().hasRemaining()) {
-                interest(SelectionKey.OP_WRITE | (deaf ? 0 : SelectionKey.OP_READ));
+        while (!pendingWrites.isEmpty()) {
+            channel.write(pendingWrites.peek());
+            if (pendingWrites.peek().hasRemaining()) {
+                setInterest(SelectionKey.OP_WRITE | (readingStopped ? 0 : SelectionKey.OP_READ));
                 return;
             }
-            out.poll();
+            pendingWrites.poll();
         }
-        interest(deaf ? 0 : SelectionKey.OP_READ);
+        setInterest(readingStopped ? 0 : SelectionKey.OP_READ);
         if (closeWhenWritten) {
             close();
         }
     }
 
     /** Reads nothing more: the peer finds the connection open and silent. */
-    protected void goDeaf() {
-        deaf = true;
-        interest(0);
+    protected void stopReading() {
+        readingStopped = true;
+        setInterest(0);
     }
 
-    private void interest(int ops) {
+    private void setInterest(int ops) {
         if (key != null && key.isValid()) {
             key.interestOps(ops);
         }
@@ -130,7 +130,7 @@
         } catch (IOException e) {
             java.util.logging.Logger.getLogger(HttpConnection.class.getName()).finest(e.toString());
         }
-        gone();
+        onClosed();
     }
 
     /** Closes with a reset in place of an orderly end. */
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void broken(IOException why) {
+    public void onError(IOException cause) {
         close();
     }
 }
--- a/lab/src/main/java/dapplequay/lab/http/MalformedHttpException.java
+++ b/lab/src/main/java/dapplequay/lab/http/MalformedHttpException.java
@@ -6,7 +6,7 @@
 public final class MalformedHttpException extends IOException {
     private static final long serialVersionUID = 1;
 
-    public MalformedHttpException(String what) {
-        super(what);
+    public MalformedHttpException(String problem) {
+        super(problem);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/http/Message.java
+++ b/lab/src/main/java/dapplequay/lab/http/Message.java
@@ -16,8 +16,8 @@
 
     /** Path and query of a request. */
     public String target() {
-        int from = startLine.indexOf(' ') + 1;
-        return startLine.substring(from, startLine.indexOf(' ', from));
+        int targetStart = startLine.indexOf(' ') + 1;
+        return startLine.substring(targetStart, startLine.indexOf(' ', targetStart));
     }
 
     /** The status of a response. */
@@ -25,20 +25,20 @@
         return Integer.parseInt(startLine.substring(9, 12));
     }
 
-    public boolean keepsAlive() {
+    public boolean isKeepAlive() {
         String connection = headers.get("connection");
-        boolean asked = connection != null && connection.equalsIgnoreCase("close");
-        return !asked && (startLine.startsWith("HTTP/1.1") || startLine.endsWith("HTTP/1.1"));
+        boolean closeRequested = connection != null && connection.equalsIgnoreCase("close");
+        return !closeRequested && (startLine.startsWith("HTTP/1.1") || startLine.endsWith("HTTP/1.1"));
     }
 
     /** One value of the query of a request, or null. */
-    public String query(String name) {
+    public String queryParameter(String name) {
         String target = target();
-        int at = target.indexOf('?');
-        if (at < 0) {
+        int queryStart = target.indexOf('?');
+        if (queryStart < 0) {
             return null;
         }
-        for (String pair : target.substring(at + 1).split("&")) {
+        for (String pair : target.substring(queryStart + 1).split("&")) {
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
             }
--- a/lab/src/main/java/dapplequay/lab/load/Generator.java
+++ b/lab/src/main/java/dapplequay/lab/load/Generator.java
@@ -114,14 +114,14 @@
                 begin(new Flight(arrival, 0, startUs + arrival.dueUs()));
             }
             if (at < arrivals.size()) {
-                loop.at(startUs + arrivals.get(at).dueUs(), this::next);
+                loop.schedule(startUs + arrivals.get(at).dueUs(), this::next);
             }
         }
 
         private void begin(Flight flight) {
             tries.get(flight.row.arrival.number()).add(flight.row);
             long grace = profile.services().isEmpty() ? 0 : GRACE_US;
-            flight.giveUp = loop.at(flight.row.giveUpUs + grace, () -> end(flight, flight.row.sentUs == 0
+            flight.giveUp = loop.schedule(flight.row.giveUpUs + grace, () -> end(flight, flight.row.sentUs == 0
                     ? ClientAttempt.UNSENT : ClientAttempt.TIMEOUT));
             place(flight);
         }
@@ -164,7 +164,7 @@
                 boolean done = channel.connect(targets.get(target));
                 client.register(loop, done ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
                 if (done) {
-                    client.connected();
+                    client.onConnected();
                 }
             } catch (IOException e) {
                 end(flight, ClientAttempt.REFUSED);
@@ -201,7 +201,7 @@
             if (mayRetry(flight.row)) {
                 long wait = Math.max(profile.retryWaitUs(), flight.row.retryAfterUs);
                 long due = flight.row.endUs + wait;
-                loop.at(due, () -> begin(new Flight(flight.row.arrival, flight.row.number + 1, due)));
+                loop.schedule(due, () -> begin(new Flight(flight.row.arrival, flight.row.number + 1, due)));
             } else {
                 left.countDown();
             }
@@ -280,7 +280,7 @@
             }
 
             @Override
-            protected void connected() {
+            protected void onConnected() {
                 isUp = true;
                 if (flight != null) {
                     send();
@@ -304,7 +304,7 @@
             }
 
             @Override
-            protected void received() throws IOException {
+            protected void onBytesReceived() throws IOException {
                 Message answer;
                 try {
                     answer = framer.next();
@@ -340,7 +340,7 @@
                     done.row.hasRetryAfter = true;
                     done.row.retryAfterUs = Math.round(Double.parseDouble(after) * 1e6);
                 }
-                if (answer.keepsAlive() && !framer.isWithin()) {
+                if (answer.isKeepAlive() && !framer.isMidMessage()) {
                     done.on = null;
                     flight = null;
                     idle.get(target).add(this);
@@ -355,8 +355,8 @@
             }
 
             @Override
-            protected void peerEnded() {
-                Message last = framer.atEnd();
+            protected void onPeerClosed() {
+                Message last = framer.finishAtEndOfStream();
                 if (last != null && flight != null) {
                     answered(last);
                 }
@@ -364,7 +364,7 @@
             }
 
             @Override
-            protected void gone() {
+            protected void onClosed() {
                 open--;
                 idle.get(target).remove(this);
                 Flight cut = flight;
@@ -376,7 +376,7 @@
                 cut.on = null;
                 if (!isUp) {
                     end(cut, ClientAttempt.REFUSED);
-                } else if (used && !cut.sentAgain && !framer.isWithin()) {
+                } else if (used && !cut.sentAgain && !framer.isMidMessage()) {
                     // The close crossed this request, which the other side has not read: sent once more.
                     cut.sentAgain = true;
                     connect(cut, target);
--- a/lab/src/main/java/dapplequay/lab/load/NullServer.java
+++ b/lab/src/main/java/dapplequay/lab/load/NullServer.java
@@ -56,7 +56,7 @@
         }
 
         @Override
-        protected void received() throws IOException {
+        protected void onBytesReceived() throws IOException {
             try {
                 while (!isClosed() && framer.next() != null) {
                     write(ANSWER);
@@ -67,12 +67,12 @@
         }
 
         @Override
-        protected void peerEnded() {
+        protected void onPeerClosed() {
             close();
         }
 
         @Override
-        protected void gone() {
+        protected void onClosed() {
             // Nothing is kept of a connection.
         }
     }
--- a/lab/src/main/java/dapplequay/lab/load/Profile.java
+++ b/lab/src/main/java/dapplequay/lab/load/Profile.java
@@ -58,32 +58,32 @@
         for (TomlFile.Table table : load.tables("class")) {
             List<Double> work = table.numbers("work_ms", List.of(77.0, 140.0));
             if (work.size() != 2 || !(work.get(0) > 0) || work.get(1) < work.get(0)) {
-                throw table.bad("work_ms", "must hold the least and the most work in ms");
+                throw table.error("work_ms", "must hold the least and the most work in ms");
             }
-            long aim = table.duration("aim", 600_000);
-            long deadline = table.duration("deadline", 2_000_000);
+            long aim = table.durationUs("aim", 600_000);
+            long deadline = table.durationUs("deadline", 2_000_000);
             if (aim <= 0 || deadline < aim) {
-                throw table.bad("deadline", "must not come before the aim, nor either be 0");
+                throw table.error("deadline", "must not come before the aim, nor either be 0");
             }
-            services.add(new Service(table.text("name"), table.real("share", 1, 0, 1),
+            services.add(new Service(table.string("name"), table.number("share", 1, 0, 1),
                     Math.round(work.get(0) * 1e3), Math.round(work.get(1) * 1e3), aim, deadline,
-                    table.real("worth", 1, 0, 1e6), table.real("late_worth", 0.25, 0, 1),
-                    table.word("repeats", "dedup", List.of("retryable", "dedup", "fragile")),
-                    table.word("group", "cell", List.of("all", "zone", "cell")),
-                    table.duration("window", 4_000_000)));
+                    table.number("worth", 1, 0, 1e6), table.number("late_worth", 0.25, 0, 1),
+                    table.oneOf("repeats", "dedup", List.of("retryable", "dedup", "fragile")),
+                    table.oneOf("group", "cell", List.of("all", "zone", "cell")),
+                    table.durationUs("window", 4_000_000)));
         }
         List<Tenant> tenants = new ArrayList<>();
         for (TomlFile.Table table : load.tables("tenant")) {
-            double share = table.real("share", 1, 0, 1);
-            tenants.add(new Tenant(table.text("name"), share, table.real("load", share, 0, 1000)));
+            double share = table.number("share", 1, 0, 1);
+            tenants.add(new Tenant(table.string("name"), share, table.number("load", share, 0, 1000)));
         }
         Shape shape = Shape.read(load);
-        Path trace = shape.kind() == Shape.Kind.TRACE ? folder.resolve(load.text("trace")) : null;
-        return new Profile(load.real("rate", 100, 0.001, 1e6), load.duration("for", 10_000_000), shape, trace,
-                services, tenants, load.real("target_skew", 0, 0, 5), load.whole("retries", 0, 0, 10),
-                load.duration("retry_wait", 300_000), load.truth("retries_marked", true),
-                load.real("patience", 0.7, 0.01, 1), load.duration("timeout", 10_000_000),
-                load.whole("objects", 0, 0, 1_000_000), load.real("object_skew", 0.8, 0, 5),
-                load.duration("lag_bound", 10_000));
+        Path trace = shape.kind() == Shape.Kind.TRACE ? folder.resolve(load.string("trace")) : null;
+        return new Profile(load.number("rate", 100, 0.001, 1e6), load.durationUs("for", 10_000_000), shape, trace,
+                services, tenants, load.number("target_skew", 0, 0, 5), load.integer("retries", 0, 0, 10),
+                load.durationUs("retry_wait", 300_000), load.bool("retries_marked", true),
+                load.number("patience", 0.7, 0.01, 1), load.durationUs("timeout", 10_000_000),
+                load.integer("objects", 0, 0, 1_000_000), load.number("object_skew", 0.8, 0, 5),
+                load.durationUs("lag_bound", 10_000));
     }
 }
--- a/lab/src/main/java/dapplequay/lab/load/Shape.java
+++ b/lab/src/main/java/dapplequay/lab/load/Shape.java
@@ -38,19 +38,19 @@
     }
 
     static Shape read(TomlFile.Table load) {
-        Kind kind = Kind.valueOf(load.word("shape", "poisson", WORDS).toUpperCase(Locale.ROOT));
-        double from = load.real("spike_from", 0.4, 0, 1);
-        double until = load.real("spike_until", 0.6, 0, 1);
+        Kind kind = Kind.valueOf(load.oneOf("shape", "poisson", WORDS).toUpperCase(Locale.ROOT));
+        double from = load.number("spike_from", 0.4, 0, 1);
+        double until = load.number("spike_until", 0.6, 0, 1);
         if (until < from) {
-            throw load.bad("spike_until", "must not come before spike_from");
+            throw load.error("spike_until", "must not come before spike_from");
         }
         double amount = switch (kind) {
-            case WAVE -> load.real("wave_depth", 0.5, 0, 1);
-            case CLIMB -> load.real("climb_to", 2, 1, 100);
-            case SPIKE -> load.real("spike_to", 4, 1, 100);
+            case WAVE -> load.number("wave_depth", 0.5, 0, 1);
+            case CLIMB -> load.number("climb_to", 2, 1, 100);
+            case SPIKE -> load.number("spike_to", 4, 1, 100);
             default -> 1;
         };
-        return new Shape(kind, amount, from, until, load.real("waves", 3, 0.1, 1000));
+        return new Shape(kind, amount, from, until, load.number("waves", 3, 0.1, 1000));
     }
 
     /** The rate at this share of the run, as a multiple of the base rate. */
--- a/lab/src/main/java/dapplequay/lab/loop/EventLoop.java
+++ b/lab/src/main/java/dapplequay/lab/loop/EventLoop.java
@@ -25,33 +25,33 @@
  */
 public final class EventLoop implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
-    private static final long ANCHOR_US = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-    private static final long ANCHOR_NANOS = System.nanoTime();
+    private static final long UNIX_US_AT_START = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+    private static final long NANO_TIME_AT_START = System.nanoTime();
     /** Below this the selector's whole milliseconds are too coarse, and the loop naps instead. */
-    private static final long FINE_US = 1_500;
-    private static final long NAP_NANOS = 50_000;
+    private static final long MIN_SELECT_US = 1_500;
+    private static final long PARK_NANOS = 50_000;
 
-    /** Serves one socket. An IOException is handed to {@link #broken} and ends nothing else. */
+    /** Serves one socket. An IOException is handed to {@link #onError} and ends nothing else. */
     public interface Handler {
-        void ready(SelectionKey key) throws IOException;
+        void onReady(SelectionKey key) throws IOException;
 
-        void broken(IOException why);
+        void onError(IOException cause);
     }
 
     /** Takes a connection that a listener has accepted. */
     public interface Acceptor {
-        void accepted(SocketChannel channel) throws IOException;
+        void onAccepted(SocketChannel channel) throws IOException;
     }
 
     /** Something to be done at a time, unless it is cancelled before. */
     public static final class Timer {
-        private final long atUs;
-        private final long number;
+        private final long dueUs;
+        private final long sequence;
         private Runnable task;
 
-        private Timer(long atUs, long number, Runnable task) {
-            this.atUs = atUs;
-            this.number = number;
+        private Timer(long dueUs, long sequence, Runnable task) {
+            this.dueUs = dueUs;
+            this.sequence = sequence;
             this.task = task;
         }
 
@@ -62,11 +62,11 @@
 
     private final Selector selector;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) ->
-            a.atUs != b.atUs ? Long.compare(a.atUs, b.atUs) : Long.compare(a.number, b.number));
+            a.dueUs != b.dueUs ? Long.compare(a.dueUs, b.dueUs) : Long.compare(a.sequence, b.sequence));
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Thread thread;
-    private long timersSet;
-    private volatile boolean ended;
+    private long nextTimerSequence;
+    private volatile boolean stopped;
 
     public EventLoop(String name) {
         try {
@@ -81,7 +81,7 @@
 
     /** Unix time in microseconds that never runs backwards, the same for all loops of the process. */
     public static long nowUs() {
-        return ANCHOR_US + (System.nanoTime() - ANCHOR_NANOS) / 1000;
+        return UNIX_US_AT_START + (System.nanoTime() - NANO_TIME_AT_START) / 1000;
     }
 
     /** Does this on the loop's thread, soon. */
@@ -91,8 +91,8 @@
     }
 
     /** Does this and waits until it is done. Not to be called from a loop's thread, nor once it is closed. */
-    public void call(Runnable task) {
-        if (ended) {
+    public void postAndWait(Runnable task) {
+        if (stopped) {
             throw new IllegalStateException(thread.getName() + " has ended");
         }
         java.util.concurrent.CountDownLatch done = new java.util.concurrent.CountDownLatch(1);
@@ -111,8 +111,8 @@
     }
 
     /** On the loop's thread only. */
-    public Timer at(long us, Runnable task) {
-        Timer timer = new Timer(us, timersSet++, task);
+    public Timer schedule(long dueUs, Runnable task) {
+        Timer timer = new Timer(dueUs, nextTimerSequence++, task);
         timers.add(timer);
         return timer;
     }
@@ -128,16 +128,16 @@
         try {
             register(listener, SelectionKey.OP_ACCEPT, new Handler() {
                 @Override
-                public void ready(SelectionKey key) throws IOException {
+                public void onReady(SelectionKey key) throws IOException {
                     for (SocketChannel channel = listener.accept(); channel != null; channel = listener.accept()) {
                         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                        acceptor.accepted(channel);
+                        acceptor.onAccepted(channel);
                     }
                 }
 
                 @Override
-                public void broken(IOException why) {
-                    LOG.log(Level.FINE, "accept failed: {0}", why.toString());
+                public void onError(IOException cause) {
+                    LOG.log(Level.FINE, "accept failed: {0}", cause.toString());
                 }
             });
         } catch (IOException e) {
@@ -149,13 +149,13 @@
      * Lets go of sockets that were closed in this turn: until then their ports stay taken. On the loop's thread
      * only, from a task or a timer.
      */
-    public void release() throws IOException {
+    public void releaseClosedSockets() throws IOException {
         selector.selectNow();
     }
 
     @Override
     public void close() {
-        ended = true;
+        stopped = true;
         selector.wakeup();
         if (Thread.currentThread() != thread) {
             try {
@@ -167,9 +167,9 @@
     }
 
     private void run() {
-        while (!ended) {
+        while (!stopped) {
             try {
-                turn();
+                runOnce();
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
                 LOG.log(Level.SEVERE, "a turn of " + thread.getName() + " failed", e);
             }
@@ -188,21 +188,21 @@
         }
     }
 
-    private void turn() throws IOException {
+    private void runOnce() throws IOException {
         waitForWork();
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
-            guarded(task);
+            runGuarded(task);
         }
         for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext();) {
             SelectionKey key = keys.next();
             keys.remove();
-            serve(key);
+            dispatch(key);
         }
         long now = nowUs();
-        while (!timers.isEmpty() && timers.peek().atUs <= now) {
+        while (!timers.isEmpty() && timers.peek().dueUs <= now) {
             Runnable task = timers.poll().task;
             if (task != null) {
-                guarded(task);
+                runGuarded(task);
             }
         }
     }
@@ -211,31 +211,31 @@
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        long left = timers.isEmpty() ? 1_000_000 : timers.peek().atUs - nowUs();
-        if (!tasks.isEmpty() || left <= 0) {
+        long untilDueUs = timers.isEmpty() ? 1_000_000 : timers.peek().dueUs - nowUs();
+        if (!tasks.isEmpty() || untilDueUs <= 0) {
             selector.selectNow();
-        } else if (left >= FINE_US) {
-            selector.select(Math.max(1, (left - 500) / 1000));
+        } else if (untilDueUs >= MIN_SELECT_US) {
+            selector.select(Math.max(1, (untilDueUs - 500) / 1000));
         } else if (selector.selectNow() == 0) {
-            LockSupport.parkNanos(Math.min(NAP_NANOS, left * 1000));
+            LockSupport.parkNanos(Math.min(PARK_NANOS, untilDueUs * 1000));
         }
     }
 
-    private void serve(SelectionKey key) {
+    private void dispatch(SelectionKey key) {
         Handler handler = (Handler) key.attachment();
         try {
-            handler.ready(key);
+            handler.onReady(key);
         } catch (IOException e) {
-            handler.broken(e);
+            handler.onError(e);
         } catch (CancelledKeyException e) {
             LOG.log(Level.FINEST, "closed in this very turn", e);
         } catch (RuntimeException e) {
             LOG.log(Level.WARNING, "a connection failed", e);
-            handler.broken(new IOException(e));
+            handler.onError(new IOException(e));
         }
     }
 
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/lab/src/main/java/dapplequay/lab/model/ColdBudget.java
+++ b/lab/src/main/java/dapplequay/lab/model/ColdBudget.java
@@ -12,11 +12,11 @@
     private final long warmUpUs;
     private final double multiple;
     private final long windowUs;
-    private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
-    private double inWindow;
-    private double worst;
+    private final ArrayDeque<WorkItem> itemsInWindow = new ArrayDeque<>();
+    private double workInWindowUs;
+    private double maxUsedShare;
 
-    private record Piece(double atUs, double workUs) { }
+    private record WorkItem(double atUs, double workUs) { }
 
     public ColdBudget(HostSpec spec) {
         this(spec.fullCapacity(), spec.coldFrom(), spec.warmUpUs(), spec.tipMultiple(), spec.tipAfterUs());
@@ -32,32 +32,32 @@
     }
 
     /** Takes one piece of work; returns the share of the budget that is used now, over 1: broken. */
-    public double sent(double sinceStartUs, double workUs) {
+    public double recordWork(double sinceStartUs, double workUs) {
         if (sinceStartUs > warmUpUs + windowUs) {
             return 0;
         }
-        pieces.add(new Piece(sinceStartUs, workUs));
-        inWindow += workUs;
-        while (pieces.peek().atUs() < sinceStartUs - windowUs) {
-            inWindow -= pieces.poll().workUs();
+        itemsInWindow.add(new WorkItem(sinceStartUs, workUs));
+        workInWindowUs += workUs;
+        while (itemsInWindow.peek().atUs() < sinceStartUs - windowUs) {
+            workInWindowUs -= itemsInWindow.poll().workUs();
         }
-        double from = Math.max(0, sinceStartUs - windowUs);
-        double span = Math.max(1, sinceStartUs - from);
-        double mean = (capacityUpTo(from + span) - capacityUpTo(from)) / span;
-        double used = inWindow / (multiple * mean * windowUs);
-        worst = Math.max(worst, used);
-        return used;
+        double windowStartUs = Math.max(0, sinceStartUs - windowUs);
+        double spanUs = Math.max(1, sinceStartUs - windowStartUs);
+        double meanCapacity = (workPossibleUntil(windowStartUs + spanUs) - workPossibleUntil(windowStartUs)) / spanUs;
+        double usedShare = workInWindowUs / (multiple * meanCapacity * windowUs);
+        maxUsedShare = Math.max(maxUsedShare, usedShare);
+        return usedShare;
     }
 
     /** The greatest share of the budget used so far. */
-    public double worst() {
-        return worst;
+    public double maxUsedShare() {
+        return maxUsedShare;
     }
 
     /** Work that could be done from the start up to this time. */
-    private double capacityUpTo(double us) {
-        double warming = Math.min(us, warmUpUs);
-        double rise = warmUpUs == 0 ? 0 : (1 - coldFrom) * warming * warming / (2.0 * warmUpUs);
-        return fullCapacity * (coldFrom * warming + rise + Math.max(0, us - warmUpUs));
+    private double workPossibleUntil(double us) {
+        double warmingUs = Math.min(us, warmUpUs);
+        double rampWork = warmUpUs == 0 ? 0 : (1 - coldFrom) * warmingUs * warmingUs / (2.0 * warmUpUs);
+        return fullCapacity * (coldFrom * warmingUs + rampWork + Math.max(0, us - warmUpUs));
     }
 }
--- a/lab/src/main/java/dapplequay/lab/model/HostModel.java
+++ b/lab/src/main/java/dapplequay/lab/model/HostModel.java
@@ -23,14 +23,14 @@
  */
 public final class HostModel {
     static final long WARM_STEP_US = 20_000;
-    private static final double NEVER = Double.NaN;
+    private static final double UNSET = Double.NaN;
     /** Weight of the newest service time in the reported one. */
     private static final double LATENCY_WEIGHT = 0.1;
 
     /** What became of a request that was offered. */
     public enum Admission { WORKING, WAITING, FULL, FALLEN }
 
-    public enum Fate {
+    public enum EndState {
         /** Done. */
         SERVED,
         /** Answered with an error. */
@@ -40,23 +40,23 @@
     }
 
     /** The end of a request; {@code workUs} is the work that was spent on it. */
-    public record Ended(long id, long atUs, Fate fate, double workUs) { }
+    public record RequestEnd(long id, long atUs, EndState state, double workUs) { }
 
     private static final class Job {
         final long id;
         final double workUs;
         final boolean fails;
-        final boolean aside;
+        final boolean overhead;
         double startedUs;
         double startProgress;
         double endProgress;
         boolean givenUp;
 
-        Job(long id, double workUs, boolean fails, boolean aside) {
+        Job(long id, double workUs, boolean fails, boolean overhead) {
             this.id = id;
             this.workUs = workUs;
             this.fails = fails;
-            this.aside = aside;
+            this.overhead = overhead;
         }
     }
 
@@ -64,11 +64,11 @@
 
     private final HostSpec spec;
     private final UniformRandomProvider random;
-    private final ZigguratSampler.NormalizedGaussian gauss;
-    private final long originUs;
-    private final TreeSet<Job> inWork = new TreeSet<>(
+    private final ZigguratSampler.NormalizedGaussian gaussian;
+    private final long startUs;
+    private final TreeSet<Job> runningByEnd = new TreeSet<>(
             Comparator.<Job>comparingDouble(j -> j.endProgress).thenComparingLong(j -> j.id));
-    private final Map<Long, Job> working = new HashMap<>();
+    private final Map<Long, Job> runningById = new HashMap<>();
     private final LinkedHashMap<Long, Job> waiting = new LinkedHashMap<>();
     private final ArrayDeque<Snapshot> snapshots = new ArrayDeque<>();
     private final ColdBudget budget;
@@ -78,26 +78,26 @@
     private double nextSnapshotUs;
     private int slotsTaken;
     private int connections;
-    private long asideIds = -1;
+    private long nextOverheadId = -1;
     private double latencyMs;
     private boolean fallen;
-    private double doneUs;
-    private double wastedUs;
-    private double slowness = 1;
+    private double usefulWorkUs;
+    private double wastedWorkUs;
+    private double slowdownFactor = 1;
     private double errorShare;
     private long reportDelayUs;
-    private final LinkedHashMap<String, Double> met = new LinkedHashMap<>();
-    private double overSinceUs = NEVER;
-    private double chokedAtUs = NEVER;
-    private double restsSinceUs = NEVER;
+    private final LinkedHashMap<String, Double> keyLastSeenUs = new LinkedHashMap<>();
+    private double overloadedSinceUs = UNSET;
+    private double chokedAtUs = UNSET;
+    private double recoveringSinceUs = UNSET;
     private int chokes;
 
     /** Starts now: cold, or as if it had run for long. */
     public HostModel(HostSpec spec, UniformRandomProvider random, long nowUs, boolean cold) {
         this.spec = spec;
         this.random = random;
-        gauss = ZigguratSampler.NormalizedGaussian.of(random);
-        originUs = nowUs;
+        gaussian = ZigguratSampler.NormalizedGaussian.of(random);
+        startUs = nowUs;
         startsCold = cold;
         errorShare = spec.errorShare();
         reportDelayUs = spec.reportDelayUs();
@@ -107,9 +107,9 @@
     }
 
     /** Everything takes so many times as long from now on; 1 is ordinary. */
-    public void slowness(long atUs, double times, Collection<Ended> ended) {
+    public void slowdownFactor(long atUs, double factor, Collection<RequestEnd> ended) {
         advance(atUs, ended);
-        slowness = times;
+        slowdownFactor = factor;
     }
 
     /** So large a share of the requests fails from now on. */
@@ -123,36 +123,36 @@
     }
 
     /** The same for a request about {@code key}, which a host that met it lately has less work with; null: no key. */
-    public Admission offer(long atUs, long id, double workUs, String key, Collection<Ended> ended) {
+    public Admission offer(long atUs, long id, double workUs, String key, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         if (key == null || spec.keys().gain() <= 0) {
             return offer(atUs, id, workUs, ended);
         }
-        Double before = met.remove(key);
-        met.put(key, nowUs);
-        if (met.size() > spec.keys().most()) {
-            met.remove(met.keySet().iterator().next());
+        Double lastSeenUs = keyLastSeenUs.remove(key);
+        keyLastSeenUs.put(key, nowUs);
+        if (keyLastSeenUs.size() > spec.keys().most()) {
+            keyLastSeenUs.remove(keyLastSeenUs.keySet().iterator().next());
         }
-        boolean remembered = before != null && nowUs - before <= spec.keys().forUs();
+        boolean remembered = lastSeenUs != null && nowUs - lastSeenUs <= spec.keys().forUs();
         return offer(atUs, id, remembered ? workUs * (1 - spec.keys().gain()) : workUs, ended);
     }
 
     /** A request has come whole; {@code id} is 0 or more and no other's that is held. */
-    public Admission offer(long atUs, long id, double workUs, Collection<Ended> ended) {
+    public Admission offer(long atUs, long id, double workUs, Collection<RequestEnd> ended) {
         advance(atUs, ended);
-        if (budget != null && !fallen && budget.sent(nowUs, workUs) > 1) {
-            fall(ended);
+        if (budget != null && !fallen && budget.recordWork(nowUs, workUs) > 1) {
+            fallOver(ended);
         }
         if (fallen) {
             return Admission.FALLEN;
         }
         if (errorShare > 0 && random.nextDouble() < errorShare) {
-            begin(new Job(id, spec.errorTakesUs() * spec.speed(), true, true));
+            startJob(new Job(id, spec.errorTakesUs() * spec.speed(), true, true));
             return Admission.WORKING;
         }
         Job job = new Job(id, workUs, false, false);
         if (slotsTaken < spec.slots()) {
-            begin(job);
+            startJob(job);
             return Admission.WORKING;
         }
         if (waiting.size() >= spec.room()) {
@@ -163,40 +163,40 @@
     }
 
     /** Nobody waits for this request any more. Its end is told now, or later where work can't be stopped. */
-    public void giveUp(long atUs, long id, Collection<Ended> ended) {
+    public void giveUp(long atUs, long id, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         Job job = waiting.get(id);
         if (job != null) {
             if (spec.stopsOnCancel()) {
                 waiting.remove(id);
-                ended.add(new Ended(id, atUs, Fate.STOPPED, 0));
+                ended.add(new RequestEnd(id, atUs, EndState.STOPPED, 0));
             } else {
                 job.givenUp = true;
             }
             return;
         }
-        job = working.get(id);
+        job = runningById.get(id);
         if (job == null || job.givenUp) {
             return;
         }
         job.givenUp = true;
         if (spec.stopsOnCancel()) {
-            leave(job);
-            double spent = Math.min(job.workUs, progress - job.startProgress);
-            wastedUs += spent;
-            ended.add(new Ended(id, atUs, Fate.STOPPED, spent));
+            removeJob(job);
+            double spentUs = Math.min(job.workUs, progress - job.startProgress);
+            wastedWorkUs += spentUs;
+            ended.add(new RequestEnd(id, atUs, EndState.STOPPED, spentUs));
             fillSlots();
         }
     }
 
     /** Whether the host takes one more connection, which costs it work. */
-    public boolean connect(long atUs, Collection<Ended> ended) {
+    public boolean connect(long atUs, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         if (fallen || connections >= spec.connectionCap()) {
             return false;
         }
         connections++;
-        aside(spec.handshakeUs());
+        addOverhead(spec.handshakeUs());
         return true;
     }
 
@@ -205,13 +205,13 @@
     }
 
     /** Work that a probe costs. */
-    public void probe(long atUs, Collection<Ended> ended) {
+    public void probe(long atUs, Collection<RequestEnd> ended) {
         advance(atUs, ended);
-        aside(spec.probeUs());
+        addOverhead(spec.probeUs());
     }
 
     /** The report that shows now. */
-    public LoadReport report(long atUs, Collection<Ended> ended) {
+    public LoadReport report(long atUs, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         while (snapshots.size() > 1) {
             Iterator<Snapshot> oldest = snapshots.iterator();
@@ -226,65 +226,65 @@
 
     /** When something ends next if nothing else happens; Long.MAX_VALUE: nothing is in work. */
     public long nextEndUs() {
-        if (inWork.isEmpty()) {
+        if (runningByEnd.isEmpty()) {
             return Long.MAX_VALUE;
         }
-        double in = (inWork.first().endProgress - progress) / pace();
-        return originUs + (long) Math.ceil(nowUs + Math.max(0, in));
+        double remainingUs = (runningByEnd.first().endProgress - progress) / pace();
+        return startUs + (long) Math.ceil(nowUs + Math.max(0, remainingUs));
     }
 
     /** Lets time pass; what ended meanwhile is added in order. */
-    public void advance(long atUs, Collection<Ended> ended) {
-        double until = Math.max(nowUs, atUs - originUs);
-        while (nowUs < until) {
-            double stop = Math.min(until, nextSnapshotUs);
+    public void advance(long atUs, Collection<RequestEnd> ended) {
+        double untilUs = Math.max(nowUs, atUs - startUs);
+        while (nowUs < untilUs) {
+            double stepEndUs = Math.min(untilUs, nextSnapshotUs);
             if (isWarming() || spec.choke().at() > 0) {
-                stop = Math.min(stop, nowUs + WARM_STEP_US);
+                stepEndUs = Math.min(stepEndUs, nowUs + WARM_STEP_US);
             }
-            lookAtChoke();
+            updateChoke();
             double pace = pace();
-            Job first = inWork.isEmpty() ? null : inWork.first();
+            Job first = runningByEnd.isEmpty() ? null : runningByEnd.first();
             double endsIn = first == null ? Double.MAX_VALUE : (first.endProgress - progress) / pace;
-            if (first != null && nowUs + endsIn <= stop) {
+            if (first != null && nowUs + endsIn <= stepEndUs) {
                 nowUs += Math.max(0, endsIn);
                 progress = first.endProgress;
-                end(first, ended);
+                completeJob(first, ended);
                 continue;
             }
-            progress += pace * (stop - nowUs);
-            nowUs = stop;
+            progress += pace * (stepEndUs - nowUs);
+            nowUs = stepEndUs;
             if (nowUs >= nextSnapshotUs) {
-                snapshots.add(new Snapshot(nowUs, new LoadReport(noisy(waiting.size()), noisy(held()),
-                        Math.max(0, latencyMs * (1 + spec.reportNoise() * gauss.sample())))));
+                snapshots.add(new Snapshot(nowUs, new LoadReport(withNoise(waiting.size()), withNoise(held()),
+                        Math.max(0, latencyMs * (1 + spec.reportNoise() * gaussian.sample())))));
                 nextSnapshotUs += spec.reportEveryUs() * (0.9 + 0.2 * random.nextDouble());
             }
         }
         // Progress is kept small, as the sum of many steps would lose the last digits of its ends.
-        if (inWork.isEmpty()) {
+        if (runningByEnd.isEmpty()) {
             progress = 0;
         }
     }
 
-    private void lookAtChoke() {
+    private void updateChoke() {
         HostSpec.Choke choke = spec.choke();
         if (choke.at() <= 0) {
             return;
         }
         if (!isChoked()) {
-            boolean over = held() - spec.cores() > choke.at() * spec.cores();
-            overSinceUs = !over ? NEVER : Double.isNaN(overSinceUs) ? nowUs : overSinceUs;
-            if (over && nowUs - overSinceUs >= choke.afterUs()) {
+            boolean overloaded = held() - spec.cores() > choke.at() * spec.cores();
+            overloadedSinceUs = !overloaded ? UNSET : Double.isNaN(overloadedSinceUs) ? nowUs : overloadedSinceUs;
+            if (overloaded && nowUs - overloadedSinceUs >= choke.afterUs()) {
                 chokedAtUs = nowUs;
-                restsSinceUs = NEVER;
+                recoveringSinceUs = UNSET;
                 chokes++;
             }
             return;
         }
-        boolean rests = held() <= choke.below() * spec.cores();
-        restsSinceUs = !rests ? NEVER : Double.isNaN(restsSinceUs) ? nowUs : restsSinceUs;
-        if (rests && nowUs - restsSinceUs >= choke.restUs() || nowUs - chokedAtUs >= choke.mostUs()) {
-            chokedAtUs = NEVER;
-            overSinceUs = NEVER;
+        boolean recovering = held() <= choke.below() * spec.cores();
+        recoveringSinceUs = !recovering ? UNSET : Double.isNaN(recoveringSinceUs) ? nowUs : recoveringSinceUs;
+        if (recovering && nowUs - recoveringSinceUs >= choke.restUs() || nowUs - chokedAtUs >= choke.mostUs()) {
+            chokedAtUs = UNSET;
+            overloadedSinceUs = UNSET;
         }
     }
 
@@ -318,26 +318,26 @@
 
     /** The greatest share used of what the host could bear while cold; 0 where it started warm. */
     public double coldBudgetUsed() {
-        return budget == null ? 0 : budget.worst();
+        return budget == null ? 0 : budget.maxUsedShare();
     }
 
     /** Work on requests that were served or failed. */
-    public double doneUs() {
-        return doneUs;
+    public double usefulWorkUs() {
+        return usefulWorkUs;
     }
 
     /** Work on requests that nobody waited for in the end. */
-    public double wastedUs() {
-        return wastedUs;
+    public double wastedWorkUs() {
+        return wastedWorkUs;
     }
 
     /** Work per microsecond at this moment, all cores together, if nothing crowds the host. */
     public double capacity() {
-        return spec.fullCapacity() * warmth() / timesSlower();
+        return spec.fullCapacity() * warmth() / totalSlowdown();
     }
 
-    private double timesSlower() {
-        return slowness * (isChoked() ? spec.choke().slower() : 1);
+    private double totalSlowdown() {
+        return slowdownFactor * (isChoked() ? spec.choke().slower() : 1);
     }
 
     private boolean isWarming() {
@@ -354,47 +354,47 @@
         if (spec.crowdFrom() > 0 && held() > spec.crowdFrom()) {
             crowding = 1 / (1 + spec.crowdLoss() * (held() - spec.crowdFrom()) / spec.crowdFrom());
         }
-        int sharing = inWork.size();
-        double ofCore = sharing <= spec.cores() ? 1 : (double) spec.cores() / sharing;
-        return spec.speed() * warmth() / timesSlower() * crowding * ofCore;
+        int sharing = runningByEnd.size();
+        double coreShare = sharing <= spec.cores() ? 1 : (double) spec.cores() / sharing;
+        return spec.speed() * warmth() / totalSlowdown() * crowding * coreShare;
     }
 
-    private void aside(double workUs) {
+    private void addOverhead(double workUs) {
         if (workUs > 0) {
-            begin(new Job(asideIds--, workUs, false, true));
+            startJob(new Job(nextOverheadId--, workUs, false, true));
         }
     }
 
-    private void begin(Job job) {
+    private void startJob(Job job) {
         job.startedUs = nowUs;
         job.startProgress = progress;
         job.endProgress = progress + job.workUs;
-        inWork.add(job);
-        working.put(job.id, job);
-        slotsTaken += job.aside ? 0 : 1;
+        runningByEnd.add(job);
+        runningById.put(job.id, job);
+        slotsTaken += job.overhead ? 0 : 1;
     }
 
-    private void leave(Job job) {
-        inWork.remove(job);
-        working.remove(job.id);
-        slotsTaken -= job.aside ? 0 : 1;
+    private void removeJob(Job job) {
+        runningByEnd.remove(job);
+        runningById.remove(job.id);
+        slotsTaken -= job.overhead ? 0 : 1;
     }
 
-    private void end(Job job, Collection<Ended> ended) {
-        leave(job);
+    private void completeJob(Job job, Collection<RequestEnd> ended) {
+        removeJob(job);
         if (job.id >= 0) {
-            Fate fate = job.givenUp ? Fate.STOPPED : job.fails ? Fate.FAILED : Fate.SERVED;
-            double spent = job.fails ? 0 : job.workUs;
+            EndState state = job.givenUp ? EndState.STOPPED : job.fails ? EndState.FAILED : EndState.SERVED;
+            double spentUs = job.fails ? 0 : job.workUs;
             if (job.givenUp) {
-                wastedUs += spent;
+                wastedWorkUs += spentUs;
             } else {
-                doneUs += spent;
+                usefulWorkUs += spentUs;
             }
-            if (fate == Fate.SERVED) {
+            if (state == EndState.SERVED) {
                 double tookMs = (nowUs - job.startedUs) / 1e3;
                 latencyMs = latencyMs == 0 ? tookMs : latencyMs + LATENCY_WEIGHT * (tookMs - latencyMs);
             }
-            ended.add(new Ended(job.id, originUs + (long) Math.ceil(nowUs), fate, spent));
+            ended.add(new RequestEnd(job.id, startUs + (long) Math.ceil(nowUs), state, spentUs));
         }
         fillSlots();
     }
@@ -404,27 +404,27 @@
         while (slotsTaken < spec.slots() && next.hasNext()) {
             Job job = next.next();
             next.remove();
-            begin(job);
+            startJob(job);
         }
     }
 
-    private void fall(Collection<Ended> ended) {
+    private void fallOver(Collection<RequestEnd> ended) {
         fallen = true;
-        List<Job> all = new ArrayList<>(working.values());
+        List<Job> all = new ArrayList<>(runningById.values());
         all.addAll(waiting.values());
         all.sort(Comparator.comparingLong(job -> job.id));
         for (Job job : all) {
             if (job.id >= 0) {
-                ended.add(new Ended(job.id, originUs + (long) Math.ceil(nowUs), Fate.STOPPED, 0));
+                ended.add(new RequestEnd(job.id, startUs + (long) Math.ceil(nowUs), EndState.STOPPED, 0));
             }
         }
-        inWork.clear();
-        working.clear();
+        runningByEnd.clear();
+        runningById.clear();
         waiting.clear();
         slotsTaken = 0;
     }
 
-    private int noisy(int figure) {
-        return (int) Math.max(0, Math.round(figure * (1 + spec.reportNoise() * gauss.sample())));
+    private int withNoise(int figure) {
+        return (int) Math.max(0, Math.round(figure * (1 + spec.reportNoise() * gaussian.sample())));
     }
 }
--- a/lab/src/main/java/dapplequay/lab/model/HostSpec.java
+++ b/lab/src/main/java/dapplequay/lab/model/HostSpec.java
@@ -61,9 +61,9 @@
         require(reportEveryUs > 0, "reportEveryUs", reportEveryUs);
     }
 
-    private static void require(boolean good, String what, double value) {
-        if (!good) {
-            throw new IllegalArgumentException(what + " is out of range: " + value);
+    private static void require(boolean valid, String name, double value) {
+        if (!valid) {
+            throw new IllegalArgumentException(name + " is out of range: " + value);
         }
     }
 
--- a/lab/src/main/java/dapplequay/lab/text/InvalidFileException.java
+++ b/lab/src/main/java/dapplequay/lab/text/InvalidFileException.java
@@ -4,7 +4,7 @@
 public final class InvalidFileException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    public InvalidFileException(String file, int line, String key, String what) {
-        super(file + ":" + line + ": " + (key.isEmpty() ? "" : key + " ") + what);
+    public InvalidFileException(String file, int line, String key, String problem) {
+        super(file + ":" + line + ": " + (key.isEmpty() ? "" : key + " ") + problem);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/text/KeyLineIndex.java
+++ b/lab/src/main/java/dapplequay/lab/text/KeyLineIndex.java
@@ -17,7 +17,7 @@
     private static final Pattern KEY = Pattern.compile("\\s*([A-Za-z0-9_\\-.\"]+)\\s*=.*");
 
     private final Map<String, Integer> lines = new HashMap<>();
-    private final Map<String, Integer> counts = new HashMap<>();
+    private final Map<String, Integer> tableCounts = new HashMap<>();
 
     KeyLineIndex(List<String> text) {
         String table = "";
@@ -26,13 +26,13 @@
             Matcher header = HEADER.matcher(text.get(i));
             Matcher key = KEY.matcher(text.get(i));
             if (array.matches()) {
-                String name = inside(array.group(1).trim());
-                int index = counts.merge(name, 1, Integer::sum) - 1;
+                String name = resolvePath(array.group(1).trim());
+                int index = tableCounts.merge(name, 1, Integer::sum) - 1;
                 table = name + "[" + index + "]";
                 lines.put(table, i + 1);
                 lines.putIfAbsent(name, i + 1);
             } else if (header.matches()) {
-                table = inside(header.group(1).trim());
+                table = resolvePath(header.group(1).trim());
                 lines.put(table, i + 1);
             } else if (key.matches()) {
                 String name = key.group(1).replace("\"", "");
@@ -42,12 +42,12 @@
     }
 
     /** A header below an array of tables belongs to that array's latest table. */
-    private String inside(String name) {
+    private String resolvePath(String name) {
         StringBuilder path = new StringBuilder();
         String[] parts = name.replace("\"", "").split("\\.");
         for (int i = 0; i < parts.length; i++) {
             path.append(i == 0 ? "" : ".").append(parts[i].trim());
-            Integer count = counts.get(path.toString());
+            Integer count = tableCounts.get(path.toString());
             if (count != null && i < parts.length - 1) {
                 path.append('[').append(count - 1).append(']');
             }
@@ -56,15 +56,15 @@
     }
 
     /** The line of this key, or of the nearest table round it; 1 where nothing of it is in the text. */
-    int of(String path) {
-        String at = path;
-        while (!at.isEmpty()) {
-            Integer line = lines.get(at);
+    int lineOf(String path) {
+        String prefix = path;
+        while (!prefix.isEmpty()) {
+            Integer line = lines.get(prefix);
             if (line != null) {
                 return line;
             }
-            int cut = Math.max(at.lastIndexOf('.'), at.lastIndexOf('['));
-            at = cut < 0 ? "" : at.substring(0, cut);
+            int parentEnd = Math.max(prefix.lastIndexOf('.'), prefix.lastIndexOf('['));
+            prefix = parentEnd < 0 ? "" : prefix.substring(0, parentEnd);
         }
         return 1;
     }
--- a/lab/src/main/java/dapplequay/lab/text/TomlFile.java
+++ b/lab/src/main/java/dapplequay/lab/text/TomlFile.java
@@ -22,13 +22,13 @@
  */
 public final class TomlFile {
     private final String file;
-    private final KeyLineIndex lines;
+    private final KeyLineIndex keyLines;
     private final Table root;
     private final Map<String, Table> tables = new HashMap<>();
 
     private TomlFile(String file, List<String> text, ObjectNode tree) {
         this.file = file;
-        lines = new KeyLineIndex(text);
+        keyLines = new KeyLineIndex(text);
         root = table("", tree);
     }
 
@@ -49,8 +49,8 @@
                     tree instanceof ObjectNode object ? object : new TomlMapper().createObjectNode());
         } catch (JacksonException e) {
             int line = e.getLocation() == null ? 1 : Math.max(1, e.getLocation().getLineNr());
-            String what = e.getOriginalMessage().lines().findFirst().orElse("not TOML");
-            throw new InvalidFileException(file, line, "", "is not TOML: " + what);
+            String problem = e.getOriginalMessage().lines().findFirst().orElse("not TOML");
+            throw new InvalidFileException(file, line, "", "is not TOML: " + problem);
         }
     }
 
@@ -59,13 +59,13 @@
     }
 
     /** To be called when all has been asked for: the first key that was not is told as unknown. */
-    public void finish() {
+    public void rejectUnknownKeys() {
         for (Table table : List.copyOf(tables.values())) {
             for (Iterator<String> names = table.node.fieldNames(); names.hasNext();) {
                 String name = names.next();
-                if (!table.asked.contains(name)) {
-                    throw table.bad(name, "is no known key here; known: "
-                            + String.join(", ", new TreeSet<>(table.asked)));
+                if (!table.knownKeys.contains(name)) {
+                    throw table.error(name, "is no known key here; known: "
+                            + String.join(", ", new TreeSet<>(table.knownKeys)));
                 }
             }
         }
@@ -79,124 +79,124 @@
     public final class Table {
         private final String path;
         private final ObjectNode node;
-        private final Set<String> asked = new TreeSet<>();
+        private final Set<String> knownKeys = new TreeSet<>();
 
         private Table(String path, ObjectNode node) {
             this.path = path;
             this.node = node;
         }
 
-        public InvalidFileException bad(String key, String what) {
-            String full = path.isEmpty() ? key : key.isEmpty() ? path : path + "." + key;
-            return new InvalidFileException(file, lines.of(full), full, what);
+        public InvalidFileException error(String key, String problem) {
+            String fullPath = path.isEmpty() ? key : key.isEmpty() ? path : path + "." + key;
+            return new InvalidFileException(file, keyLines.lineOf(fullPath), fullPath, problem);
         }
 
         public boolean has(String key) {
-            asked.add(key);
+            knownKeys.add(key);
             return node.has(key);
         }
 
-        private JsonNode need(String key) {
+        private JsonNode require(String key) {
             if (!has(key)) {
-                throw bad(key, "is missing");
+                throw error(key, "is missing");
             }
             return node.get(key);
         }
 
-        public String text(String key) {
-            JsonNode value = need(key);
+        public String string(String key) {
+            JsonNode value = require(key);
             if (!value.isTextual()) {
-                throw bad(key, "must be a text");
+                throw error(key, "must be a text");
             }
             return value.textValue();
         }
 
-        public String text(String key, String absent) {
-            return has(key) ? text(key) : absent;
+        public String string(String key, String defaultValue) {
+            return has(key) ? string(key) : defaultValue;
         }
 
         /** One of these words. */
-        public String word(String key, String absent, List<String> words) {
-            String word = text(key, absent);
-            if (!words.contains(word)) {
-                throw bad(key, "must be one of " + String.join(", ", words) + ", not " + word);
+        public String oneOf(String key, String defaultValue, List<String> allowed) {
+            String word = string(key, defaultValue);
+            if (!allowed.contains(word)) {
+                throw error(key, "must be one of " + String.join(", ", allowed) + ", not " + word);
             }
             return word;
         }
 
-        public boolean truth(String key, boolean absent) {
+        public boolean bool(String key, boolean defaultValue) {
             if (!has(key)) {
-                return absent;
+                return defaultValue;
             }
             if (!node.get(key).isBoolean()) {
-                throw bad(key, "must be true or false");
+                throw error(key, "must be true or false");
             }
             return node.get(key).booleanValue();
         }
 
-        public double real(String key, double absent, double least, double most) {
+        public double number(String key, double defaultValue, double min, double max) {
             if (!has(key)) {
-                return absent;
+                return defaultValue;
             }
             JsonNode value = node.get(key);
             if (!value.isNumber()) {
-                throw bad(key, "must be a number");
+                throw error(key, "must be a number");
             }
             double number = value.doubleValue();
-            if (!(number >= least && number <= most)) {
-                throw bad(key, "must lie between " + plain(least) + " and " + plain(most) + ", not "
-                        + plain(number));
+            if (!(number >= min && number <= max)) {
+                throw error(key, "must lie between " + format(min) + " and " + format(max) + ", not "
+                        + format(number));
             }
             return number;
         }
 
-        public int whole(String key, int absent, int least, int most) {
-            double number = real(key, absent, least, most);
+        public int integer(String key, int defaultValue, int min, int max) {
+            double number = number(key, defaultValue, min, max);
             if (number != Math.rint(number)) {
-                throw bad(key, "must be a whole number");
+                throw error(key, "must be a whole number");
             }
             return (int) number;
         }
 
         /** Microseconds. */
-        public long duration(String key, long absentUs) {
+        public long durationUs(String key, long defaultUs) {
             if (!has(key)) {
-                return absentUs;
+                return defaultUs;
             }
             try {
-                return Durations.parseUs(text(key));
+                return Durations.parseUs(string(key));
             } catch (IllegalArgumentException e) {
-                throw bad(key, e.getMessage());
+                throw error(key, e.getMessage());
             }
         }
 
-        public long duration(String key) {
-            need(key);
-            return duration(key, 0);
+        public long durationUs(String key) {
+            require(key);
+            return durationUs(key, 0);
         }
 
-        public List<String> texts(String key, List<String> absent) {
+        public List<String> strings(String key, List<String> defaultValue) {
             if (!has(key)) {
-                return absent;
+                return defaultValue;
             }
-            List<String> texts = new ArrayList<>();
+            List<String> strings = new ArrayList<>();
             for (JsonNode value : node.get(key)) {
                 if (!value.isTextual()) {
-                    throw bad(key, "must hold texts");
+                    throw error(key, "must hold texts");
                 }
-                texts.add(value.textValue());
+                strings.add(value.textValue());
             }
-            return texts;
+            return strings;
         }
 
-        public List<Double> numbers(String key, List<Double> absent) {
+        public List<Double> numbers(String key, List<Double> defaultValue) {
             if (!has(key)) {
-                return absent;
+                return defaultValue;
             }
             List<Double> numbers = new ArrayList<>();
             for (JsonNode value : node.get(key)) {
                 if (!value.isNumber()) {
-                    throw bad(key, "must hold numbers");
+                    throw error(key, "must hold numbers");
                 }
                 numbers.add(value.doubleValue());
             }
@@ -209,7 +209,7 @@
                 return new Table(path.isEmpty() ? key : path + "." + key, node.objectNode());
             }
             if (!(node.get(key) instanceof ObjectNode object)) {
-                throw bad(key, "must be a table");
+                throw error(key, "must be a table");
             }
             return TomlFile.this.table(path.isEmpty() ? key : path + "." + key, object);
         }
@@ -220,27 +220,27 @@
                 return list;
             }
             if (!node.get(key).isArray()) {
-                throw bad(key, "must be a list of tables, each under [[" + key + "]]");
+                throw error(key, "must be a list of tables, each under [[" + key + "]]");
             }
-            String base = path.isEmpty() ? key : path + "." + key;
-            for (JsonNode one : node.get(key)) {
-                if (!(one instanceof ObjectNode object)) {
-                    throw bad(key, "must hold tables");
+            String arrayPath = path.isEmpty() ? key : path + "." + key;
+            for (JsonNode element : node.get(key)) {
+                if (!(element instanceof ObjectNode object)) {
+                    throw error(key, "must hold tables");
                 }
-                list.add(TomlFile.this.table(base + "[" + list.size() + "]", object));
+                list.add(TomlFile.this.table(arrayPath + "[" + list.size() + "]", object));
             }
             return list;
         }
 
         /** The names of the keys, all of them taken as known: for tables whose keys are free. */
-        public List<String> names() {
-            List<String> names = new ArrayList<>();
-            node.fieldNames().forEachRemaining(names::add);
-            asked.addAll(names);
-            return names;
+        public List<String> keys() {
+            List<String> keys = new ArrayList<>();
+            node.fieldNames().forEachRemaining(keys::add);
+            knownKeys.addAll(keys);
+            return keys;
         }
 
-        private String plain(double number) {
+        private String format(double number) {
             return number == Math.rint(number) && Math.abs(number) < 1e15 ? Long.toString((long) number)
                     : Double.toString(number);
         }
--- a/lab/src/test/java/dapplequay/lab/experiment/JudgeTest.java
+++ b/lab/src/test/java/dapplequay/lab/experiment/JudgeTest.java
@@ -62,7 +62,7 @@
         List<FaultSpec> faults = new ArrayList<>();
         doc.root().tables("fault").forEach(table -> faults.add(FaultSpec.read(table, spec)));
         Profile load = Profile.read(doc.root().table("load"), Path.of("."));
-        doc.finish();
+        doc.rejectUnknownKeys();
         try (Fleet fleet = new Fleet(spec, 1); ScriptedSidecar sidecar = new ScriptedSidecar(fleet, script)) {
             Lives lives = new Lives();
             long start = EventLoop.nowUs() + 100_000;
--- a/lab/src/test/java/dapplequay/lab/http/MessageParserTest.java
+++ b/lab/src/test/java/dapplequay/lab/http/MessageParserTest.java
@@ -40,10 +40,10 @@
             }
             assertThat(messages).hasSize(2);
             assertThat(messages.get(0).bodyText()).isEqualTo("abc");
-            assertThat(messages.get(0).query("w")).isEqualTo("5");
+            assertThat(messages.get(0).queryParameter("w")).isEqualTo("5");
             assertThat(messages.get(0).header("x-call-id")).isEqualTo("9");
             assertThat(messages.get(1).target()).isEqualTo("/b");
-            assertThat(framer.isWithin()).isFalse();
+            assertThat(framer.isMidMessage()).isFalse();
         }
     }
 
@@ -64,8 +64,8 @@
     void anAnswerWithoutLengthEndsWithItsConnection() throws MalformedHttpException {
         MessageParser framer = new MessageParser(true);
         assertThat(all(framer, "HTTP/1.1 200 OK||some")).isEmpty();
-        assertThat(framer.atEnd().bodyText()).isEqualTo("some");
-        assertThat(new MessageParser(true).atEnd()).isNull();
+        assertThat(framer.finishAtEndOfStream().bodyText()).isEqualTo("some");
+        assertThat(new MessageParser(true).finishAtEndOfStream()).isNull();
     }
 
     @ParameterizedTest
--- a/lab/src/test/java/dapplequay/lab/load/ScheduleTest.java
+++ b/lab/src/test/java/dapplequay/lab/load/ScheduleTest.java
@@ -19,7 +19,7 @@
                 + "|name = 'quote'|share = 0.5|repeats = 'retryable'|[[load.tenant]]|name = 'a'|share = 0.75"
                 + "|[[load.tenant]]|name = 'b'|share = 0.25").replace("|", "\n"));
         Profile profile = Profile.read(doc.root().table("load"), Path.of("."));
-        doc.finish();
+        doc.rejectUnknownKeys();
         return profile;
     }
 
--- a/lab/src/test/java/dapplequay/lab/model/ColdBudgetTest.java
+++ b/lab/src/test/java/dapplequay/lab/model/ColdBudgetTest.java
@@ -12,21 +12,21 @@
 
     @Test
     void aBurstAtTheStartIsHeldAgainstTheColdCapacity() {
-        assertThat(budget().sent(0, 1_500_000)).isCloseTo(0.5, within(0.001));
-        assertThat(budget().sent(0, 3_100_000)).isGreaterThan(1);
+        assertThat(budget().recordWork(0, 1_500_000)).isCloseTo(0.5, within(0.001));
+        assertThat(budget().recordWork(0, 3_100_000)).isGreaterThan(1);
     }
 
     @Test
     void oldWorkLeavesTheWindow() {
         ColdBudget budget = budget();
-        budget.sent(0, 2_900_000);
-        assertThat(budget.sent(2_000_000, 2_900_000)).isLessThan(1);
-        assertThat(budget.worst()).isCloseTo(0.967, within(0.001));
+        budget.recordWork(0, 2_900_000);
+        assertThat(budget.recordWork(2_000_000, 2_900_000)).isLessThan(1);
+        assertThat(budget.maxUsedShare()).isCloseTo(0.967, within(0.001));
     }
 
     @Test
     void theBudgetRisesWithTheHostsWarmth() {
-        assertThat(budget().sent(5_500_000, 1_000_000)).isCloseTo(1.0 / (3 * 1.5), within(0.005));
-        assertThat(budget().sent(60_000_000, 1e12)).as("warm for long").isZero();
+        assertThat(budget().recordWork(5_500_000, 1_000_000)).isCloseTo(1.0 / (3 * 1.5), within(0.005));
+        assertThat(budget().recordWork(60_000_000, 1e12)).as("warm for long").isZero();
     }
 }
--- a/lab/src/test/java/dapplequay/lab/model/HostModelTest.java
+++ b/lab/src/test/java/dapplequay/lab/model/HostModelTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.within;
 
 import dapplequay.lab.model.HostModel.Admission;
-import dapplequay.lab.model.HostModel.Ended;
-import dapplequay.lab.model.HostModel.Fate;
+import dapplequay.lab.model.HostModel.EndState;
+import dapplequay.lab.model.HostModel.RequestEnd;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -15,7 +15,7 @@
 class HostModelTest {
     private static final long T0 = 1_000_000_000L;
 
-    private final List<Ended> ended = new ArrayList<>();
+    private final List<RequestEnd> ended = new ArrayList<>();
 
     private static UniformRandomProvider random() {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(5);
@@ -31,7 +31,7 @@
         assertThat(model.offer(T0, 1, 100_000, ended)).isEqualTo(Admission.WORKING);
         assertThat(model.nextEndUs()).isEqualTo(T0 + 50_000);
         model.advance(T0 + 50_000, ended);
-        assertThat(ended).containsExactly(new Ended(1, T0 + 50_000, Fate.SERVED, 100_000));
+        assertThat(ended).containsExactly(new RequestEnd(1, T0 + 50_000, EndState.SERVED, 100_000));
         assertThat(model.held()).isZero();
         assertThat(model.nextEndUs()).isEqualTo(Long.MAX_VALUE);
     }
@@ -69,7 +69,7 @@
             model.offer(at, id++, 100_000, key, ended);
             model.advance(at + 200_000, ended);
         }
-        assertThat(ended).extracting(Ended::workUs).containsExactly(100_000.0, 50_000.0, 100_000.0, 50_000.0,
+        assertThat(ended).extracting(RequestEnd::workUs).containsExactly(100_000.0, 50_000.0, 100_000.0, 50_000.0,
                 100_000.0, 100_000.0, 100_000.0, 100_000.0);
     }
 
@@ -79,7 +79,7 @@
         model.offer(T0, 1, 100_000, ended);
         model.offer(T0, 2, 40_000, ended);
         model.advance(T0 + 300_000, ended);
-        assertThat(ended).extracting(Ended::atUs).containsExactly(T0 + 80_000, T0 + 140_000);
+        assertThat(ended).extracting(RequestEnd::atUs).containsExactly(T0 + 80_000, T0 + 140_000);
     }
 
     @Test
@@ -89,7 +89,7 @@
         assertThat(model.offer(T0, 2, 10_000, ended)).isEqualTo(Admission.WAITING);
         assertThat(model.offer(T0, 3, 10_000, ended)).isEqualTo(Admission.FULL);
         model.advance(T0 + 100_000, ended);
-        assertThat(ended).extracting(Ended::id).containsExactly(1L, 2L);
+        assertThat(ended).extracting(RequestEnd::id).containsExactly(1L, 2L);
         assertThat(ended.get(1).atUs()).isEqualTo(T0 + 20_000);
     }
 
@@ -142,8 +142,8 @@
         HostModel stops = warm(new HostSpec.Builder().build());
         stops.offer(T0, 1, 100_000, ended);
         stops.giveUp(T0 + 30_000, 1, ended);
-        assertThat(ended).containsExactly(new Ended(1, T0 + 30_000, Fate.STOPPED, 30_000));
-        assertThat(stops.wastedUs()).isEqualTo(30_000);
+        assertThat(ended).containsExactly(new RequestEnd(1, T0 + 30_000, EndState.STOPPED, 30_000));
+        assertThat(stops.wastedWorkUs()).isEqualTo(30_000);
         assertThat(stops.held()).isZero();
         ended.clear();
         HostModel goesOn = warm(new HostSpec.Builder().stopsOnCancel(false).build());
@@ -151,8 +151,8 @@
         goesOn.giveUp(T0 + 30_000, 1, ended);
         assertThat(ended).isEmpty();
         goesOn.advance(T0 + 100_000, ended);
-        assertThat(ended).containsExactly(new Ended(1, T0 + 100_000, Fate.STOPPED, 100_000));
-        assertThat(goesOn.wastedUs()).isEqualTo(100_000);
+        assertThat(ended).containsExactly(new RequestEnd(1, T0 + 100_000, EndState.STOPPED, 100_000));
+        assertThat(goesOn.wastedWorkUs()).isEqualTo(100_000);
     }
 
     @Test
@@ -189,8 +189,8 @@
             model.offer(T0 + i * 50_000L, i, 10_000, ended);
         }
         model.advance(T0 + 500_000_000L, ended);
-        for (Ended end : ended) {
-            failed += end.fate() == Fate.FAILED ? 1 : 0;
+        for (RequestEnd end : ended) {
+            failed += end.state() == EndState.FAILED ? 1 : 0;
         }
         assertThat(ended).hasSize(4000);
         assertThat(failed).isBetween(900, 1100);
@@ -200,7 +200,7 @@
     void slownessCountsFromItsMomentOn() {
         HostModel model = warm(new HostSpec.Builder().build());
         model.offer(T0, 1, 100_000, ended);
-        model.slowness(T0 + 50_000, 2, ended);
+        model.slowdownFactor(T0 + 50_000, 2, ended);
         assertThat(model.nextEndUs()).isEqualTo(T0 + 150_000);
     }
 }
--- a/lab/src/test/java/dapplequay/lab/model/QueueTheoryTest.java
+++ b/lab/src/test/java/dapplequay/lab/model/QueueTheoryTest.java
@@ -26,7 +26,7 @@
                 MEAN_US / (load * spec.fullCapacity()));
         DoubleSupplier works = work.apply(random);
         HostModel model = new HostModel(spec, random, 0, false);
-        List<HostModel.Ended> ended = new ArrayList<>();
+        List<HostModel.RequestEnd> ended = new ArrayList<>();
         Map<Long, Double> came = new HashMap<>();
         double now = 0;
         double sum = 0;
@@ -35,7 +35,7 @@
             now += gaps.sample();
             came.put(id, Math.floor(now));
             model.offer((long) now, id, works.getAsDouble(), ended);
-            for (HostModel.Ended end : ended) {
+            for (HostModel.RequestEnd end : ended) {
                 sum += end.atUs() - came.remove(end.id());
                 counted++;
             }
--- a/lab/src/test/java/dapplequay/lab/text/TomlFileTest.java
+++ b/lab/src/test/java/dapplequay/lab/text/TomlFileTest.java
@@ -15,7 +15,7 @@
         TomlFile doc = TomlFile.parse("f.toml", text.replace("|", "\n"));
         FleetSpec fleet = FleetSpec.read(doc.root().table("fleet"), 1, 1);
         doc.root().tables("fault").forEach(table -> FaultSpec.read(table, fleet));
-        doc.finish();
+        doc.rejectUnknownKeys();
     }
 
     @ParameterizedTest
