--- a/lab/src/main/java/dapplequay/lab/cli/LoadCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/LoadCommand.java
@@ -88,8 +88,8 @@
         if (parsed.load() == null) {
             throw new dapplequay.lab.text.InvalidFileException(profile, 1, "load", "is missing");
         }
-        return parsed.load().with(rate == 0 ? parsed.load().ratePerS() : rate,
-                forUs == 0 ? parsed.load().forUs() : forUs);
+        return parsed.load().withRateFor(rate == 0 ? parsed.load().ratePerS() : rate,
+                forUs == 0 ? parsed.load().durationUs() : forUs);
     }
 
     @SuppressWarnings("deprecation")
--- a/lab/src/main/java/dapplequay/lab/experiment/Judge.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Judge.java
@@ -47,9 +47,9 @@
             byCall.computeIfAbsent(visit.call, c -> new ArrayList<>()).add(visit);
         }
         byCall.values().forEach(visits -> visits.sort(Comparator.comparingLong(visit -> visit.firstByteUs)));
-        for (List<ClientAttempt> tries : run.result().tries()) {
+        for (List<ClientAttempt> tries : run.result().attempts()) {
             for (ClientAttempt one : tries) {
-                tryOfCall.put(one.call, one);
+                tryOfCall.put(one.callId, one);
             }
         }
     }
@@ -81,10 +81,10 @@
         long none = 0;
         Map<Integer, double[]> byTenant = new TreeMap<>();
         Map<Long, double[]> byWindow = new TreeMap<>();
-        for (List<ClientAttempt> tries : run.result().tries()) {
+        for (List<ClientAttempt> tries : run.result().attempts()) {
             ClientAttempt first = tries.get(0);
             ClientAttempt last = tries.get(tries.size() - 1);
-            Profile.Service service = run.load().services().get(first.arrival.service());
+            Profile.Service service = run.load().services().get(first.arrival.serviceIndex());
             double worth = 0;
             if (last.isServed() && last.endUs <= last.giveUpUs) {
                 boolean timely = last.endUs - first.dueUs <= service.aimUs();
@@ -100,7 +100,7 @@
             }
             asked += service.worth();
             inTime += worth;
-            add(byTenant, first.arrival.tenant(), service.worth(), worth);
+            add(byTenant, first.arrival.tenantIndex(), service.worth(), worth);
             add(byWindow, first.arrival.dueUs() / WINDOW_US, service.worth(), worth);
         }
         double all = Math.max(1, run.result().scheduled());
@@ -168,11 +168,11 @@
             }
             boolean isLate = one.isAnswered() && one.endUs > one.giveUpUs + CLOCK_SLACK_US;
             if ((!one.isAnswered() || isLate) && isHeldTo(one)) {
-                answered.broken(one.call + " at n" + one.arrival.target() + ": " + one.outcome
+                answered.broken(one.callId + " at n" + one.arrival.targetIndex() + ": " + one.outcome
                         + String.format(Locale.ROOT, " %.0f ms after its budget", (one.endUs - one.giveUpUs) / 1e3));
             }
             if (one.isServed() && !isGenuine(one)) {
-                genuine.broken(one.call + " got " + String.valueOf(one.body).trim());
+                genuine.broken(one.callId + " got " + String.valueOf(one.body).trim());
             }
         }
         verdict.figure("lost", answered.broken());
@@ -180,7 +180,7 @@
 
     /** Whether the sidecar was there for the whole of this try, or had taken it before it was told to end. */
     private boolean isHeldTo(ClientAttempt one) {
-        Lives.Life life = run.lives().at(one.arrival.target(), one.sentUs);
+        Lives.Life life = run.lives().at(one.arrival.targetIndex(), one.sentUs);
         if (life == null || life.readyUs == 0) {
             return false;
         }
@@ -191,7 +191,7 @@
     }
 
     private boolean isGenuine(ClientAttempt one) {
-        for (Visit visit : byCall.getOrDefault(one.call, List.of())) {
+        for (Visit visit : byCall.getOrDefault(one.callId, List.of())) {
             if (visit.did == FleetLog.Did.SERVED && one.body != null
                     && one.body.equals(visit.call + " " + Long.toHexString(visit.nonce) + " " + visit.uid + "\n")) {
                 return true;
@@ -208,13 +208,13 @@
                 continue;
             }
             if (!one.hasRetryAfter) {
-                advice.broken(one.call);
+                advice.broken(one.callId);
             }
-            Profile.Service service = run.load().services().get(one.arrival.service());
+            Profile.Service service = run.load().services().get(one.arrival.serviceIndex());
             boolean mayRepeat = service.isRetryable() || service.isKeyed() && service.group().equals("all");
-            for (Visit visit : byCall.getOrDefault(one.call, List.of())) {
+            for (Visit visit : byCall.getOrDefault(one.callId, List.of())) {
                 if (!mayRepeat && visit.mayHaveRun()) {
-                    truthful.broken(one.call + " was refused, and " + visit.uid + " had " + visit.did);
+                    truthful.broken(one.callId + " was refused, and " + visit.uid + " had " + visit.did);
                     break;
                 }
             }
@@ -235,14 +235,14 @@
         for (Map.Entry<String, List<Visit>> entry : byKey.entrySet()) {
             ClientAttempt one = tryOfCall.get(entry.getValue().get(0).call);
             if (one != null) {
-                Profile.Service service = run.load().services().get(one.arrival.service());
+                Profile.Service service = run.load().services().get(one.arrival.serviceIndex());
                 repeated(service, entry.getKey(), entry.getValue(), rule);
                 doubled += isDoubled(service, entry.getValue()) ? 1 : 0;
             }
         }
         for (Map.Entry<String, List<Visit>> entry : byCall.entrySet()) {
             ClientAttempt one = tryOfCall.get(entry.getKey());
-            Profile.Service service = one == null ? null : run.load().services().get(one.arrival.service());
+            Profile.Service service = one == null ? null : run.load().services().get(one.arrival.serviceIndex());
             if (service != null && service.repeats().equals("fragile")) {
                 repeated(service, entry.getKey(), entry.getValue(), rule);
             }
@@ -325,7 +325,7 @@
             if (one == null) {
                 continue;
             }
-            int view = one.arrival.target();
+            int view = one.arrival.targetIndex();
             Lives.Life life = run.lives().at(view, visit.firstByteUs);
             FleetLog.Told since = null;
             for (FleetLog.Told news : told.getOrDefault(view + " " + visit.uid, List.of())) {
@@ -362,9 +362,9 @@
                     knowing += wasToldOf(start, visit) ? visit.askedUs : 0;
                 }
             }
-            worst = Math.max(worst, budget.maxUsedShare());
-            if (budget.maxUsedShare() > 1 && (run.lives() == null || knowing * 3 >= all * 2)) {
-                rule.broken(start.uid() + String.format(Locale.ROOT, " was sent %.2f of its budget", budget.maxUsedShare()));
+            worst = Math.max(worst, budget.maxUsed());
+            if (budget.maxUsed() > 1 && (run.lives() == null || knowing * 3 >= all * 2)) {
+                rule.broken(start.uid() + String.format(Locale.ROOT, " was sent %.2f of its budget", budget.maxUsed()));
             }
         }
         verdict.figure("cold_budget_used", worst);
@@ -373,7 +373,7 @@
     private boolean wasToldOf(FleetLog.Start start, Visit visit) {
         ClientAttempt one = tryOfCall.get(visit.call);
         for (FleetLog.Told news : allTold) {
-            if (one != null && news.view() == one.arrival.target() && news.uid().equals(start.uid())
+            if (one != null && news.view() == one.arrival.targetIndex() && news.uid().equals(start.uid())
                     && news.bootMs() >= start.atUs() / 1000 - 1 && news.atUs() <= visit.firstByteUs) {
                 return true;
             }
--- a/lab/src/main/java/dapplequay/lab/experiment/Runner.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Runner.java
@@ -51,7 +51,8 @@
 
     private Done run(Variant variant, int repeat) throws IOException, InterruptedException {
         long seed = spec.seed() + repeat;
-        Profile load = variant.rate() > 0 ? spec.load().with(variant.rate(), spec.load().forUs()) : spec.load();
+        Profile load = variant.rate() > 0
+                ? spec.load().withRateFor(variant.rate(), spec.load().durationUs()) : spec.load();
         FaultScript script = FaultScript.draw(spec.fleet(), variant.faults() ? spec.faults() : List.of(), seed);
         String name = variant.name() + ", seed " + seed;
         progress.accept(name + ": starting");
--- a/lab/src/main/java/dapplequay/lab/fleet/Discovery.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/Discovery.java
@@ -164,7 +164,7 @@
         protected void onBytesReceived() throws IOException {
             Message request;
             try {
-                request = framer.next();
+                request = parser.next();
             } catch (MalformedHttpException e) {
                 close();
                 return;
--- a/lab/src/main/java/dapplequay/lab/fleet/FleetSpec.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/FleetSpec.java
@@ -106,7 +106,8 @@
                 .errors(table.number("errors", 0, 0, 1), table.durationUs("error_takes", 2_000))
                 .stopsOnCancel(table.bool("stops_on_cancel", true))
                 .tips(table.number("tip_multiple", 3, 0, 1000), table.durationUs("tip_after", 3_000_000))
-                .chokes(new HostSpec.Choke(table.number("choke_at", 0, 0, 1e6), table.durationUs("choke_after", 2_000_000),
+                .chokes(new HostSpec.Choke(table.number("choke_at", 0, 0, 1e6),
+                        table.durationUs("choke_after", 2_000_000),
                         table.number("choke_slower", 2.5, 1, 1000), table.number("choke_below", 0.3, 0, 1),
                         table.durationUs("choke_rest", 3_000_000), table.durationUs("choke_most", 25_000_000)))
                 .remembers(new HostSpec.Keys(table.number("key_gain", 0, 0, 1), table.durationUs("key_for", 6_000_000),
--- a/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
@@ -360,7 +360,7 @@
         }
 
         boolean isIdleSince(long us) {
-            return requestInModel < 0 && !framer.isMidMessage() && quietSinceUs < us && !mute;
+            return requestInModel < 0 && !parser.isMidMessage() && quietSinceUs < us && !mute;
         }
 
         void hush() {
@@ -374,7 +374,7 @@
             }
             Message request;
             try {
-                request = framer.next();
+                request = parser.next();
             } catch (MalformedHttpException e) {
                 answerPlain(400, e.getMessage() + "\n", true);
                 return;
--- a/lab/src/main/java/dapplequay/lab/http/HttpConnection.java
+++ b/lab/src/main/java/dapplequay/lab/http/HttpConnection.java
@@ -8,13 +8,14 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayDeque;
 
-/** One non-blocking connection of a loop: reads into a framer, writes what it can and keeps the rest. */
+/** A non-blocking HTTP connection on an event loop: parses what it reads and queues what it cannot write yet. */
 public abstract class HttpConnection implements EventLoop.Handler {
-    /** One buffer for each loop's thread: what is read is copied into the framer at once. */
-    private static final ThreadLocal<ByteBuffer> READ_BUFFER = ThreadLocal.withInitial(() -> ByteBuffer.allocate(65536));
+    /** Read buffer shared by all connections of a thread; its content is copied into the parser at once. */
+    private static final ThreadLocal<ByteBuffer> READ_BUFFER =
+            ThreadLocal.withInitial(() -> ByteBuffer.allocate(65536));
 
     protected final SocketChannel channel;
-    protected final MessageParser framer;
+    protected final MessageParser parser;
     private final ArrayDeque<ByteBuffer> pendingWrites = new ArrayDeque<>(0);
     private SelectionKey key;
     private boolean closed;
@@ -23,20 +24,20 @@
 
     protected HttpConnection(SocketChannel channel, boolean responses) {
         this.channel = channel;
-        framer = new MessageParser(responses);
+        parser = new MessageParser(responses);
     }
 
     public void register(EventLoop loop, int interest) throws IOException {
         key = loop.register(channel, interest, this);
     }
 
-    /** Bytes have come; they are in the framer. */
+    /** Called when bytes have arrived and were passed to the parser. */
     protected abstract void onBytesReceived() throws IOException;
 
-    /** The peer sends nothing more. */
+    /** Called when the peer has closed its side of the connection. */
     protected abstract void onPeerClosed();
 
-    /** The connection is closed, whoever did it; told once. */
+    /** Called once when the connection is closed, by either side. */
     protected abstract void onClosed();
 
     protected void onConnected() throws IOException { }
@@ -65,7 +66,7 @@
             return;
         }
         buffer.flip();
-        framer.append(buffer);
+        parser.append(buffer);
         onBytesReceived();
     }
 
@@ -81,7 +82,7 @@
         }
     }
 
-    /** Closes in order when all that was written has left. */
+    /** Closes the connection once all queued bytes are written. */
     protected void closeWhenWritten() {
         closeWhenWritten = true;
         if (pendingWrites.isEmpty()) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Reads nothing more: the peer finds the connection open and silent. */
+    /** Stops reading but keeps the connection open, so that the peer gets no answer. */
     protected void stopReading() {
         readingStopped = true;
         setInterest(0);
@@ -133,7 +134,7 @@
         onClosed();
     }
 
-    /** Closes with a reset in place of an orderly end. */
+    /** Closes the connection with a TCP reset. */
     public void reset() {
         try {
             channel.setOption(StandardSocketOptions.SO_LINGER, 0);
--- a/lab/src/main/java/dapplequay/lab/http/Message.java
+++ b/lab/src/main/java/dapplequay/lab/http/Message.java
@@ -3,24 +3,24 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** One whole request or response. Header names are in lower case. */
+/** A complete HTTP request or response. Header names are in lower case. */
 public record Message(String startLine, Map<String, String> headers, byte[] body) {
     public String header(String name) {
         return headers.get(name);
     }
 
-    /** The method of a request. */
+    /** Returns the method; for requests only. */
     public String method() {
         return startLine.substring(0, startLine.indexOf(' '));
     }
 
-    /** Path and query of a request. */
+    /** Returns path and query; for requests only. */
     public String target() {
         int targetStart = startLine.indexOf(' ') + 1;
         return startLine.substring(targetStart, startLine.indexOf(' ', targetStart));
     }
 
-    /** The status of a response. */
+    /** Returns the status code; for responses only. */
     public int status() {
         return Integer.parseInt(startLine.substring(9, 12));
     }
@@ -31,7 +31,7 @@
         return !closeRequested && (startLine.startsWith("HTTP/1.1") || startLine.endsWith("HTTP/1.1"));
     }
 
-    /** One value of the query of a request, or null. */
+    /** Returns the undecoded value of a query parameter, or null if it is absent; for requests only. */
     public String queryParameter(String name) {
         String target = target();
         int queryStart = target.indexOf('?');
--- a/lab/src/main/java/dapplequay/lab/http/MessageParser.java
+++ b/lab/src/main/java/dapplequay/lab/http/MessageParser.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Cuts a stream of bytes into HTTP/1.1 messages. It is the laboratory's own reading, apart from the sidecar's,
- * so that a fault of one is not hidden by the same fault in the other.
+ * Incremental HTTP/1.1 parser that splits a byte stream into messages. It shares no code with the sidecar's
+ * parser, so that a bug in one is not hidden by the same bug in the other.
  */
 public final class MessageParser {
     private static final int MAX_HEAD_BYTES = 32 * 1024;
@@ -26,7 +26,7 @@
     private boolean bodyEndsWithStream;
     private final java.io.ByteArrayOutputStream chunkedBody = new java.io.ByteArrayOutputStream(0);
 
-    /** {@code responses}: whether the stream holds responses, or else requests. */
+    /** Creates a parser for a stream of responses, or of requests if {@code responses} is false. */
     public MessageParser(boolean responses) {
         this.responses = responses;
     }
@@ -45,12 +45,12 @@
         limit += count;
     }
 
-    /** Whether a message has begun and is not whole. */
+    /** True if a message has begun and is not complete. */
     public boolean isMidMessage() {
         return limit > position || startLine != null;
     }
 
-    /** The next whole message, or null where more bytes are needed. */
+    /** Returns the next complete message, or null if more bytes are needed. */
     public Message next() throws MalformedHttpException {
         if (startLine == null && !parseHead()) {
             return null;
@@ -66,7 +66,7 @@
         return complete(body);
     }
 
-    /** The peer sends nothing more: the message that this ends, or null. */
+    /** Returns the message whose body the end of the stream completes, or null. */
     public Message finishAtEndOfStream() {
         if (startLine == null || !bodyEndsWithStream) {
             return null;
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Whether the last chunk is in. */
+    /** Reads the chunks that are complete; true if the last one was among them. */
     private boolean readChunks() throws MalformedHttpException {
         while (true) {
             int lineEnd = find(position, "\r\n");
--- a/lab/src/main/java/dapplequay/lab/load/Arrival.java
+++ b/lab/src/main/java/dapplequay/lab/load/Arrival.java
@@ -1,18 +1,18 @@
 package dapplequay.lab.load;
 
 /**
- * One request that is due, drawn ahead of the run.
+ * One scheduled request, drawn before the run starts. Times are in microseconds.
  *
- * @param number   place in the schedule, from 0
- * @param dueUs    when it is due, from the start of the load
- * @param service  place of its class
- * @param tenant   place of its tenant, or -1
- * @param target   place of the sidecar that gets it
- * @param workUs   work that it costs a host
- * @param key      its order key, or null
- * @param about    what it is about, or null
- * @param call     id of the first try; later tries count on from it
- * @param patience share of the class's deadline that the client waits
+ * @param index          position in the schedule, from 0
+ * @param dueUs          when it is due, counted from the start of the load
+ * @param serviceIndex   index of its service class in the profile
+ * @param tenantIndex    index of its tenant in the profile, or -1
+ * @param targetIndex    index of the sidecar that receives it
+ * @param workUs         work that it costs a host, in microseconds of a core of speed 1
+ * @param idempotencyKey its idempotency key, or null
+ * @param objectId       the object that it is about, or null
+ * @param firstCallId    call id of the first try; later tries add 1 each
+ * @param patienceShare  share of the class's deadline that the client waits, up to 1
  */
-public record Arrival(int number, long dueUs, int service, int tenant, int target, long workUs, String key,
-                      String about, long call, double patience) { }
+public record Arrival(int index, long dueUs, int serviceIndex, int tenantIndex, int targetIndex, long workUs,
+                      String idempotencyKey, String objectId, long firstCallId, double patienceShare) { }
--- a/lab/src/main/java/dapplequay/lab/load/ClientAttempt.java
+++ b/lab/src/main/java/dapplequay/lab/load/ClientAttempt.java
@@ -1,8 +1,8 @@
 package dapplequay.lab.load;
 
-/** One try of a client, with what came of it. Times are Unix microseconds; 0: did not happen. */
+/** One try of a client and its outcome. Times are Unix microseconds; 0 means that it did not happen. */
 public final class ClientAttempt {
-    /** What a client saw that is no status of an answer. */
+    /** The constants below are the outcomes other than the status of an answer. */
     public static final String TIMEOUT = "timeout";
     public static final String RESET = "reset";
     public static final String REFUSED = "refused-connect";
@@ -10,23 +10,23 @@
     public static final String UNSENT = "unsent";
 
     public final Arrival arrival;
-    public final int number;
-    public final String call;
+    public final int attemptIndex;
+    public final String callId;
     public final long dueUs;
     public long sentUs;
     public long endUs;
     public long giveUpUs;
-    /** Status of the answer, or one of the words above. */
+    /** Status code of the answer, or one of the constants above. */
     public String outcome = UNSENT;
-    /** The body of the answer, where the host's word in it is to be checked; else null. */
+    /** Body of the answer, kept if the profile has service classes; else null. */
     public String body;
     public boolean hasRetryAfter;
     public long retryAfterUs;
 
-    ClientAttempt(Arrival arrival, int number, String call, long dueUs) {
+    ClientAttempt(Arrival arrival, int attemptIndex, String callId, long dueUs) {
         this.arrival = arrival;
-        this.number = number;
-        this.call = call;
+        this.attemptIndex = attemptIndex;
+        this.callId = callId;
         this.dueUs = dueUs;
     }
 
@@ -38,7 +38,7 @@
         return outcome.equals("429") || outcome.equals("503");
     }
 
-    /** Whether an answer came whole, of whatever status. */
+    /** True if a complete answer arrived, with any status. */
     public boolean isAnswered() {
         return Character.isDigit(outcome.charAt(0));
     }
--- a/lab/src/main/java/dapplequay/lab/load/Generator.java
+++ b/lab/src/main/java/dapplequay/lab/load/Generator.java
@@ -18,16 +18,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Sends a schedule on time, whatever the answers do: open loop. Clients keep their connections and open more
- * when all are busy, as the protocol says; each waits for its answer until its budget is over, and retries as
- * the profile tells. What could not be sent on time is in the result, never left out.
+ * Open-loop load generator: sends each request when it is due, whether or not earlier answers have come. Clients
+ * reuse idle connections and open more when all are busy. Each client waits for its answer until its budget is
+ * over, and retries as the profile says. Requests that could not be sent on time stay in the result.
  */
 public final class Generator {
-    private static final long AFTER_END_US = 1_000_000;
-    /** A client that has given up still notes an answer within this time, so that late ones are told from none. */
-    private static final long GRACE_US = 100_000;
+    private static final long AWAIT_SLACK_US = 1_000_000;
+    /** Time after the deadline in which an answer is still recorded, to tell late answers from missing ones. */
+    private static final long LATE_ANSWER_GRACE_US = 100_000;
 
-    /** Where a run stands, for who shows progress. */
+    /** The number of requests due so far, and of those that have ended. */
     public record Progress(long due, long ended) { }
 
     private final Profile profile;
@@ -35,24 +35,24 @@
     private final List<InetSocketAddress> targets;
     private final int connectionsMax;
     private final List<EventLoop> loops = new ArrayList<>();
-    private final List<List<ClientAttempt>> tries = new ArrayList<>();
-    private final CountDownLatch left;
-    private final AtomicLong opened = new AtomicLong();
+    private final List<List<ClientAttempt>> attempts = new ArrayList<>();
+    private final CountDownLatch unfinished;
+    private final AtomicLong connectionsOpened = new AtomicLong();
     private long startUs;
 
-    /** {@code connectionsMax}: open connections at once, all targets together. */
+    /** Creates a generator with at most {@code connectionsMax} open connections, all targets together. */
     public Generator(Profile profile, Schedule schedule, List<InetSocketAddress> targets, int connectionsMax) {
         this.profile = profile;
         this.schedule = schedule;
         this.targets = targets;
         this.connectionsMax = connectionsMax;
-        left = new CountDownLatch(schedule.arrivals().size());
+        unfinished = new CountDownLatch(schedule.arrivals().size());
         for (int i = 0; i < schedule.arrivals().size(); i++) {
-            tries.add(new ArrayList<>(1));
+            attempts.add(new ArrayList<>(1));
         }
     }
 
-    /** Begins at this time, Unix microseconds; returns at once. */
+    /** Starts the load at this time, in Unix microseconds; returns at once. */
     public void start(long atUs) {
         startUs = atUs;
         int count = Math.max(1, Math.min(connectionsMax,
@@ -61,197 +61,200 @@
             loops.add(new EventLoop("load-" + i));
         }
         for (int i = 0; i < count; i++) {
-            List<Arrival> own = new ArrayList<>();
+            List<Arrival> ownArrivals = new ArrayList<>();
             for (int k = i; k < schedule.arrivals().size(); k += count) {
-                own.add(schedule.arrivals().get(k));
+                ownArrivals.add(schedule.arrivals().get(k));
             }
-            int most = connectionsMax / count + (i < connectionsMax % count ? 1 : 0);
-            Sender sender = new Sender(loops.get(i), own, most);
-            loops.get(i).post(sender::next);
+            int maxConnections = connectionsMax / count + (i < connectionsMax % count ? 1 : 0);
+            Sender sender = new Sender(loops.get(i), ownArrivals, maxConnections);
+            loops.get(i).post(sender::sendDue);
         }
     }
 
     public Progress progress() {
         long passed = EventLoop.nowUs() - startUs;
-        long due = schedule.arrivals().stream().filter(a -> a.dueUs() <= passed).count();
-        return new Progress(due, schedule.arrivals().size() - left.getCount());
+        long due = schedule.arrivals().stream().filter(arrival -> arrival.dueUs() <= passed).count();
+        return new Progress(due, schedule.arrivals().size() - unfinished.getCount());
     }
 
-    /** Waits until every request has its end, at the latest when the last client's patience is over. */
+    /** Waits until every request has ended, but no longer than the last client can take with all its retries. */
     public LoadResult await() throws InterruptedException {
         long lastDue = schedule.arrivals().isEmpty() ? 0
                 : schedule.arrivals().get(schedule.arrivals().size() - 1).dueUs();
         long patience = profile.services().stream().mapToLong(Profile.Service::deadlineUs).max()
                 .orElse(profile.timeoutUs());
-        long until = startUs + lastDue + AFTER_END_US
+        long until = startUs + lastDue + AWAIT_SLACK_US
                 + (profile.retries() + 1) * (patience + profile.retryWaitUs() + 5_000_000);
-        left.await(Math.max(0, until - EventLoop.nowUs()), TimeUnit.MICROSECONDS);
+        unfinished.await(Math.max(0, until - EventLoop.nowUs()), TimeUnit.MICROSECONDS);
         loops.forEach(EventLoop::close);
-        return new LoadResult(profile, schedule, tries, startUs, opened.get());
+        return new LoadResult(profile, schedule, attempts, startUs, connectionsOpened.get());
     }
 
-    /** The part of the load that one loop sends; all of it runs on that loop's thread. */
+    /** Sends one event loop's share of the load; runs on that loop's thread only. */
     private final class Sender {
         private final EventLoop loop;
         private final List<Arrival> arrivals;
-        private final int most;
-        private final List<ArrayDeque<Client>> idle = new ArrayList<>();
-        private final ArrayDeque<Flight> unsent = new ArrayDeque<>();
-        private int open;
-        private int at;
+        private final int maxConnections;
+        private final List<ArrayDeque<Connection>> idleByTarget = new ArrayList<>();
+        private final ArrayDeque<PendingAttempt> waitingForConnection = new ArrayDeque<>();
+        private int openConnections;
+        private int nextArrival;
 
-        Sender(EventLoop loop, List<Arrival> arrivals, int most) {
+        Sender(EventLoop loop, List<Arrival> arrivals, int maxConnections) {
             this.loop = loop;
             this.arrivals = arrivals;
-            this.most = most;
-            targets.forEach(target -> idle.add(new ArrayDeque<>()));
+            this.maxConnections = maxConnections;
+            targets.forEach(target -> idleByTarget.add(new ArrayDeque<>()));
         }
 
-        void next() {
+        void sendDue() {
             long now = EventLoop.nowUs();
-            while (at < arrivals.size() && startUs + arrivals.get(at).dueUs() <= now) {
-                Arrival arrival = arrivals.get(at++);
-                begin(new Flight(arrival, 0, startUs + arrival.dueUs()));
+            while (nextArrival < arrivals.size() && startUs + arrivals.get(nextArrival).dueUs() <= now) {
+                Arrival arrival = arrivals.get(nextArrival++);
+                begin(new PendingAttempt(arrival, 0, startUs + arrival.dueUs()));
             }
-            if (at < arrivals.size()) {
-                loop.schedule(startUs + arrivals.get(at).dueUs(), this::next);
+            if (nextArrival < arrivals.size()) {
+                loop.schedule(startUs + arrivals.get(nextArrival).dueUs(), this::sendDue);
             }
         }
 
-        private void begin(Flight flight) {
-            tries.get(flight.row.arrival.number()).add(flight.row);
-            long grace = profile.services().isEmpty() ? 0 : GRACE_US;
-            flight.giveUp = loop.schedule(flight.row.giveUpUs + grace, () -> end(flight, flight.row.sentUs == 0
-                    ? ClientAttempt.UNSENT : ClientAttempt.TIMEOUT));
-            place(flight);
+        private void begin(PendingAttempt pending) {
+            attempts.get(pending.attempt.arrival.index()).add(pending.attempt);
+            long grace = profile.services().isEmpty() ? 0 : LATE_ANSWER_GRACE_US;
+            pending.giveUpTimer = loop.schedule(pending.attempt.giveUpUs + grace, () -> end(pending,
+                    pending.attempt.sentUs == 0 ? ClientAttempt.UNSENT : ClientAttempt.TIMEOUT));
+            assignConnection(pending);
         }
 
-        private void place(Flight flight) {
-            int target = flight.row.arrival.target();
-            Client client = idle.get(target).pollLast();
-            if (client != null) {
-                client.take(flight);
-            } else if (open < most) {
-                connect(flight, target);
-            } else if (closeAnIdleOne()) {
-                connect(flight, target);
+        private void assignConnection(PendingAttempt pending) {
+            int target = pending.attempt.arrival.targetIndex();
+            Connection connection = idleByTarget.get(target).pollLast();
+            if (connection != null) {
+                connection.take(pending);
+            } else if (openConnections < maxConnections) {
+                connect(pending, target);
+            } else if (closeIdleConnection()) {
+                connect(pending, target);
             } else {
-                unsent.add(flight);
+                waitingForConnection.add(pending);
             }
         }
 
-        private boolean closeAnIdleOne() {
-            for (ArrayDeque<Client> of : idle) {
-                Client client = of.pollFirst();
-                if (client != null) {
-                    client.close();
+        private boolean closeIdleConnection() {
+            for (ArrayDeque<Connection> idle : idleByTarget) {
+                Connection connection = idle.pollFirst();
+                if (connection != null) {
+                    connection.close();
                     return true;
                 }
             }
             return false;
         }
 
-        private void connect(Flight flight, int target) {
+        private void connect(PendingAttempt pending, int target) {
             try {
                 SocketChannel channel = SocketChannel.open();
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
                 channel.configureBlocking(false);
-                Client client = new Client(channel, target);
-                open++;
-                opened.incrementAndGet();
-                flight.on = client;
-                client.flight = flight;
+                Connection connection = new Connection(channel, target);
+                openConnections++;
+                connectionsOpened.incrementAndGet();
+                pending.connection = connection;
+                connection.pending = pending;
                 boolean done = channel.connect(targets.get(target));
-                client.register(loop, done ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
+                connection.register(loop, done ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
                 if (done) {
-                    client.onConnected();
+                    connection.onConnected();
                 }
             } catch (IOException e) {
-                end(flight, ClientAttempt.REFUSED);
+                end(pending, ClientAttempt.REFUSED);
             }
         }
 
-        private void freed() {
-            while (!unsent.isEmpty()) {
-                Flight flight = unsent.poll();
-                if (!flight.over) {
-                    place(flight);
+        private void assignNextWaiting() {
+            while (!waitingForConnection.isEmpty()) {
+                PendingAttempt pending = waitingForConnection.poll();
+                if (!pending.ended) {
+                    assignConnection(pending);
                     return;
                 }
             }
         }
 
-        /** The end of a try, and the beginning of the client's next where there is to be one. */
-        private void end(Flight flight, String outcome) {
-            if (flight.over) {
+        /** Ends a try and schedules the client's retry if there is to be one. */
+        private void end(PendingAttempt pending, String outcome) {
+            if (pending.ended) {
                 return;
             }
-            flight.over = true;
-            flight.giveUp.cancel();
-            flight.row.outcome = outcome;
-            flight.row.endUs = EventLoop.nowUs();
-            Client client = flight.on;
-            flight.on = null;
-            if (client != null) {
-                client.flight = null;
-                if (!flight.row.isAnswered()) {
-                    client.close();
+            pending.ended = true;
+            pending.giveUpTimer.cancel();
+            pending.attempt.outcome = outcome;
+            pending.attempt.endUs = EventLoop.nowUs();
+            Connection connection = pending.connection;
+            pending.connection = null;
+            if (connection != null) {
+                connection.pending = null;
+                if (!pending.attempt.isAnswered()) {
+                    connection.close();
                 }
             }
-            if (mayRetry(flight.row)) {
-                long wait = Math.max(profile.retryWaitUs(), flight.row.retryAfterUs);
-                long due = flight.row.endUs + wait;
-                loop.schedule(due, () -> begin(new Flight(flight.row.arrival, flight.row.number + 1, due)));
+            if (mayRetry(pending.attempt)) {
+                long wait = Math.max(profile.retryWaitUs(), pending.attempt.retryAfterUs);
+                long due = pending.attempt.endUs + wait;
+                loop.schedule(due, () -> begin(new PendingAttempt(pending.attempt.arrival,
+                        pending.attempt.attemptIndex + 1, due)));
             } else {
-                left.countDown();
+                unfinished.countDown();
             }
-            freed();
+            assignNextWaiting();
         }
 
-        private boolean mayRetry(ClientAttempt row) {
-            if (row.number >= profile.retries() || profile.services().isEmpty() || row.isServed()
-                    || row.outcome.equals(ClientAttempt.UNSENT)) {
+        private boolean mayRetry(ClientAttempt attempt) {
+            if (attempt.attemptIndex >= profile.retries() || profile.services().isEmpty() || attempt.isServed()
+                    || attempt.outcome.equals(ClientAttempt.UNSENT)) {
                 return false;
             }
-            boolean harmless = row.isRefused() || row.outcome.equals(ClientAttempt.REFUSED);
-            return harmless || profile.services().get(row.arrival.service()).isRetryable();
+            boolean harmless = attempt.isRefused() || attempt.outcome.equals(ClientAttempt.REFUSED);
+            return harmless || profile.services().get(attempt.arrival.serviceIndex()).isRetryable();
         }
 
-        /** A try under way. */
-        private final class Flight {
-            private final ClientAttempt row;
-            private Client on;
-            private EventLoop.Timer giveUp;
-            private boolean over;
-            private boolean sentAgain;
+        /** A try that has not ended, with its connection and timer. */
+        private final class PendingAttempt {
+            private final ClientAttempt attempt;
+            private Connection connection;
+            private EventLoop.Timer giveUpTimer;
+            private boolean ended;
+            private boolean resent;
 
-            Flight(Arrival arrival, int number, long dueUs) {
-                row = new ClientAttempt(arrival, number, Long.toHexString(arrival.call() + number), dueUs);
+            PendingAttempt(Arrival arrival, int index, long dueUs) {
+                attempt = new ClientAttempt(arrival, index, Long.toHexString(arrival.firstCallId() + index), dueUs);
                 long patience = profile.services().isEmpty() ? profile.timeoutUs()
-                        : Math.round(profile.services().get(arrival.service()).deadlineUs() * arrival.patience());
-                row.giveUpUs = dueUs + patience;
+                        : Math.round(profile.services().get(arrival.serviceIndex()).deadlineUs()
+                                * arrival.patienceShare());
+                attempt.giveUpUs = dueUs + patience;
             }
 
             byte[] bytes() {
                 if (profile.services().isEmpty()) {
-                    return ("GET / HTTP/1.1\r\nHost: " + host(row.arrival.target()) + "\r\n\r\n")
+                    return ("GET / HTTP/1.1\r\nHost: " + host(attempt.arrival.targetIndex()) + "\r\n\r\n")
                             .getBytes(StandardCharsets.ISO_8859_1);
                 }
-                Arrival a = row.arrival;
-                Profile.Service service = profile.services().get(a.service());
+                Arrival arrival = attempt.arrival;
+                Profile.Service service = profile.services().get(arrival.serviceIndex());
                 StringBuilder text = new StringBuilder(256)
                         .append(service.isRetryable() ? "GET /" : "POST /").append(service.name()).append('/')
-                        .append(a.number()).append("?w=").append(a.workUs())
-                        .append(a.about() == null ? "" : "&obj=" + a.about()).append(" HTTP/1.1\r\nHost: ")
-                        .append(host(a.target())).append("\r\nX-Call-Id: ").append(row.call)
-                        .append("\r\nX-Budget-Ms: ").append(Math.max(1, (row.giveUpUs - EventLoop.nowUs()) / 1000));
-                if (a.tenant() >= 0) {
-                    text.append("\r\nX-Caller: ").append(profile.tenants().get(a.tenant()).name());
+                        .append(arrival.index()).append("?w=").append(arrival.workUs())
+                        .append(arrival.objectId() == null ? "" : "&obj=" + arrival.objectId())
+                        .append(" HTTP/1.1\r\nHost: ")
+                        .append(host(arrival.targetIndex())).append("\r\nX-Call-Id: ").append(attempt.callId)
+                        .append("\r\nX-Budget-Ms: ").append(Math.max(1, (attempt.giveUpUs - EventLoop.nowUs()) / 1000));
+                if (arrival.tenantIndex() >= 0) {
+                    text.append("\r\nX-Caller: ").append(profile.tenants().get(arrival.tenantIndex()).name());
                 }
-                if (a.key() != null) {
-                    text.append("\r\nIdempotency-Key: ").append(a.key());
+                if (arrival.idempotencyKey() != null) {
+                    text.append("\r\nIdempotency-Key: ").append(arrival.idempotencyKey());
                 }
-                if (row.number > 0 && profile.retriesMarked()) {
+                if (attempt.attemptIndex > 0 && profile.retriesMarked()) {
                     text.append("\r\nX-Again: 1");
                 }
                 if (!service.isRetryable()) {
@@ -267,39 +270,39 @@
             }
         }
 
-        /** One client connection. */
-        private final class Client extends HttpConnection {
+        /** A client's connection to a target. */
+        private final class Connection extends HttpConnection {
             private final int target;
-            private Flight flight;
-            private boolean isUp;
-            private boolean used;
+            private PendingAttempt pending;
+            private boolean established;
+            private boolean hasAnswered;
 
-            Client(SocketChannel channel, int target) {
+            Connection(SocketChannel channel, int target) {
                 super(channel, true);
                 this.target = target;
             }
 
             @Override
             protected void onConnected() {
-                isUp = true;
-                if (flight != null) {
+                established = true;
+                if (pending != null) {
                     send();
                 } else {
-                    idle.get(target).add(this);
+                    idleByTarget.get(target).add(this);
                 }
             }
 
-            void take(Flight next) {
-                flight = next;
-                next.on = this;
+            void take(PendingAttempt next) {
+                pending = next;
+                next.connection = this;
                 send();
             }
 
             private void send() {
-                Flight now = flight;
+                PendingAttempt now = pending;
                 write(now.bytes());
-                if (!isClosed() && now.row.sentUs == 0) {
-                    now.row.sentUs = EventLoop.nowUs();
+                if (!isClosed() && now.attempt.sentUs == 0) {
+                    now.attempt.sentUs = EventLoop.nowUs();
                 }
             }
 
@@ -307,7 +310,7 @@
             protected void onBytesReceived() throws IOException {
                 Message answer;
                 try {
-                    answer = framer.next();
+                    answer = parser.next();
                 } catch (MalformedHttpException e) {
                     unreadable();
                     return;
@@ -318,37 +321,37 @@
             }
 
             private void unreadable() {
-                if (flight == null) {
+                if (pending == null) {
                     close();
                 } else {
-                    end(flight, ClientAttempt.UNREADABLE);
+                    end(pending, ClientAttempt.UNREADABLE);
                 }
             }
 
             private void answered(Message answer) {
-                Flight done = flight;
+                PendingAttempt done = pending;
                 if (done == null) {
                     close();
                     return;
                 }
-                used = true;
+                hasAnswered = true;
                 if (!profile.services().isEmpty()) {
-                    done.row.body = answer.bodyText();
+                    done.attempt.body = answer.bodyText();
                 }
                 String after = answer.header("retry-after");
                 if (after != null && after.matches("[0-9]+(\\.[0-9]+)?")) {
-                    done.row.hasRetryAfter = true;
-                    done.row.retryAfterUs = Math.round(Double.parseDouble(after) * 1e6);
+                    done.attempt.hasRetryAfter = true;
+                    done.attempt.retryAfterUs = Math.round(Double.parseDouble(after) * 1e6);
                 }
-                if (answer.isKeepAlive() && !framer.isMidMessage()) {
-                    done.on = null;
-                    flight = null;
-                    idle.get(target).add(this);
+                if (answer.isKeepAlive() && !parser.isMidMessage()) {
+                    done.connection = null;
+                    pending = null;
+                    idleByTarget.get(target).add(this);
                 }
                 String outcome = Integer.toString(answer.status());
-                if (flight != null) {
-                    flight = null;
-                    done.on = null;
+                if (pending != null) {
+                    pending = null;
+                    done.connection = null;
                     close();
                 }
                 end(done, outcome);
@@ -356,8 +359,8 @@
 
             @Override
             protected void onPeerClosed() {
-                Message last = framer.finishAtEndOfStream();
-                if (last != null && flight != null) {
+                Message last = parser.finishAtEndOfStream();
+                if (last != null && pending != null) {
                     answered(last);
                 }
                 close();
@@ -365,23 +368,23 @@
 
             @Override
             protected void onClosed() {
-                open--;
-                idle.get(target).remove(this);
-                Flight cut = flight;
-                flight = null;
-                if (cut == null || cut.over) {
-                    freed();
+                openConnections--;
+                idleByTarget.get(target).remove(this);
+                PendingAttempt lost = pending;
+                pending = null;
+                if (lost == null || lost.ended) {
+                    assignNextWaiting();
                     return;
                 }
-                cut.on = null;
-                if (!isUp) {
-                    end(cut, ClientAttempt.REFUSED);
-                } else if (used && !cut.sentAgain && !framer.isMidMessage()) {
-                    // The close crossed this request, which the other side has not read: sent once more.
-                    cut.sentAgain = true;
-                    connect(cut, target);
+                lost.connection = null;
+                if (!established) {
+                    end(lost, ClientAttempt.REFUSED);
+                } else if (hasAnswered && !lost.resent && !parser.isMidMessage()) {
+                    // The peer closed a reused connection before it answered: the request is sent once more.
+                    lost.resent = true;
+                    connect(lost, target);
                 } else {
-                    end(cut, ClientAttempt.RESET);
+                    end(lost, ClientAttempt.RESET);
                 }
             }
         }
--- a/lab/src/main/java/dapplequay/lab/load/HistogramLogs.java
+++ b/lab/src/main/java/dapplequay/lab/load/HistogramLogs.java
@@ -12,17 +12,17 @@
 import org.HdrHistogram.HistogramLogReader;
 import org.HdrHistogram.HistogramLogWriter;
 
-/** Histogram logs in HdrHistogram's own format, a line a second, in microseconds. */
+/** Reads and writes HdrHistogram logs with one histogram a second, in microseconds. */
 public final class HistogramLogs {
     private HistogramLogs() { }
 
-    public static void write(List<Histogram> seconds, Path file) throws IOException {
+    public static void write(List<Histogram> secondHistograms, Path file) throws IOException {
         Files.createDirectories(file.toAbsolutePath().getParent());
         try {
             HistogramLogWriter log = new HistogramLogWriter(file.toFile());
             log.outputLogFormatVersion();
             log.outputLegend();
-            for (Histogram second : seconds) {
+            for (Histogram second : secondHistograms) {
                 log.outputIntervalHistogram(second);
             }
             log.close();
@@ -32,25 +32,25 @@
     }
 
     public static List<Histogram> read(Path file) throws IOException {
-        List<Histogram> seconds = new ArrayList<>();
+        List<Histogram> secondHistograms = new ArrayList<>();
         try (HistogramLogReader log = new HistogramLogReader(file.toFile())) {
             for (EncodableHistogram next = log.nextIntervalHistogram(); next != null;
                     next = log.nextIntervalHistogram()) {
-                seconds.add((Histogram) next);
+                secondHistograms.add((Histogram) next);
             }
         } catch (FileNotFoundException e) {
             throw new IOException(file + ": no histogram log", e);
         }
-        return seconds;
+        return secondHistograms;
     }
 
-    /** Adds what fell into the same second of Unix time: logs of generators that ran at one time. */
+    /** Merges logs of generators that ran at the same time: adds up the histograms of each Unix second. */
     public static List<Histogram> merge(List<List<Histogram>> logs) {
         TreeMap<Long, Histogram> bySecond = new TreeMap<>();
         for (List<Histogram> log : logs) {
             for (Histogram next : log) {
-                bySecond.merge(Math.floorDiv(next.getStartTimeStamp(), 1000L), next, (one, other) -> {
-                    one.add(other);
+                bySecond.merge(Math.floorDiv(next.getStartTimeStamp(), 1000L), next, (one, addend) -> {
+                    one.add(addend);
                     return one;
                 });
             }
--- a/lab/src/main/java/dapplequay/lab/load/LoadResult.java
+++ b/lab/src/main/java/dapplequay/lab/load/LoadResult.java
@@ -7,15 +7,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a run of the generator came to. Latency counts from when a request was due to the last byte of its last
- * answer, the client's own retries included; send lag from when it was due to when it was written.
+ * The result of a generator run. Latency runs from when a request was due to the end of its last answer, the
+ * client's own retries included; send lag runs from when it was due to when it was written.
  */
 public final class LoadResult {
-    private static final long HIGHEST_US = 3_600_000_000L;
+    private static final long MAX_VALUE_US = 3_600_000_000L;
 
     private final Profile profile;
     private final Schedule schedule;
-    private final List<List<ClientAttempt>> tries;
+    private final List<List<ClientAttempt>> attempts;
     private final long startUs;
     private final Histogram latency = histogram();
     private final Histogram sendLag = histogram();
@@ -24,39 +24,40 @@
     private final long answered;
     private final long connectionsOpened;
 
-    /** {@code tries}: for each arrival its tries in order, at least one. */
-    LoadResult(Profile profile, Schedule schedule, List<List<ClientAttempt>> tries, long startUs, long connectionsOpened) {
+    /** Evaluates the run; {@code attempts} holds for each arrival its tries in order, at least one. */
+    LoadResult(Profile profile, Schedule schedule, List<List<ClientAttempt>> attempts, long startUs,
+               long connectionsOpened) {
         this.profile = profile;
         this.schedule = schedule;
-        this.tries = tries;
+        this.attempts = attempts;
         this.startUs = startUs;
         this.connectionsOpened = connectionsOpened;
-        long written = 0;
-        long whole = 0;
-        for (List<ClientAttempt> all : tries) {
-            ClientAttempt first = all.get(0);
-            ClientAttempt last = all.get(all.size() - 1);
-            written += all.stream().anyMatch(one -> one.sentUs > 0) ? 1 : 0;
+        long sentCount = 0;
+        long answeredCount = 0;
+        for (List<ClientAttempt> ownAttempts : attempts) {
+            ClientAttempt first = ownAttempts.get(0);
+            ClientAttempt last = ownAttempts.get(ownAttempts.size() - 1);
+            sentCount += ownAttempts.stream().anyMatch(attempt -> attempt.sentUs > 0) ? 1 : 0;
             if (first.sentUs > 0) {
                 sendLag.recordValue(clamp(first.sentUs - first.dueUs));
             }
             if (last.isAnswered()) {
-                whole++;
+                answeredCount++;
                 latency.recordValue(clamp(last.endUs - first.dueUs));
             }
             outcomes.merge(last.outcome, 1L, Long::sum);
         }
-        sent = written;
-        answered = whole;
+        sent = sentCount;
+        answered = answeredCount;
     }
 
-    /** An empty histogram of microseconds, as all of the laboratory's are. */
+    /** Returns an empty histogram in microseconds with the laboratory's range and precision. */
     public static Histogram histogram() {
-        return new Histogram(HIGHEST_US, 3);
+        return new Histogram(MAX_VALUE_US, 3);
     }
 
     private static long clamp(long us) {
-        return Math.max(0, Math.min(HIGHEST_US, us));
+        return Math.max(0, Math.min(MAX_VALUE_US, us));
     }
 
     public Profile profile() {
@@ -67,12 +68,12 @@
         return schedule;
     }
 
-    /** For each arrival its tries in order. */
-    public List<List<ClientAttempt>> tries() {
-        return tries;
+    /** Returns the tries of each arrival, in order. */
+    public List<List<ClientAttempt>> attempts() {
+        return attempts;
     }
 
-    /** When the load began, in Unix microseconds. */
+    /** Returns when the load began, in Unix microseconds. */
     public long startUs() {
         return startUs;
     }
@@ -85,7 +86,7 @@
         return sendLag;
     }
 
-    /** First tries by what came of them at last. */
+    /** Returns the number of scheduled requests by the outcome of their last try. */
     public Map<String, Long> outcomes() {
         return outcomes;
     }
@@ -106,17 +107,17 @@
         return connectionsOpened;
     }
 
-    /** First tries that were neither written nor turned away at the door: the generator sent less than due. */
+    /** Returns the number of requests whose last try was never written, nor its connection refused. */
     public long unsent() {
         return outcomes.getOrDefault(ClientAttempt.UNSENT, 0L);
     }
 
-    /** Whether the generator fell behind: something was not sent at all, or the send lag is over its bound. */
+    /** True if the generator fell behind: a request was not sent, or the p99 of send lag is over its bound. */
     public boolean isBehind() {
         return unsent() > 0 || sendLag.getValueAtPercentile(99) > profile.lagBoundUs();
     }
 
-    /** Why it counts as behind, for people; empty where it does not. */
+    /** Returns why the generator counts as behind, as a readable text; empty if it does not. */
     public String behindWhy() {
         if (unsent() > 0) {
             return unsent() + " of " + scheduled() + " requests were never sent";
@@ -127,44 +128,44 @@
     }
 
     /**
-     * What one client would have counted that sends a request only when it has the answer to the one before, out
-     * of this very run: it sees a pause once, however many requests were due in it.
+     * Returns the latency that a closed-loop client would have measured in this run. Such a client sends only after
+     * the previous answer, so it sees a pause once, however many requests were due in it (coordinated omission).
      */
     public Histogram closedLoopLatency() {
-        List<ClientAttempt> firsts = new ArrayList<>();
-        for (List<ClientAttempt> all : tries) {
-            if (all.get(0).isAnswered()) {
-                firsts.add(all.get(0));
+        List<ClientAttempt> firstAttempts = new ArrayList<>();
+        for (List<ClientAttempt> ownAttempts : attempts) {
+            if (ownAttempts.get(0).isAnswered()) {
+                firstAttempts.add(ownAttempts.get(0));
             }
         }
-        firsts.sort(java.util.Comparator.comparingLong(t -> t.sentUs));
-        Histogram seen = histogram();
-        long free = 0;
-        for (ClientAttempt one : firsts) {
-            if (one.sentUs >= free) {
-                seen.recordValue(clamp(one.endUs - one.sentUs));
-                free = one.endUs;
+        firstAttempts.sort(java.util.Comparator.comparingLong(t -> t.sentUs));
+        Histogram closedLoop = histogram();
+        long freeAtUs = 0;
+        for (ClientAttempt attempt : firstAttempts) {
+            if (attempt.sentUs >= freeAtUs) {
+                closedLoop.recordValue(clamp(attempt.endUs - attempt.sentUs));
+                freeAtUs = attempt.endUs;
             }
         }
-        return seen;
+        return closedLoop;
     }
 
-    /** Latency second by second, each with its time, for a histogram log. */
+    /** Returns one latency histogram, with timestamps, for each second in which requests were due. */
     public List<Histogram> latencyBySecond() {
         List<Histogram> seconds = new ArrayList<>();
-        for (List<ClientAttempt> all : tries) {
-            ClientAttempt last = all.get(all.size() - 1);
+        for (List<ClientAttempt> ownAttempts : attempts) {
+            ClientAttempt last = ownAttempts.get(ownAttempts.size() - 1);
             if (!last.isAnswered()) {
                 continue;
             }
-            int second = (int) (all.get(0).arrival.dueUs() / 1_000_000);
+            int second = (int) (ownAttempts.get(0).arrival.dueUs() / 1_000_000);
             while (seconds.size() <= second) {
                 Histogram next = histogram();
                 next.setStartTimeStamp(startUs / 1000 + seconds.size() * 1000L);
                 next.setEndTimeStamp(startUs / 1000 + (seconds.size() + 1) * 1000L);
                 seconds.add(next);
             }
-            seconds.get(second).recordValue(clamp(last.endUs - all.get(0).dueUs));
+            seconds.get(second).recordValue(clamp(last.endUs - ownAttempts.get(0).dueUs));
         }
         return seconds;
     }
--- a/lab/src/main/java/dapplequay/lab/load/NullServer.java
+++ b/lab/src/main/java/dapplequay/lab/load/NullServer.java
@@ -15,7 +15,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Answers every request at once with the same few bytes: what a generator is measured against. */
+/** A server that answers every request at once with the same bytes, to measure the generator itself. */
 public final class NullServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(NullServer.class.getName());
     private static final byte[] ANSWER =
@@ -23,17 +23,17 @@
     private static final int BACKLOG = 1024;
 
     private final ServerSocketChannel listener = ServerSocketChannel.open();
-    private final EventLoop accepting = new EventLoop("null-accept");
+    private final EventLoop acceptLoop = new EventLoop("null-accept");
     private final List<EventLoop> loops = new ArrayList<>();
-    private int accepted;
+    private int acceptedCount;
 
     public NullServer(int threads) throws IOException {
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         for (int i = 0; i < Math.max(1, threads); i++) {
             loops.add(new EventLoop("null-" + i));
         }
-        accepting.post(() -> accepting.accept(listener,
-                channel -> serve(channel, loops.get(accepted++ % loops.size()))));
+        acceptLoop.post(() -> acceptLoop.accept(listener,
+                channel -> serve(channel, loops.get(acceptedCount++ % loops.size()))));
     }
 
     public InetSocketAddress address() throws IOException {
@@ -45,7 +45,7 @@
             try {
                 new Connection(channel).register(loop, SelectionKey.OP_READ);
             } catch (IOException e) {
-                LOG.log(Level.FINE, "connection was gone at once", e);
+                LOG.log(Level.FINE, "accepted connection could not be registered", e);
             }
         });
     }
@@ -58,7 +58,7 @@
         @Override
         protected void onBytesReceived() throws IOException {
             try {
-                while (!isClosed() && framer.next() != null) {
+                while (!isClosed() && parser.next() != null) {
                     write(ANSWER);
                 }
             } catch (MalformedHttpException e) {
@@ -73,14 +73,14 @@
 
         @Override
         protected void onClosed() {
-            // Nothing is kept of a connection.
+            // There is no state to release.
         }
     }
 
     @Override
     public void close() throws IOException {
         listener.close();
-        accepting.close();
+        acceptLoop.close();
         loops.forEach(EventLoop::close);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/load/Profile.java
+++ b/lab/src/main/java/dapplequay/lab/load/Profile.java
@@ -6,27 +6,28 @@
 import java.util.List;
 
 /**
- * What is asked for: the classes, who asks, how often, and how clients behave. Times are microseconds.
+ * A load profile: service classes, tenants, arrival rate and client behaviour. Times are in microseconds.
  *
  * @param ratePerS      first tries a second, all targets together
- * @param forUs         length of the run
+ * @param durationUs         length of the run
  * @param trace         file of arrivals, or null
  * @param services      classes; empty: plain requests without the project's headers
  * @param targetSkew    how unevenly targets are loaded: the share of target i is 1 / (i + 1)^skew
- * @param retries       tries that a client adds by itself
- * @param retryWaitUs   its wait before a try
+ * @param retries       retries that a client makes by itself
+ * @param retryWaitUs   its least wait before a retry
  * @param retriesMarked whether a client marks its retries
- * @param timeoutUs     patience with a plain request
- * @param objects       what requests can be about, one after the other less popular; 0: they do not say
- * @param objectSkew    how much less: the share of object i is 1 / (i + 1)^skew
+ * @param minPatienceShare least share of the deadline that a client waits; drawn between this and 1
+ * @param timeoutUs     how long a client waits for the answer to a plain request
+ * @param objects       number of objects that requests can be about; 0: requests name no object
+ * @param objectSkew    popularity of objects: the share of object i is 1 / (i + 1)^skew
  * @param lagBoundUs    the generator counts as behind where the 99th percentile of its send lag is over this
  */
-public record Profile(double ratePerS, long forUs, Shape shape, Path trace, List<Service> services,
+public record Profile(double ratePerS, long durationUs, Shape shape, Path trace, List<Service> services,
                       List<Tenant> tenants, double targetSkew, int retries, long retryWaitUs,
-                      boolean retriesMarked, double patienceLeast, long timeoutUs, int objects, double objectSkew,
+                      boolean retriesMarked, double minPatienceShare, long timeoutUs, int objects, double objectSkew,
                       long lagBoundUs) {
-    /** One class of requests. {@code repeats}: retryable, dedup or fragile. */
-    public record Service(String name, double share, long workLeastUs, long workMostUs, long aimUs,
+    /** One service class. {@code repeats} is retryable, dedup or fragile. */
+    public record Service(String name, double share, long minWorkUs, long maxWorkUs, long aimUs,
                           long deadlineUs, double worth, double lateWorth, String repeats, String group,
                           long windowUs) {
         public boolean isKeyed() {
@@ -38,22 +39,23 @@
         }
     }
 
-    /** Who asks, and the share that is due to it. {@code load} is the share of the arrivals that it sends. */
+    /** A tenant: {@code share} is the share due to it, {@code load} its weight among the arrivals. */
     public record Tenant(String name, double share, double load) { }
 
-    /** Plain {@code GET /} at this rate. */
-    public static Profile plain(double ratePerS, long forUs) {
-        return new Profile(ratePerS, forUs, Shape.plain(Shape.Kind.STEADY), null, List.of(), List.of(), 0, 0, 0,
+    /** Returns a profile of plain {@code GET /} requests at this rate. */
+    public static Profile plain(double ratePerS, long durationUs) {
+        return new Profile(ratePerS, durationUs, Shape.plain(Shape.Kind.STEADY), null, List.of(), List.of(), 0, 0, 0,
                 false, 1, 10_000_000, 0, 0, 10_000);
     }
 
-    public Profile with(double newRate, long newForUs) {
-        return new Profile(newRate, newForUs, shape, trace, services, tenants, targetSkew, retries, retryWaitUs,
-                retriesMarked, patienceLeast, timeoutUs, objects, objectSkew, lagBoundUs);
+    /** Returns a copy with another rate and duration. */
+    public Profile withRateFor(double newRate, long newDurationUs) {
+        return new Profile(newRate, newDurationUs, shape, trace, services, tenants, targetSkew, retries, retryWaitUs,
+                retriesMarked, minPatienceShare, timeoutUs, objects, objectSkew, lagBoundUs);
     }
 
-    /** Reads the table {@code [load]}; a trace is looked for beside the file. */
-    public static Profile read(TomlFile.Table load, Path folder) {
+    /** Reads the table {@code [load]}; the trace file is resolved against {@code traceFolder}. */
+    public static Profile read(TomlFile.Table load, Path traceFolder) {
         List<Service> services = new ArrayList<>();
         for (TomlFile.Table table : load.tables("class")) {
             List<Double> work = table.numbers("work_ms", List.of(77.0, 140.0));
@@ -78,7 +80,7 @@
             tenants.add(new Tenant(table.string("name"), share, table.number("load", share, 0, 1000)));
         }
         Shape shape = Shape.read(load);
-        Path trace = shape.kind() == Shape.Kind.TRACE ? folder.resolve(load.string("trace")) : null;
+        Path trace = shape.kind() == Shape.Kind.TRACE ? traceFolder.resolve(load.string("trace")) : null;
         return new Profile(load.number("rate", 100, 0.001, 1e6), load.durationUs("for", 10_000_000), shape, trace,
                 services, tenants, load.number("target_skew", 0, 0, 5), load.integer("retries", 0, 0, 10),
                 load.durationUs("retry_wait", 300_000), load.bool("retries_marked", true),
--- a/lab/src/main/java/dapplequay/lab/load/Shape.java
+++ b/lab/src/main/java/dapplequay/lab/load/Shape.java
@@ -5,40 +5,38 @@
 import java.util.Locale;
 
 /**
- * How the rate of arrivals goes over a run. {@code at} is the rate as a multiple of the base rate at a time, a
- * share of the run from 0 to 1.
+ * The arrival rate over a run, as a multiple of the base rate.
  *
- * @param kind   which course
+ * @param kind   the course of the rate
  * @param amount WAVE: depth, 0 to 1; CLIMB and SPIKE: the highest multiple
- * @param from   SPIKE: share of the run at which it begins
- * @param until  SPIKE: and ends
- * @param waves  WAVE: whole waves in the run
+ * @param from   SPIKE: where it begins, as a share of the run from 0 to 1
+ * @param until  SPIKE: where it ends, as a share of the run from 0 to 1
+ * @param waves  WAVE: number of periods in the run
  */
 public record Shape(Kind kind, double amount, double from, double until, double waves) {
-    /** The courses. */
     public enum Kind {
-        /** Evenly spaced, no chance in it. */
+        /** Evenly spaced arrivals. */
         STEADY,
-        /** Independent arrivals at one rate. */
+        /** Poisson arrivals at a constant rate. */
         POISSON,
-        /** Independent arrivals, up and down like a sine. */
+        /** Poisson arrivals whose rate follows a sine. */
         WAVE,
-        /** A Sunday evening: a slow climb over two thirds of the run, then a slower way down. */
+        /** The rate rises over two thirds of the run, then falls with the same slope, as on a Sunday evening. */
         CLIMB,
-        /** The eve of a bank holiday: ordinary, then many times as much at once, then ordinary. */
+        /** A sudden multiple of the base rate between two ordinary phases, as on the eve of a bank holiday. */
         SPIKE,
-        /** From a file. */
+        /** Arrivals read from a trace file. */
         TRACE
     }
 
-    static final List<String> WORDS = List.of("steady", "poisson", "wave", "climb", "spike", "trace");
+    static final List<String> KIND_NAMES = List.of("steady", "poisson", "wave", "climb", "spike", "trace");
 
     public static Shape plain(Kind kind) {
         return new Shape(kind, 1, 0, 1, 1);
     }
 
     static Shape read(TomlFile.Table load) {
-        Kind kind = Kind.valueOf(load.oneOf("shape", "poisson", WORDS).toUpperCase(Locale.ROOT));
+        Kind kind = Kind.valueOf(load.oneOf("shape", "poisson", KIND_NAMES).toUpperCase(Locale.ROOT));
         double from = load.number("spike_from", 0.4, 0, 1);
         double until = load.number("spike_until", 0.6, 0, 1);
         if (until < from) {
@@ -53,8 +51,8 @@
         return new Shape(kind, amount, from, until, load.number("waves", 3, 0.1, 1000));
     }
 
-    /** The rate at this share of the run, as a multiple of the base rate. */
-    public double at(double share) {
+    /** Returns the multiple of the base rate at this share of the run, 0 to 1. */
+    public double multipleAt(double share) {
         return switch (kind) {
             case WAVE -> 1 + amount * Math.sin(2 * Math.PI * waves * share);
             case CLIMB -> share < 2.0 / 3 ? 1 + (amount - 1) * share * 1.5
@@ -64,8 +62,8 @@
         };
     }
 
-    /** The highest multiple. */
-    public double most() {
+    /** Returns the highest multiple of the base rate during the run. */
+    public double maxMultiple() {
         return switch (kind) {
             case WAVE -> 1 + amount;
             case CLIMB, SPIKE -> amount;
--- a/lab/src/main/java/dapplequay/lab/load/Trace.java
+++ b/lab/src/main/java/dapplequay/lab/load/Trace.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * A recorded run as a text, one request a line: when it was due in milliseconds from the start, its class, its
- * tenant, and if known its work in milliseconds and its key. {@code -} stands for what is not known; empty
- * lines and lines that begin with # are passed over; times may not run backwards.
+ * Reads a recorded load from a text file with one request a line: due time in milliseconds from the start, class,
+ * tenant, and optionally work in milliseconds and idempotency key. {@code -} stands for an unknown value. Empty
+ * lines and lines that begin with # are ignored. Due times may not decrease.
  *
  * <pre>
  * # due_ms class tenant [work_ms [key]]
@@ -19,12 +19,12 @@
  * </pre>
  */
 public final class Trace {
-    /** One line; {@code workUs} and {@code key} may be unknown: -1, null. */
-    public record Line(long dueUs, int service, int tenant, long workUs, String key) { }
+    /** One request; {@code workUs} is -1 and {@code key} null if unknown. */
+    public record Line(long dueUs, int serviceIndex, int tenantIndex, long workUs, String key) { }
 
     private Trace() { }
 
-    /** All lines of the file; BadFile names the first that is no good. */
+    /** Reads all requests of the file; throws InvalidFileException for the first invalid line. */
     public static List<Line> read(Path file, Profile profile) {
         try {
             return parse(file.toString(), Files.readAllLines(file), profile);
@@ -35,46 +35,48 @@
 
     static List<Line> parse(String file, List<String> text, Profile profile) {
         List<Line> lines = new ArrayList<>();
-        long last = 0;
+        long lastDueUs = 0;
         for (int i = 0; i < text.size(); i++) {
             String line = text.get(i).trim();
             if (line.isEmpty() || line.startsWith("#")) {
                 continue;
             }
-            String[] words = line.split("\\s+");
-            if (words.length < 3 || words.length > 5) {
-                throw new InvalidFileException(file, i + 1, "", "must hold due_ms, class, tenant and perhaps work_ms and key");
+            String[] fields = line.split("\\s+");
+            if (fields.length < 3 || fields.length > 5) {
+                throw new InvalidFileException(file, i + 1, "",
+                        "must hold due_ms, class, tenant and perhaps work_ms and key");
             }
-            long due = us(file, i + 1, "due_ms", words[0]);
-            if (due < last) {
-                throw new InvalidFileException(file, i + 1, "due_ms", "runs backwards: " + words[0]);
+            long dueUs = parseMsAsUs(file, i + 1, "due_ms", fields[0]);
+            if (dueUs < lastDueUs) {
+                throw new InvalidFileException(file, i + 1, "due_ms", "runs backwards: " + fields[0]);
             }
-            last = due;
-            int service = profile.services().stream().map(Profile.Service::name).toList().indexOf(words[1]);
-            if (service < 0 && !profile.services().isEmpty()) {
-                throw new InvalidFileException(file, i + 1, "class", "is none of the profile's: " + words[1]);
+            lastDueUs = dueUs;
+            int serviceIndex = profile.services().stream().map(Profile.Service::name).toList().indexOf(fields[1]);
+            if (serviceIndex < 0 && !profile.services().isEmpty()) {
+                throw new InvalidFileException(file, i + 1, "class", "is none of the profile's: " + fields[1]);
             }
-            int tenant = words[2].equals("-") ? -1
-                    : profile.tenants().stream().map(Profile.Tenant::name).toList().indexOf(words[2]);
-            if (tenant < 0 && !words[2].equals("-") && !profile.tenants().isEmpty()) {
-                throw new InvalidFileException(file, i + 1, "tenant", "is none of the profile's: " + words[2]);
+            int tenantIndex = fields[2].equals("-") ? -1
+                    : profile.tenants().stream().map(Profile.Tenant::name).toList().indexOf(fields[2]);
+            if (tenantIndex < 0 && !fields[2].equals("-") && !profile.tenants().isEmpty()) {
+                throw new InvalidFileException(file, i + 1, "tenant", "is none of the profile's: " + fields[2]);
             }
-            long work = words.length < 4 || words[3].equals("-") ? -1 : us(file, i + 1, "work_ms", words[3]);
-            lines.add(new Line(due, Math.max(0, service), tenant, work,
-                    words.length < 5 || words[4].equals("-") ? null : words[4]));
+            long workUs = fields.length < 4 || fields[3].equals("-") ? -1
+                    : parseMsAsUs(file, i + 1, "work_ms", fields[3]);
+            lines.add(new Line(dueUs, Math.max(0, serviceIndex), tenantIndex, workUs,
+                    fields.length < 5 || fields[4].equals("-") ? null : fields[4]));
         }
         return lines;
     }
 
-    private static long us(String file, int line, String what, String text) {
+    private static long parseMsAsUs(String file, int line, String field, String text) {
         try {
             double ms = Double.parseDouble(text);
             if (ms >= 0 && ms < 1e12) {
                 return Math.round(ms * 1e3);
             }
         } catch (NumberFormatException e) {
-            // Told below, as for a number out of range.
+            // Reported below, like a number out of range.
         }
-        throw new InvalidFileException(file, line, what, "is not a number of milliseconds: " + text);
+        throw new InvalidFileException(file, line, field, "is not a number of milliseconds: " + text);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/loop/EventLoop.java
+++ b/lab/src/main/java/dapplequay/lab/loop/EventLoop.java
@@ -20,30 +20,30 @@
 import java.util.logging.Logger;
 
 /**
- * One thread that serves many sockets: it waits for sockets that are ready, for timers that are due and for
- * tasks that other threads hand in. What belongs to a loop is touched by its thread alone.
+ * An event loop: one thread that waits for ready sockets, due timers and tasks posted by other threads. State
+ * that belongs to a loop is accessed by its thread only.
  */
 public final class EventLoop implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
     private static final long UNIX_US_AT_START = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
     private static final long NANO_TIME_AT_START = System.nanoTime();
-    /** Below this the selector's whole milliseconds are too coarse, and the loop naps instead. */
+    /** For shorter waits the selector's millisecond timeout is too coarse, and the loop parks instead. */
     private static final long MIN_SELECT_US = 1_500;
     private static final long PARK_NANOS = 50_000;
 
-    /** Serves one socket. An IOException is handed to {@link #onError} and ends nothing else. */
+    /** Serves one socket. An IOException is passed to {@link #onError} and affects no other socket. */
     public interface Handler {
         void onReady(SelectionKey key) throws IOException;
 
         void onError(IOException cause);
     }
 
-    /** Takes a connection that a listener has accepted. */
+    /** Receives the connections that a listener has accepted. */
     public interface Acceptor {
         void onAccepted(SocketChannel channel) throws IOException;
     }
 
-    /** Something to be done at a time, unless it is cancelled before. */
+    /** A task scheduled for a time; it does not run if it is cancelled before. */
     public static final class Timer {
         private final long dueUs;
         private final long sequence;
@@ -79,18 +79,22 @@
         thread.start();
     }
 
-    /** Unix time in microseconds that never runs backwards, the same for all loops of the process. */
+    /** Returns monotonic Unix time in microseconds, the same for all loops of the process. */
     public static long nowUs() {
         return UNIX_US_AT_START + (System.nanoTime() - NANO_TIME_AT_START) / 1000;
     }
 
-    /** Does this on the loop's thread, soon. */
+    /** Queues a task for the loop's thread. Any thread may call this. */
     public void post(Runnable task) {
         tasks.add(task);
         selector.wakeup();
     }
 
-    /** Does this and waits until it is done. Not to be called from a loop's thread, nor once it is closed. */
+    /**
+     * Runs a task on the loop's thread and waits until it is done. Not to be called from a loop's thread.
+     *
+     * @throws IllegalStateException if the loop is closed
+     */
     public void postAndWait(Runnable task) {
         if (stopped) {
             throw new IllegalStateException(thread.getName() + " has ended");
@@ -110,20 +114,20 @@
         }
     }
 
-    /** On the loop's thread only. */
+    /** Schedules a task for a time in Unix microseconds. On the loop's thread only. */
     public Timer schedule(long dueUs, Runnable task) {
         Timer timer = new Timer(dueUs, nextTimerSequence++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** On the loop's thread only. */
+    /** Registers a channel, made non-blocking, for the interest set. On the loop's thread only. */
     public SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException {
         channel.configureBlocking(false);
         return channel.register(selector, interest, handler);
     }
 
-    /** Serves what comes to a listener: each connection is handed over as soon as it is accepted. */
+    /** Accepts connections on a listener and passes each to the acceptor. */
     public void accept(ServerSocketChannel listener, Acceptor acceptor) {
         try {
             register(listener, SelectionKey.OP_ACCEPT, new Handler() {
@@ -141,13 +145,13 @@
                 }
             });
         } catch (IOException e) {
-            LOG.log(Level.FINE, "listener was closed again: {0}", e.toString());
+            LOG.log(Level.FINE, "listener could not be registered: {0}", e.toString());
         }
     }
 
     /**
-     * Lets go of sockets that were closed in this turn: until then their ports stay taken. On the loop's thread
-     * only, from a task or a timer.
+     * Completes the close of sockets closed since the last select: until then their ports stay in use. On the
+     * loop's thread only, from a task or a timer.
      */
     public void releaseClosedSockets() throws IOException {
         selector.selectNow();
@@ -171,20 +175,20 @@
             try {
                 runOnce();
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
-                LOG.log(Level.SEVERE, "a turn of " + thread.getName() + " failed", e);
+                LOG.log(Level.SEVERE, "an iteration of event loop " + thread.getName() + " failed", e);
             }
         }
         for (SelectionKey key : selector.keys()) {
             try {
                 key.channel().close();
             } catch (IOException e) {
-                LOG.log(Level.FINE, "not closed", e);
+                LOG.log(Level.FINE, "channel or selector could not be closed", e);
             }
         }
         try {
             selector.close();
         } catch (IOException e) {
-            LOG.log(Level.FINE, "not closed", e);
+            LOG.log(Level.FINE, "channel or selector could not be closed", e);
         }
     }
 
@@ -228,9 +232,9 @@
         } catch (IOException e) {
             handler.onError(e);
         } catch (CancelledKeyException e) {
-            LOG.log(Level.FINEST, "closed in this very turn", e);
+            LOG.log(Level.FINEST, "key was cancelled in this iteration", e);
         } catch (RuntimeException e) {
-            LOG.log(Level.WARNING, "a connection failed", e);
+            LOG.log(Level.WARNING, "a socket handler failed", e);
             handler.onError(new IOException(e));
         }
     }
@@ -239,7 +243,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a task of " + thread.getName() + " failed", e);
+            LOG.log(Level.SEVERE, "a task on event loop " + thread.getName() + " failed", e);
         }
     }
 }
--- a/lab/src/main/java/dapplequay/lab/model/ColdBudget.java
+++ b/lab/src/main/java/dapplequay/lab/model/ColdBudget.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * How much of what a cold host can bear was sent to it: within any window of the stated length no more work
- * than {@code multiple} times the host's mean capacity in that window. Times count from the host's start.
+ * Tracks how much of its cold-start budget a host was sent: in any window of {@code windowUs}, at most
+ * {@code multiple} times the work that its mean capacity allows. Times count from the host's start.
  */
 public final class ColdBudget {
     private final double fullCapacity;
@@ -14,7 +14,7 @@
     private final long windowUs;
     private final ArrayDeque<WorkItem> itemsInWindow = new ArrayDeque<>();
     private double workInWindowUs;
-    private double maxUsedShare;
+    private double maxUsed;
 
     private record WorkItem(double atUs, double workUs) { }
 
@@ -22,7 +22,7 @@
         this(spec.fullCapacity(), spec.coldFrom(), spec.warmUpUs(), spec.tipMultiple(), spec.tipAfterUs());
     }
 
-    /** {@code fullCapacity}: work per microsecond; {@code multiple}: over 0. */
+    /** Creates a budget; {@code fullCapacity} is in work per microsecond, {@code multiple} is over 0. */
     public ColdBudget(double fullCapacity, double coldFrom, long warmUpUs, double multiple, long windowUs) {
         this.fullCapacity = fullCapacity;
         this.coldFrom = coldFrom;
@@ -31,7 +31,7 @@
         this.windowUs = windowUs;
     }
 
-    /** Takes one piece of work; returns the share of the budget that is used now, over 1: broken. */
+    /** Records work sent to the host; returns the share of the budget in use, over 1 if it is exceeded. */
     public double recordWork(double sinceStartUs, double workUs) {
         if (sinceStartUs > warmUpUs + windowUs) {
             return 0;
@@ -45,16 +45,16 @@
         double spanUs = Math.max(1, sinceStartUs - windowStartUs);
         double meanCapacity = (workPossibleUntil(windowStartUs + spanUs) - workPossibleUntil(windowStartUs)) / spanUs;
         double usedShare = workInWindowUs / (multiple * meanCapacity * windowUs);
-        maxUsedShare = Math.max(maxUsedShare, usedShare);
+        maxUsed = Math.max(maxUsed, usedShare);
         return usedShare;
     }
 
-    /** The greatest share of the budget used so far. */
-    public double maxUsedShare() {
-        return maxUsedShare;
+    /** Returns the greatest share of the budget in use so far. */
+    public double maxUsed() {
+        return maxUsed;
     }
 
-    /** Work that could be done from the start up to this time. */
+    /** Returns the work that the host can do from its start up to this time, in microseconds. */
     private double workPossibleUntil(double us) {
         double warmingUs = Math.min(us, warmUpUs);
         double rampWork = warmUpUs == 0 ? 0 : (1 - coldFrom) * warmingUs * warmingUs / (2.0 * warmUpUs);
--- a/lab/src/main/java/dapplequay/lab/model/HostModel.java
+++ b/lab/src/main/java/dapplequay/lab/model/HostModel.java
@@ -14,28 +14,28 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * How a host behaves, as a pure state machine: it has no clock, no thread and no socket, and whoever drives it
- * passes the time in, real or simulated. Times may not run backwards.
+ * A host's behaviour as a pure state machine without clock, thread or socket: the caller passes in the time, real
+ * or simulated, in microseconds. Times may not decrease. Calls add the requests that ended to {@code ended}.
  *
- * <p>Requests in work share the cores evenly. All of them then progress at one pace, so that it is enough to
- * keep one figure, the progress made by a request since the start, and to sort requests by the progress at
- * which they end. While the host warms up its pace is held for {@value #WARM_STEP_US} us at a time.
+ * <p>Requests in work share the cores evenly, so all of them progress at the same pace. It is enough to keep the
+ * progress that a request would have made since the start, and to sort requests by the progress at which they
+ * end. During warm-up the pace is held constant in steps of {@value #WARM_STEP_US} us.
  */
 public final class HostModel {
     static final long WARM_STEP_US = 20_000;
     private static final double UNSET = Double.NaN;
-    /** Weight of the newest service time in the reported one. */
+    /** Weight of the newest service time in the reported moving average. */
     private static final double LATENCY_WEIGHT = 0.1;
 
-    /** What became of a request that was offered. */
+    /** How the host received an offered request. */
     public enum Admission { WORKING, WAITING, FULL, FALLEN }
 
     public enum EndState {
-        /** Done. */
+        /** Completed. */
         SERVED,
         /** Answered with an error. */
         FAILED,
-        /** Given up before it ended. */
+        /** Cancelled before it completed, or lost as the host crashed. */
         STOPPED
     }
 
@@ -92,7 +92,7 @@
     private double recoveringSinceUs = UNSET;
     private int chokes;
 
-    /** Starts now: cold, or as if it had run for long. */
+    /** Starts the host at {@code nowUs}, cold or fully warm. */
     public HostModel(HostSpec spec, UniformRandomProvider random, long nowUs, boolean cold) {
         this.spec = spec;
         this.random = random;
@@ -106,23 +106,23 @@
         nextSnapshotUs = random.nextDouble() * spec.reportEveryUs();
     }
 
-    /** Everything takes so many times as long from now on; 1 is ordinary. */
+    /** Multiplies all durations by {@code factor} from now on; 1 is normal speed. */
     public void slowdownFactor(long atUs, double factor, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         slowdownFactor = factor;
     }
 
-    /** So large a share of the requests fails from now on. */
+    /** Sets the share of requests that fail from now on, 0 to 1. */
     public void errorShare(double share) {
         errorShare = share;
     }
 
-    /** Reports show so much later from now on. */
+    /** Sets the delay until a load report becomes visible. */
     public void reportDelayUs(long us) {
         reportDelayUs = us;
     }
 
-    /** The same for a request about {@code key}, which a host that met it lately has less work with; null: no key. */
+    /** Offers a request with a key, or null for none; it costs less work if the host remembers the key. */
     public Admission offer(long atUs, long id, double workUs, String key, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         if (key == null || spec.keys().gain() <= 0) {
@@ -137,7 +137,7 @@
         return offer(atUs, id, remembered ? workUs * (1 - spec.keys().gain()) : workUs, ended);
     }
 
-    /** A request has come whole; {@code id} is 0 or more and no other's that is held. */
+    /** Offers a complete request; {@code id} is 0 or more and differs from that of every request held. */
     public Admission offer(long atUs, long id, double workUs, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         if (budget != null && !fallen && budget.recordWork(nowUs, workUs) > 1) {
@@ -162,7 +162,7 @@
         return Admission.WAITING;
     }
 
-    /** Nobody waits for this request any more. Its end is told now, or later where work can't be stopped. */
+    /** Cancels a request. It ends now, or when its work is done if the host cannot stop work. */
     public void giveUp(long atUs, long id, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         Job job = waiting.get(id);
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Whether the host takes one more connection, which costs it work. */
+    /** Opens a connection, which costs work; returns false if the host refuses it. */
     public boolean connect(long atUs, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         if (fallen || connections >= spec.connectionCap()) {
@@ -204,13 +204,13 @@
         connections--;
     }
 
-    /** Work that a probe costs. */
+    /** Adds the work of a probe. */
     public void probe(long atUs, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         addOverhead(spec.probeUs());
     }
 
-    /** The report that shows now. */
+    /** Returns the load report that is visible now. */
     public LoadReport report(long atUs, Collection<RequestEnd> ended) {
         advance(atUs, ended);
         while (snapshots.size() > 1) {
@@ -224,7 +224,7 @@
         return snapshots.peek().report();
     }
 
-    /** When something ends next if nothing else happens; Long.MAX_VALUE: nothing is in work. */
+    /** Returns when the next job ends if nothing else happens; Long.MAX_VALUE if nothing is in work. */
     public long nextEndUs() {
         if (runningByEnd.isEmpty()) {
             return Long.MAX_VALUE;
@@ -233,7 +233,7 @@
         return startUs + (long) Math.ceil(nowUs + Math.max(0, remainingUs));
     }
 
-    /** Lets time pass; what ended meanwhile is added in order. */
+    /** Advances to this time; adds the requests that ended meanwhile, in order. */
     public void advance(long atUs, Collection<RequestEnd> ended) {
         double untilUs = Math.max(nowUs, atUs - startUs);
         while (nowUs < untilUs) {
@@ -259,7 +259,7 @@
                 nextSnapshotUs += spec.reportEveryUs() * (0.9 + 0.2 * random.nextDouble());
             }
         }
-        // Progress is kept small, as the sum of many steps would lose the last digits of its ends.
+        // Reset while idle: a sum over many steps would lose the precision of the end times.
         if (runningByEnd.isEmpty()) {
             progress = 0;
         }
@@ -288,17 +288,17 @@
         }
     }
 
-    /** Whether too much has slowed it down, and it has not rested since. */
+    /** True if overload has slowed the host down and it has not recovered yet. */
     public boolean isChoked() {
         return !Double.isNaN(chokedAtUs);
     }
 
-    /** How often too much has slowed it down. */
+    /** Returns how often overload has slowed the host down. */
     public int chokes() {
         return chokes;
     }
 
-    /** Requests held, in work or waiting. */
+    /** Returns the number of requests held, in work or waiting. */
     public int held() {
         return waiting.size() + slotsTaken;
     }
@@ -311,27 +311,27 @@
         return connections;
     }
 
-    /** Whether it was sent too much while cold. */
+    /** True if the host has crashed because it was sent too much work while cold. */
     public boolean isFallen() {
         return fallen;
     }
 
-    /** The greatest share used of what the host could bear while cold; 0 where it started warm. */
+    /** Returns the greatest share of the cold-start budget in use so far; 0 if the host started warm. */
     public double coldBudgetUsed() {
-        return budget == null ? 0 : budget.maxUsedShare();
+        return budget == null ? 0 : budget.maxUsed();
     }
 
-    /** Work on requests that were served or failed. */
+    /** Returns the work on requests that were not cancelled, in microseconds. */
     public double usefulWorkUs() {
         return usefulWorkUs;
     }
 
-    /** Work on requests that nobody waited for in the end. */
+    /** Returns the work on cancelled requests, in microseconds. */
     public double wastedWorkUs() {
         return wastedWorkUs;
     }
 
-    /** Work per microsecond at this moment, all cores together, if nothing crowds the host. */
+    /** Returns the current work per microsecond of all cores, without loss by crowding. */
     public double capacity() {
         return spec.fullCapacity() * warmth() / totalSlowdown();
     }
@@ -348,7 +348,7 @@
         return isWarming() ? spec.coldFrom() + (1 - spec.coldFrom()) * nowUs / spec.warmUpUs() : 1;
     }
 
-    /** Progress of each request in work per microsecond. */
+    /** Returns the progress of each request, in work per microsecond. */
     private double pace() {
         double crowding = 1;
         if (spec.crowdFrom() > 0 && held() > spec.crowdFrom()) {
--- a/lab/src/main/java/dapplequay/lab/model/HostSpec.java
+++ b/lab/src/main/java/dapplequay/lab/model/HostSpec.java
@@ -1,29 +1,29 @@
 package dapplequay.lab.model;
 
 /**
- * What one host is. Times are microseconds; work is counted in microseconds of a core of speed 1.
+ * The properties of one host. Times are in microseconds, work in microseconds of a core of speed 1.
  *
- * @param cores            cores, 1 or more
- * @param speed            how much faster than a core of speed 1 each core is, over 0
- * @param slots            requests in work at once; they share the cores evenly
- * @param room             requests that wait for a slot; beyond that they are turned away unseen
- * @param crowdFrom        requests held from which on the host loses efficiency; 0: never
+ * @param cores            number of cores, 1 or more
+ * @param speed            speed of each core relative to a core of speed 1, over 0
+ * @param slots            requests in work at the same time; they share the cores evenly
+ * @param room             requests that can wait for a slot; further ones are refused
+ * @param crowdFrom        requests held beyond which the host loses efficiency; 0: never
  * @param crowdLoss        capacity lost for each further {@code crowdFrom} requests: 1 / (1 + loss x share over)
  * @param coldFrom         share of the capacity at a cold start, over 0 up to 1
- * @param warmUpUs         time until a cold host has its full capacity; it rises evenly
- * @param connectionCap    open connections that it takes
- * @param handshakeUs      work of a new connection
- * @param probeUs          work of a probe
+ * @param warmUpUs         time until a cold host has its full capacity; it rises linearly
+ * @param connectionCap    limit of open connections
+ * @param handshakeUs      work that a new connection costs
+ * @param probeUs          work that a probe costs
  * @param reportEveryUs    how often the load report is refreshed
- * @param reportDelayUs    how much later it shows
- * @param reportNoise      standard deviation of its figures, as a share of them
- * @param errorShare       share of the requests that fail
- * @param errorTakesUs     time that a failing request takes
- * @param stopsOnCancel    whether work stops when its request is given up
- * @param tipMultiple      a cold host that is sent more than this multiple of its capacity falls over; 0: never
- * @param tipAfterUs       if it is sent that much over this time
- * @param choke            what too much does to it
- * @param keys             what it remembers
+ * @param reportDelayUs    how long after its refresh a load report becomes visible
+ * @param reportNoise      standard deviation of the reported figures, relative to them
+ * @param errorShare       share of requests that fail, 0 to 1
+ * @param errorTakesUs     time that a failing request takes on an idle core
+ * @param stopsOnCancel    whether cancelling a request stops the work on it
+ * @param tipMultiple      a cold host that is sent more than this multiple of its capacity crashes; 0: never
+ * @param tipAfterUs       window over which {@code tipMultiple} is measured
+ * @param choke            slowdown under sustained overload
+ * @param keys             memory of recent keys
  */
 public record HostSpec(int cores, double speed, int slots, int room, int crowdFrom, double crowdLoss,
                        double coldFrom, long warmUpUs, int connectionCap, long handshakeUs, long probeUs,
@@ -31,23 +31,23 @@
                        long errorTakesUs, boolean stopsOnCancel, double tipMultiple, long tipAfterUs,
                        Choke choke, Keys keys) {
     /**
-     * A host that held far more than it works on slows down, and stays so for long.
+     * Sustained overload slows a host down until it has had time to recover.
      *
-     * @param at      requests waiting for each core beyond which it is too much; 0: never
-     * @param afterUs once that has lasted for so long
-     * @param slower  everything takes so many times as long
-     * @param below   until it has held no more than this share of its cores
-     * @param restUs  for so long,
-     * @param mostUs  or so long has passed
+     * @param at      requests beyond the number of cores, for each core, that count as overload; 0: never
+     * @param afterUs how long the overload lasts before the slowdown begins
+     * @param slower  factor by which everything slows down
+     * @param below   requests held for each core up to which the host recovers
+     * @param restUs  how long it recovers before the slowdown ends
+     * @param mostUs  longest duration of the slowdown
      */
     public record Choke(double at, long afterUs, double slower, double below, long restUs, long mostUs) { }
 
     /**
-     * What it remembers.
+     * A host's memory of recent keys, like a cache: requests for a remembered key cost less work.
      *
-     * @param gain  share of the work that is saved on a key met lately; 0: none
-     * @param forUs how long it remembers one
-     * @param most  keys that it remembers
+     * @param gain  share of the work that a remembered key saves; 0: none
+     * @param forUs how long a key is remembered
+     * @param most  number of keys remembered
      */
     public record Keys(double gain, long forUs, int most) { }
 
@@ -67,17 +67,17 @@
         }
     }
 
-    /** A host of so many cores with a slot for each and endless room: a queue as the books have it. */
+    /** Returns a host with one slot for each core and an unbounded queue, as in a textbook queueing model. */
     public static HostSpec queue(int cores) {
         return new Builder().cores(cores).slots(cores).room(Integer.MAX_VALUE).build();
     }
 
-    /** Work per microsecond of a warm host that is not crowded. */
+    /** Returns the work per microsecond of a warm host that is not crowded. */
     public double fullCapacity() {
         return cores * speed;
     }
 
-    /** Starts from a sound host with one core of speed 1, four slots and room for 30. */
+    /** Builds a host; the default is one without faults, with one core of speed 1, four slots and room for 30. */
     public static final class Builder {
         private int cores = 1;
         private double speed = 1;
--- a/lab/src/main/java/dapplequay/lab/report/Series.java
+++ b/lab/src/main/java/dapplequay/lab/report/Series.java
@@ -36,7 +36,7 @@
         for (int i = 0; i < buckets; i++) {
             latencies.add(new ArrayList<>());
         }
-        for (List<ClientAttempt> tries : result.tries()) {
+        for (List<ClientAttempt> tries : result.attempts()) {
             ClientAttempt last = tries.get(tries.size() - 1);
             int bucket = (int) (tries.get(0).arrival.dueUs() / 1e6 / BUCKET_S);
             List<Double> counts = outcomes.computeIfAbsent(last.outcome, o -> zeros(buckets));
--- a/lab/src/main/java/dapplequay/lab/text/Durations.java
+++ b/lab/src/main/java/dapplequay/lab/text/Durations.java
@@ -4,13 +4,13 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as people write them: a number and one of us, ms, s, m. Inside they are whole microseconds. */
+/** Converts between microseconds and text: a number followed by us, ms, s or m. */
 public final class Durations {
     private static final Pattern PATTERN = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)(us|ms|s|m)");
 
     private Durations() { }
 
-    /** Microseconds, 0 or more; IllegalArgumentException where the text is not a duration. */
+    /** Parses a duration into microseconds, 0 or more; throws IllegalArgumentException if it is invalid. */
     public static long parseUs(String text) {
         Matcher matcher = PATTERN.matcher(text.trim());
         if (!matcher.matches()) {
@@ -25,7 +25,7 @@
         return Math.round(Double.parseDouble(matcher.group(1)) * unit);
     }
 
-    /** Seconds with as many decimals as are of use to a reader. */
+    /** Formats microseconds as seconds: whole seconds without decimals, others with two. */
     public static String formatSeconds(long us) {
         return String.format(Locale.ROOT, us % 1_000_000 == 0 ? "%.0fs" : "%.2fs", us / 1e6);
     }
--- a/lab/src/main/java/dapplequay/lab/text/InvalidFileException.java
+++ b/lab/src/main/java/dapplequay/lab/text/InvalidFileException.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.text;
 
-/** A file that is no good: one line that names the file, the line and the key. */
+/** Thrown for an invalid file; the message names the file, the line and the key. */
 public final class InvalidFileException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/lab/src/main/java/dapplequay/lab/text/KeyLineIndex.java
+++ b/lab/src/main/java/dapplequay/lab/text/KeyLineIndex.java
@@ -7,9 +7,8 @@
 import java.util.regex.Pattern;
 
 /**
- * On which line of a TOML text each key stands. The TOML reader knows that no more once it has read the text,
- * and a message about a value is of little use without it. Keys inside an inline table have the line on which
- * that table begins.
+ * Maps each key of a TOML text to its line, for error messages: the TOML parser does not keep line numbers. Keys
+ * inside an inline table get the line on which that table begins.
  */
 final class KeyLineIndex {
     private static final Pattern HEADER = Pattern.compile("\\s*\\[([^\\[\\]]+)]\\s*(#.*)?");
@@ -41,7 +40,7 @@
         }
     }
 
-    /** A header below an array of tables belongs to that array's latest table. */
+    /** Resolves a header's path: below an array of tables it belongs to the latest element. */
     private String resolvePath(String name) {
         StringBuilder path = new StringBuilder();
         String[] parts = name.replace("\"", "").split("\\.");
@@ -55,7 +54,7 @@
         return path.toString();
     }
 
-    /** The line of this key, or of the nearest table round it; 1 where nothing of it is in the text. */
+    /** Returns the line of a key, or of its nearest enclosing table that is in the text, or 1. */
     int lineOf(String path) {
         String prefix = path;
         while (!prefix.isEmpty()) {
--- a/lab/src/main/java/dapplequay/lab/text/TomlFile.java
+++ b/lab/src/main/java/dapplequay/lab/text/TomlFile.java
@@ -17,8 +17,8 @@
 import java.util.TreeSet;
 
 /**
- * A TOML file whose every key has to be asked for: what nobody asked for is an unknown key. All faults are
- * told as {@link BadFile}, with file, line and key.
+ * A TOML file that rejects unknown keys: a key that no getter has read is unknown. All errors are thrown as
+ * {@link InvalidFileException} with file, line and key.
  */
 public final class TomlFile {
     private final String file;
@@ -58,7 +58,7 @@
         return root;
     }
 
-    /** To be called when all has been asked for: the first key that was not is told as unknown. */
+    /** Throws InvalidFileException for the first key that was never read. To be called after all reads. */
     public void rejectUnknownKeys() {
         for (Table table : List.copyOf(tables.values())) {
             for (Iterator<String> names = table.node.fieldNames(); names.hasNext();) {
@@ -75,7 +75,7 @@
         return tables.computeIfAbsent(path, p -> new Table(p, node));
     }
 
-    /** One table of the file. The getters with a second value return that where the key is absent. */
+    /** One table of the file. Getters with a default return it if the key is absent. */
     public final class Table {
         private final String path;
         private final ObjectNode node;
@@ -115,7 +115,7 @@
             return has(key) ? string(key) : defaultValue;
         }
 
-        /** One of these words. */
+        /** Returns a string that must be one of {@code allowed}. */
         public String oneOf(String key, String defaultValue, List<String> allowed) {
             String word = string(key, defaultValue);
             if (!allowed.contains(word)) {
@@ -158,7 +158,7 @@
             return (int) number;
         }
 
-        /** Microseconds. */
+        /** Returns a duration in microseconds. */
         public long durationUs(String key, long defaultUs) {
             if (!has(key)) {
                 return defaultUs;
@@ -203,7 +203,7 @@
             return numbers;
         }
 
-        /** An empty table where the key is absent. */
+        /** Returns a table, which is empty if the key is absent. */
         public Table table(String key) {
             if (!has(key)) {
                 return new Table(path.isEmpty() ? key : path + "." + key, node.objectNode());
@@ -232,7 +232,7 @@
             return list;
         }
 
-        /** The names of the keys, all of them taken as known: for tables whose keys are free. */
+        /** Returns all keys and marks them as known, for tables with arbitrary keys. */
         public List<String> keys() {
             List<String> keys = new ArrayList<>();
             node.fieldNames().forEachRemaining(keys::add);
--- a/lab/src/test/java/dapplequay/lab/experiment/JudgeTest.java
+++ b/lab/src/test/java/dapplequay/lab/experiment/JudgeTest.java
@@ -237,7 +237,7 @@
     void crashesAndMemoryAreCaught() throws Exception {
         TomlFile doc = TomlFile.parse("test.toml", FLEET + CLASS);
         FleetSpec spec = FleetSpec.read(doc.root().table("fleet"), 1, 1);
-        Profile load = Profile.read(doc.root().table("load"), Path.of(".")).with(0.5, 1);
+        Profile load = Profile.read(doc.root().table("load"), Path.of(".")).withRateFor(0.5, 1);
         try (Fleet fleet = new Fleet(spec, 1);
                 ScriptedSidecar sidecar = new ScriptedSidecar(fleet, (self, request, number) -> self.ask(0, request))) {
             Generator generator = new Generator(load, Schedule.draw(load, 1, 1), List.of(sidecar.address()), 1);
--- a/lab/src/test/java/dapplequay/lab/http/MessageParserTest.java
+++ b/lab/src/test/java/dapplequay/lab/http/MessageParserTest.java
@@ -16,25 +16,25 @@
         return ByteBuffer.wrap(text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static List<Message> all(MessageParser framer, String text) throws MalformedHttpException {
-        framer.append(bytes(text));
+    private static List<Message> all(MessageParser parser, String text) throws MalformedHttpException {
+        parser.append(bytes(text));
         List<Message> messages = new ArrayList<>();
-        for (Message next = framer.next(); next != null; next = framer.next()) {
+        for (Message next = parser.next(); next != null; next = parser.next()) {
             messages.add(next);
         }
         return messages;
     }
 
     @Test
-    void messagesAreCutWhereverTheBytesAreCut() throws MalformedHttpException {
+    void messagesAreParsedWhereverTheBytesAreSplit() throws MalformedHttpException {
         String text = "POST /a?w=5&x=y HTTP/1.1|Content-Length: 3|X-Call-Id: 9||abcGET /b HTTP/1.1||";
         byte[] whole = bytes(text).array();
         for (int cut = 1; cut < whole.length; cut++) {
-            MessageParser framer = new MessageParser(false);
+            MessageParser parser = new MessageParser(false);
             List<Message> messages = new ArrayList<>();
             for (int[] part : new int[][] {{0, cut}, {cut, whole.length - cut}}) {
-                framer.append(ByteBuffer.wrap(whole, part[0], part[1]));
-                for (Message next = framer.next(); next != null; next = framer.next()) {
+                parser.append(ByteBuffer.wrap(whole, part[0], part[1]));
+                for (Message next = parser.next(); next != null; next = parser.next()) {
                     messages.add(next);
                 }
             }
@@ -43,7 +43,7 @@
             assertThat(messages.get(0).queryParameter("w")).isEqualTo("5");
             assertThat(messages.get(0).header("x-call-id")).isEqualTo("9");
             assertThat(messages.get(1).target()).isEqualTo("/b");
-            assertThat(framer.isMidMessage()).isFalse();
+            assertThat(parser.isMidMessage()).isFalse();
         }
     }
 
@@ -53,7 +53,7 @@
         "HTTP/1.1 204 No Content||# 204# ''",
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||2|ok|3;x=1|abc|0||# 200# okabc",
         "HTTP/1.0 503 No|Content-Length: 0||# 503# ''"})
-    void answersAreReadWithTheirBodies(String text, int status, String body) throws MalformedHttpException {
+    void responsesAreParsedWithTheirBodies(String text, int status, String body) throws MalformedHttpException {
         List<Message> messages = all(new MessageParser(true), text);
         assertThat(messages).hasSize(1);
         assertThat(messages.get(0).status()).isEqualTo(status);
@@ -61,10 +61,10 @@
     }
 
     @Test
-    void anAnswerWithoutLengthEndsWithItsConnection() throws MalformedHttpException {
-        MessageParser framer = new MessageParser(true);
-        assertThat(all(framer, "HTTP/1.1 200 OK||some")).isEmpty();
-        assertThat(framer.finishAtEndOfStream().bodyText()).isEqualTo("some");
+    void aResponseWithoutLengthEndsWithItsConnection() throws MalformedHttpException {
+        MessageParser parser = new MessageParser(true);
+        assertThat(all(parser, "HTTP/1.1 200 OK||some")).isEmpty();
+        assertThat(parser.finishAtEndOfStream().bodyText()).isEqualTo("some");
         assertThat(new MessageParser(true).finishAtEndOfStream()).isNull();
     }
 
@@ -72,7 +72,7 @@
     @CsvSource({"no http||", "HTTP/2 200 OK||", "HTTP/1.1 20 OK||", "HTTP/1.1 200 OK|Content-Length: -1||",
         "HTTP/1.1 200 OK|Content-Length: x||", "HTTP/1.1 200 OK|nothing||",
         "HTTP/1.1 200 OK|Transfer-Encoding: chunked||zz|ok|"})
-    void otherBytesAreNoAnswer(String text) {
+    void malformedResponsesAreRejected(String text) {
         assertThatThrownBy(() -> all(new MessageParser(true), text)).isInstanceOf(MalformedHttpException.class);
     }
 }
--- a/lab/src/test/java/dapplequay/lab/load/GeneratorTest.java
+++ b/lab/src/test/java/dapplequay/lab/load/GeneratorTest.java
@@ -24,11 +24,11 @@
 @Timeout(60)
 class GeneratorTest {
     /** A server whose answers a test scripts; a thread for each connection. */
-    private interface Script {
+    private interface AnswerScript {
         void answer(Socket socket, int request) throws Exception;
     }
 
-    private static ServerSocket serve(Script script) throws IOException {
+    private static ServerSocket startServer(AnswerScript script) throws IOException {
         ServerSocket listener = new ServerSocket(0, 1000, InetAddress.getLoopbackAddress());
         AtomicInteger requests = new AtomicInteger();
         Daemons.start(() -> {
@@ -47,11 +47,11 @@
         return listener;
     }
 
-    private static void ok(Socket socket) throws IOException {
+    private static void answerOk(Socket socket) throws IOException {
         socket.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static LoadResult play(Profile profile, int connectionsMax, ServerSocket target) throws Exception {
+    private static LoadResult runLoad(Profile profile, int connectionsMax, ServerSocket target) throws Exception {
         Generator generator = new Generator(profile, Schedule.draw(profile, 1, 1),
                 List.of((InetSocketAddress) target.getLocalSocketAddress()), connectionsMax);
         generator.start(EventLoop.nowUs() + 100_000);
@@ -59,9 +59,9 @@
     }
 
     @Test
-    void aPauseShowsInFullThoughAClosedLoopWouldHideIt() throws Exception {
+    void aServerPauseShowsInOpenLoopLatencyButNotInClosedLoopLatency() throws Exception {
         AtomicLong pausesUntil = new AtomicLong();
-        try (ServerSocket server = serve((socket, request) -> {
+        try (ServerSocket server = startServer((socket, request) -> {
             long now = System.nanoTime();
             if (request % 5000 == 1500) {
                 pausesUntil.set(now + 1_000_000_000L);
@@ -70,12 +70,12 @@
             if (left > 0) {
                 Thread.sleep(left / 1_000_000, (int) (left % 1_000_000));
             }
-            ok(socket);
+            answerOk(socket);
         })) {
-            LoadResult result = play(Profile.plain(500, 10_000_000), 2000, server);
-            // A run in which the generator itself was held up proves nothing, and it says so.
+            LoadResult result = runLoad(Profile.plain(500, 10_000_000), 2000, server);
+            // A run in which the generator itself fell behind is repeated, as its latency is not the server's.
             for (int again = 0; again < 2 && result.isBehind(); again++) {
-                result = play(Profile.plain(500, 10_000_000), 2000, server);
+                result = runLoad(Profile.plain(500, 10_000_000), 2000, server);
             }
             Histogram latency = result.latency();
             assertThat(result.scheduled()).isEqualTo(5000);
@@ -83,22 +83,22 @@
             assertThat(latency.getMaxValue()).isGreaterThan(950_000);
             assertThat(latency.getValueAtPercentile(99)).isGreaterThan(400_000);
             long slow = latency.getCountBetweenValues(100_000, 10_000_000);
-            assertThat(slow).as("nine tenths of the 500 that were due in the pause").isBetween(400L, 620L);
+            assertThat(slow).as("about nine tenths of the 500 requests due during the pause").isBetween(400L, 620L);
             long upper = latency.getCountBetweenValues(550_000, 10_000_000);
-            assertThat((double) upper / slow).as("evenly from 1 s downwards").isBetween(0.35, 0.65);
+            assertThat((double) upper / slow).as("latencies spread evenly below 1 s").isBetween(0.35, 0.65);
             Histogram closed = result.closedLoopLatency();
-            assertThat(closed.getValueAtPercentile(99)).as("hidden from who waits for each answer")
+            assertThat(closed.getValueAtPercentile(99)).as("hidden from a closed-loop client")
                     .isLessThan(200_000);
             assertThat(closed.getCountBetweenValues(100_000, 10_000_000)).isBetween(1L, 5L);
         }
     }
 
     @Test
-    void aTargetThatAcceptsNothingIsToldAsBehind() throws Exception {
+    void aTargetThatAcceptsNothingIsReportedAsBehind() throws Exception {
         try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Profile profile = new Profile(100, 1_000_000, Shape.plain(Shape.Kind.STEADY), null, List.of(), List.of(),
                     0, 0, 0, false, 1, 500_000, 0, 0, 10_000);
-            LoadResult result = play(profile, 50, deaf);
+            LoadResult result = runLoad(profile, 50, deaf);
             assertThat(result.scheduled()).isEqualTo(100);
             assertThat(result.answered()).isZero();
             assertThat(result.isBehind()).isTrue();
@@ -108,49 +108,49 @@
     }
 
     @Test
-    void tooFewConnectionsForTheRateAreToldAsBehind() throws Exception {
-        try (ServerSocket slow = serve((socket, request) -> {
+    void tooFewConnectionsForTheRateAreReportedAsBehind() throws Exception {
+        try (ServerSocket slow = startServer((socket, request) -> {
             Thread.sleep(100);
-            ok(socket);
+            answerOk(socket);
         })) {
-            LoadResult result = play(Profile.plain(200, 1_000_000), 4, slow);
+            LoadResult result = runLoad(Profile.plain(200, 1_000_000), 4, slow);
             assertThat(result.scheduled()).isEqualTo(200);
             assertThat(result.isBehind()).isTrue();
-            assertThat(result.latency().getMaxValue()).as("what waited for a connection counts from when it was due")
+            assertThat(result.latency().getMaxValue()).as("latency includes the wait for a connection")
                     .isGreaterThan(2_000_000);
         }
     }
 
     @Test
-    void aCloseThatCrossesARequestIsAnsweredBySendingItAgain() throws Exception {
-        try (ServerSocket server = serve((socket, request) -> {
+    void aRequestOnAReusedConnectionThatClosesIsSentAgain() throws Exception {
+        try (ServerSocket server = startServer((socket, request) -> {
             if (request % 2 == 1) {
                 socket.close();
             } else {
-                ok(socket);
+                answerOk(socket);
             }
         })) {
-            LoadResult result = play(Profile.plain(20, 1_000_000), 1, server);
+            LoadResult result = runLoad(Profile.plain(20, 1_000_000), 1, server);
             assertThat(result.outcomes()).containsOnlyKeys("200");
             assertThat(result.connectionsOpened()).isGreaterThan(10);
         }
     }
 
     @Test
-    void answersOfAllKindsAreToldApart() throws Exception {
-        try (ServerSocket server = serve((socket, request) -> {
+    void answersAreCountedByOutcome() throws Exception {
+        try (ServerSocket server = startServer((socket, request) -> {
             String[] answers = {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "no http at all\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"};
             socket.getOutputStream().write(answers[request % 3].getBytes(StandardCharsets.US_ASCII));
         })) {
-            LoadResult result = play(Profile.plain(30, 1_000_000), 1, server);
+            LoadResult result = runLoad(Profile.plain(30, 1_000_000), 1, server);
             assertThat(result.outcomes()).containsEntry("503", 10L).containsEntry("200", 10L)
                     .containsEntry(ClientAttempt.UNREADABLE, 10L);
         }
     }
 
     @Test
-    void logsOfSeveralGeneratorsAreMergedSecondBySecond(@TempDir Path folder) throws Exception {
+    void logsOfSeveralGeneratorsAreMergedBySecond(@TempDir Path folder) throws Exception {
         Histogram one = new Histogram(3_600_000_000L, 3);
         one.setStartTimeStamp(5_000);
         one.setEndTimeStamp(6_000);
--- a/lab/src/test/java/dapplequay/lab/load/ScheduleTest.java
+++ b/lab/src/test/java/dapplequay/lab/load/ScheduleTest.java
@@ -15,11 +15,12 @@
 
 class ScheduleTest {
     private static Profile profile(String more) {
-        TomlFile doc = TomlFile.parse("p.toml", ("[load]|" + more + "|[[load.class]]|name = 'place-order'|[[load.class]]"
+        TomlFile file = TomlFile.parse("p.toml", ("[load]|" + more
+                + "|[[load.class]]|name = 'place-order'|[[load.class]]"
                 + "|name = 'quote'|share = 0.5|repeats = 'retryable'|[[load.tenant]]|name = 'a'|share = 0.75"
                 + "|[[load.tenant]]|name = 'b'|share = 0.25").replace("|", "\n"));
-        Profile profile = Profile.read(doc.root().table("load"), Path.of("."));
-        doc.rejectUnknownKeys();
+        Profile profile = Profile.read(file.root().table("load"), Path.of("."));
+        file.rejectUnknownKeys();
         return profile;
     }
 
@@ -29,21 +30,21 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameScheduleToTheByte() {
+    void theSameSeedGivesTheIdenticalSchedule() {
         Profile profile = profile("rate = 300|for = '10s'|shape = 'wave'");
-        assertThat(Schedule.draw(profile, 3, 9).text()).isEqualTo(Schedule.draw(profile, 3, 9).text());
-        assertThat(Schedule.draw(profile, 3, 9).text()).isNotEqualTo(Schedule.draw(profile, 3, 10).text());
+        assertThat(Schedule.draw(profile, 3, 9).toText()).isEqualTo(Schedule.draw(profile, 3, 9).toText());
+        assertThat(Schedule.draw(profile, 3, 9).toText()).isNotEqualTo(Schedule.draw(profile, 3, 10).toText());
     }
 
     @Test
-    void steadyArrivalsAreEven() {
+    void steadyArrivalsAreEvenlySpaced() {
         Schedule schedule = Schedule.draw(Profile.plain(500, 2_000_000), 1, 1);
         assertThat(schedule.arrivals()).hasSize(1000);
         assertThat(schedule.arrivals().get(999).dueUs()).isEqualTo(1_998_000);
     }
 
     @Test
-    void independentArrivalsHaveTheirRateAndTheirSpread() {
+    void poissonArrivalsHaveTheirRateAndVariance() {
         Schedule schedule = Schedule.draw(profile("rate = 1000|for = '40s'"), 1, 3);
         double sum = 0;
         double squares = 0;
@@ -58,7 +59,7 @@
     }
 
     @Test
-    void aClimbRisesAndFallsAndASpikeStandsOut() {
+    void aClimbRisesAndASpikeMultipliesTheRate() {
         Schedule climb = Schedule.draw(profile("rate = 200|for = '30s'|shape = 'climb'|climb_to = 3"), 1, 4);
         assertThat(count(climb, 19, 21) / 2.0).isCloseTo(600, withinPercentage(12));
         assertThat(count(climb, 0, 2) / 2.0).isCloseTo(220, withinPercentage(20));
@@ -68,22 +69,22 @@
     }
 
     @Test
-    void sharesAreKeptAndKeysGoWithKeyedClassesAlone() {
+    void sharesAreKeptAndOnlyKeyedClassesGetIdempotencyKeys() {
         Schedule schedule = Schedule.draw(profile("rate = 2000|for = '10s'|target_skew = 1"), 2, 5);
         double all = schedule.arrivals().size();
-        assertThat(schedule.arrivals().stream().filter(a -> a.service() == 1).count() / all)
+        assertThat(schedule.arrivals().stream().filter(a -> a.serviceIndex() == 1).count() / all)
                 .isCloseTo(1.0 / 3, within(0.02));
-        assertThat(schedule.arrivals().stream().filter(a -> a.tenant() == 0).count() / all)
+        assertThat(schedule.arrivals().stream().filter(a -> a.tenantIndex() == 0).count() / all)
                 .isCloseTo(0.75, within(0.02));
-        assertThat(schedule.arrivals().stream().filter(a -> a.target() == 0).count() / all)
+        assertThat(schedule.arrivals().stream().filter(a -> a.targetIndex() == 0).count() / all)
                 .isCloseTo(2.0 / 3, within(0.02));
-        assertThat(schedule.arrivals()).allMatch(a -> (a.key() == null) == (a.service() == 1));
+        assertThat(schedule.arrivals()).allMatch(a -> (a.idempotencyKey() == null) == (a.serviceIndex() == 1));
         assertThat(schedule.arrivals()).allMatch(a -> a.workUs() >= 77_000 && a.workUs() <= 140_000);
-        assertThat(schedule.arrivals().stream().map(Arrival::call).distinct().count()).isEqualTo((long) all);
+        assertThat(schedule.arrivals().stream().map(Arrival::firstCallId).distinct().count()).isEqualTo((long) all);
     }
 
     @Test
-    void anotherRateAsksForTheSameRequests() {
+    void aChangedRateKeepsTheWorkOfTheRequests() {
         Schedule slow = Schedule.draw(profile("rate = 50|for = '10s'"), 1, 5);
         Schedule fast = Schedule.draw(profile("rate = 100|for = '10s'"), 1, 5);
         for (int i = 0; i < slow.arrivals().size(); i++) {
@@ -92,7 +93,7 @@
     }
 
     @Test
-    void aTraceIsReadAsItStands() {
+    void aTraceIsReadLineByLine() {
         List<Trace.Line> lines = Trace.parse("t", List.of("# due", "", "0 place-order a 95.5 k1", "12.5 quote - - -"),
                 profile("rate = 1"));
         assertThat(lines).containsExactly(new Trace.Line(0, 0, 0, 95_500, "k1"),
@@ -103,7 +104,7 @@
     @CsvSource(delimiter = ';', value = {"9 place-order; t:2: must hold", "x quote a; t:2: due_ms is not a number",
         "-1 quote a; t:2: due_ms is not", "9 cancel a; t:2: class is none", "9 quote z; t:2: tenant is none",
         "9 quote a fast; t:2: work_ms is not", "9 quote a 1 k more; t:2: must hold", "4 quote a; t:2: due_ms runs back"})
-    void aBadLineOfATraceIsNamed(String line, String message) {
+    void anInvalidTraceLineIsReportedWithItsLineNumber(String line, String message) {
         assertThatThrownBy(() -> Trace.parse("t", List.of("5 quote a", line), profile("rate = 1")))
                 .isInstanceOf(InvalidFileException.class).hasMessageStartingWith(message);
     }
--- a/lab/src/test/java/dapplequay/lab/model/ColdBudgetTest.java
+++ b/lab/src/test/java/dapplequay/lab/model/ColdBudgetTest.java
@@ -11,7 +11,7 @@
     }
 
     @Test
-    void aBurstAtTheStartIsHeldAgainstTheColdCapacity() {
+    void aBurstAtTheStartCountsAgainstTheColdCapacity() {
         assertThat(budget().recordWork(0, 1_500_000)).isCloseTo(0.5, within(0.001));
         assertThat(budget().recordWork(0, 3_100_000)).isGreaterThan(1);
     }
@@ -21,12 +21,12 @@
         ColdBudget budget = budget();
         budget.recordWork(0, 2_900_000);
         assertThat(budget.recordWork(2_000_000, 2_900_000)).isLessThan(1);
-        assertThat(budget.maxUsedShare()).isCloseTo(0.967, within(0.001));
+        assertThat(budget.maxUsed()).isCloseTo(0.967, within(0.001));
     }
 
     @Test
-    void theBudgetRisesWithTheHostsWarmth() {
+    void theBudgetRisesAsTheHostWarmsUp() {
         assertThat(budget().recordWork(5_500_000, 1_000_000)).isCloseTo(1.0 / (3 * 1.5), within(0.005));
-        assertThat(budget().recordWork(60_000_000, 1e12)).as("warm for long").isZero();
+        assertThat(budget().recordWork(60_000_000, 1e12)).as("long after warm-up").isZero();
     }
 }
--- a/lab/src/test/java/dapplequay/lab/model/HostModelTest.java
+++ b/lab/src/test/java/dapplequay/lab/model/HostModelTest.java
@@ -36,9 +36,9 @@
         assertThat(model.nextEndUs()).isEqualTo(Long.MAX_VALUE);
     }
 
-    /** Six requests on one core wait five deep: too much for a second, then two and a half times as slow until it rests. */
+    /** Six requests on one core, five of them waiting: after 1 s the host is 2.5 times as slow until it recovers. */
     @Test
-    void aHostThatHeldTooMuchForLongIsSlowUntilItHasRested() {
+    void sustainedOverloadSlowsAHostUntilItHasRecovered() {
         HostModel model = warm(new HostSpec.Builder().cores(1).slots(1)
                 .chokes(new HostSpec.Choke(4, 1_000_000, 2.5, 0.5, 500_000, 60_000_000)).build());
         for (int i = 0; i < 6; i++) {
@@ -51,7 +51,7 @@
         assertThat(model.capacity()).isEqualTo(0.4);
         model.advance(T0 + 1_000_000 + 27_400_000, ended);
         assertThat(ended).as("11 s of work at 0.4 from the first second on").hasSize(5);
-        assertThat(model.isChoked()).as("it still works").isTrue();
+        assertThat(model.isChoked()).as("the last request is still in work").isTrue();
         model.advance(T0 + 29_300_000, ended);
         assertThat(ended).hasSize(6);
         assertThat(model.isChoked()).isFalse();
@@ -59,11 +59,11 @@
     }
 
     @Test
-    void aKeyMetLatelyIsLessWorkUntilItIsForgotten() {
+    void aRememberedKeyCostsLessWorkUntilItIsForgotten() {
         HostModel model = warm(new HostSpec.Builder().cores(1).remembers(new HostSpec.Keys(0.5, 1_000_000, 2)).build());
         long at = T0;
         long id = 0;
-        // met before, not known, met before, pushed out by the third of two, and too long ago
+        // Remembered (a), new (b), remembered (a), evicted by the third key (b), and expired (late).
         for (String key : List.of("a", "a", "b", "a", "c", "b", "late", "late")) {
             at += key.equals("late") ? 2_000_000 : 200_000;
             model.offer(at, id++, 100_000, key, ended);
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void beyondSlotsRequestsWaitInTurnAndBeyondRoomTheyAreTurnedAway() {
+    void beyondSlotsRequestsWaitInOrderAndBeyondRoomTheyAreRefused() {
         HostModel model = warm(new HostSpec.Builder().slots(1).room(1).build());
         assertThat(model.offer(T0, 1, 10_000, ended)).isEqualTo(Admission.WORKING);
         assertThat(model.offer(T0, 2, 10_000, ended)).isEqualTo(Admission.WAITING);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aCrowdedHostGetsLessDone() {
+    void aCrowdedHostIsSlower() {
         HostSpec.Builder spec = new HostSpec.Builder().slots(8).room(100);
         HostModel sound = warm(spec.build());
         HostModel crowded = warm(spec.crowd(2, 1).build());
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aColdHostWarmsUpEvenly() {
+    void aColdHostWarmsUpLinearly() {
         HostSpec spec = new HostSpec.Builder().cold(0.5, 10_000_000).build();
         HostModel cold = new HostModel(spec, random(), T0, true);
         assertThat(cold.capacity()).isEqualTo(0.5);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aColdHostThatIsSentTooMuchFallsOverAndStaysDown() {
+    void aColdHostThatIsSentTooMuchCrashesForGood() {
         HostSpec spec = new HostSpec.Builder().cold(0.31, 8_800_000).tips(3, 3_000_000).build();
         HostModel cold = new HostModel(spec, random(), T0, true);
         int taken = 0;
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void workStopsWhenGivenUpOnlyWhereTheHostCanDoThat() {
+    void cancellingStopsWorkOnlyIfTheHostSupportsIt() {
         HostModel stops = warm(new HostSpec.Builder().build());
         stops.offer(T0, 1, 100_000, ended);
         stops.giveUp(T0 + 30_000, 1, ended);
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void reportsAreRefreshedNowAndThenAndShowLater() {
+    void reportsAreRefreshedPeriodicallyAndShownAfterTheirDelay() {
         HostModel model = warm(new HostSpec.Builder().slots(1).reports(1_000_000, 0, 0).build());
         for (int i = 0; i < 4; i++) {
             model.offer(T0 + 10, i, 60_000_000, ended);
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void aShareFailsQuickly() {
+    void theErrorShareOfRequestsFails() {
         HostModel model = warm(new HostSpec.Builder().errors(0.25, 1_000).room(100_000).build());
         int failed = 0;
         for (int i = 0; i < 4000; i++) {
@@ -197,7 +197,7 @@
     }
 
     @Test
-    void slownessCountsFromItsMomentOn() {
+    void aSlowdownAppliesFromTheMomentItIsSet() {
         HostModel model = warm(new HostSpec.Builder().build());
         model.offer(T0, 1, 100_000, ended);
         model.slowdownFactor(T0 + 50_000, 2, ended);
--- a/lab/src/test/java/dapplequay/lab/text/TomlFileTest.java
+++ b/lab/src/test/java/dapplequay/lab/text/TomlFileTest.java
@@ -12,10 +12,10 @@
 
 class TomlFileTest {
     private static void readFleet(String text) {
-        TomlFile doc = TomlFile.parse("f.toml", text.replace("|", "\n"));
-        FleetSpec fleet = FleetSpec.read(doc.root().table("fleet"), 1, 1);
-        doc.root().tables("fault").forEach(table -> FaultSpec.read(table, fleet));
-        doc.rejectUnknownKeys();
+        TomlFile file = TomlFile.parse("f.toml", text.replace("|", "\n"));
+        FleetSpec fleet = FleetSpec.read(file.root().table("fleet"), 1, 1);
+        file.root().tables("fault").forEach(table -> FaultSpec.read(table, fleet));
+        file.rejectUnknownKeys();
     }
 
     @ParameterizedTest
@@ -38,24 +38,25 @@
         "[fleet]|hosts = ; f.toml:2: is not TOML",
         "hosts = 2|[fleet]|hosts = 3; f.toml:1: hosts is no known key here",
     })
-    void saysWhichLineAndKeyIsNoGood(String text, String message) {
-        assertThatThrownBy(() -> readFleet(text)).isInstanceOf(InvalidFileException.class).hasMessageStartingWith(message);
+    void errorsNameFileLineAndKey(String text, String message) {
+        assertThatThrownBy(() -> readFleet(text)).isInstanceOf(InvalidFileException.class)
+                .hasMessageStartingWith(message);
     }
 
     @Test
-    void aFileThatIsNotThereIsSaidSo() {
+    void aMissingFileIsReported() {
         assertThatThrownBy(() -> TomlFile.read(Path.of("no/such.toml"))).hasMessage("no/such.toml:1: no such file");
     }
 
     @ParameterizedTest
     @CsvSource({"250ms, 250000", "1s, 1000000", "1.5s, 1500000", "2m, 120000000", "300us, 300"})
-    void durationsAreMicroseconds(String text, long us) {
+    void durationsAreParsedIntoMicroseconds(String text, long us) {
         assertThat(Durations.parseUs(text)).isEqualTo(us);
     }
 
     @ParameterizedTest
     @CsvSource({"1", "s", "-1s", "1h", "1e3ms", "1 0s"})
-    void otherTextsAreNoDurations(String text) {
+    void invalidDurationsAreRejected(String text) {
         assertThatThrownBy(() -> Durations.parseUs(text)).isInstanceOf(IllegalArgumentException.class);
     }
 }
