--- a/lab/src/main/java/dapplequay/lab/experiment/Judge.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Judge.java
@@ -3,9 +3,9 @@
 import dapplequay.lab.fleet.FleetLog;
 import dapplequay.lab.fleet.FleetLog.Visit;
 import dapplequay.lab.fleet.FleetSpec;
+import dapplequay.lab.load.ClientAttempt;
 import dapplequay.lab.load.LoadResult;
 import dapplequay.lab.load.Profile;
-import dapplequay.lab.load.Try;
 import dapplequay.lab.model.ColdBudget;
 import dapplequay.lab.model.HostSpec;
 import java.util.ArrayList;
@@ -37,7 +37,7 @@
     private final List<Visit> allVisits;
     private final List<FleetLog.Told> allTold;
     private final Map<String, List<Visit>> byCall = new HashMap<>();
-    private final Map<String, Try> tryOfCall = new HashMap<>();
+    private final Map<String, ClientAttempt> tryOfCall = new HashMap<>();
 
     private Judge(Run run) {
         this.run = run;
@@ -47,9 +47,9 @@
             byCall.computeIfAbsent(visit.call, c -> new ArrayList<>()).add(visit);
         }
         byCall.values().forEach(visits -> visits.sort(Comparator.comparingLong(visit -> visit.firstByteUs)));
-        for (List<Try> tries : run.result().tries()) {
-            for (Try one : tries) {
-                tryOfCall.put(one.call, one);
+        for (List<ClientAttempt> tries : run.result().attempts()) {
+            for (ClientAttempt one : tries) {
+                tryOfCall.put(one.callId, one);
             }
         }
     }
@@ -81,10 +81,10 @@
         long none = 0;
         Map<Integer, double[]> byTenant = new TreeMap<>();
         Map<Long, double[]> byWindow = new TreeMap<>();
-        for (List<Try> tries : run.result().tries()) {
-            Try first = tries.get(0);
-            Try last = tries.get(tries.size() - 1);
-            Profile.Service service = run.load().services().get(first.arrival.service());
+        for (List<ClientAttempt> tries : run.result().attempts()) {
+            ClientAttempt first = tries.get(0);
+            ClientAttempt last = tries.get(tries.size() - 1);
+            Profile.Service service = run.load().services().get(first.arrival.serviceIndex());
             double worth = 0;
             if (last.isServed() && last.endUs <= last.giveUpUs) {
                 boolean timely = last.endUs - first.dueUs <= service.aimUs();
@@ -100,7 +100,7 @@
             }
             asked += service.worth();
             inTime += worth;
-            add(byTenant, first.arrival.tenant(), service.worth(), worth);
+            add(byTenant, first.arrival.tenantIndex(), service.worth(), worth);
             add(byWindow, first.arrival.dueUs() / WINDOW_US, service.worth(), worth);
         }
         double all = Math.max(1, run.result().scheduled());
@@ -162,25 +162,25 @@
     private void answers() {
         Verdict.Rule answered = verdict.rule("answered", "each request taken is answered before its client gives up");
         Verdict.Rule genuine = verdict.rule("genuine", "what is served is what a host answered to this request");
-        for (Try one : tryOfCall.values()) {
+        for (ClientAttempt one : tryOfCall.values()) {
             if (one.sentUs == 0) {
                 continue;
             }
             boolean isLate = one.isAnswered() && one.endUs > one.giveUpUs + CLOCK_SLACK_US;
             if ((!one.isAnswered() || isLate) && isHeldTo(one)) {
-                answered.broken(one.call + " at n" + one.arrival.target() + ": " + one.outcome
+                answered.broken(one.callId + " at n" + one.arrival.targetIndex() + ": " + one.outcome
                         + String.format(Locale.ROOT, " %.0f ms after its budget", (one.endUs - one.giveUpUs) / 1e3));
             }
             if (one.isServed() && !isGenuine(one)) {
-                genuine.broken(one.call + " got " + String.valueOf(one.body).trim());
+                genuine.broken(one.callId + " got " + String.valueOf(one.body).trim());
             }
         }
         verdict.figure("lost", answered.broken());
     }
 
     /** Whether the sidecar was there for the whole of this try, or had taken it before it was told to end. */
-    private boolean isHeldTo(Try one) {
-        Lives.Life life = run.lives().at(one.arrival.target(), one.sentUs);
+    private boolean isHeldTo(ClientAttempt one) {
+        Lives.Life life = run.lives().at(one.arrival.targetIndex(), one.sentUs);
         if (life == null || life.readyUs == 0) {
             return false;
         }
@@ -190,8 +190,8 @@
         return life.toldUs == 0 || one.sentUs <= life.toldUs + LATE_AFTER_TERM_US;
     }
 
-    private boolean isGenuine(Try one) {
-        for (Visit visit : byCall.getOrDefault(one.call, List.of())) {
+    private boolean isGenuine(ClientAttempt one) {
+        for (Visit visit : byCall.getOrDefault(one.callId, List.of())) {
             if (visit.did == FleetLog.Did.SERVED && one.body != null
                     && one.body.equals(visit.call + " " + Long.toHexString(visit.nonce) + " " + visit.uid + "\n")) {
                 return true;
@@ -203,18 +203,18 @@
     private void refusals() {
         Verdict.Rule truthful = verdict.rule("refusal", "nothing is refused that may have run and may not be repeated");
         Verdict.Rule advice = verdict.rule("retry_after", "each refusal says when to come back");
-        for (Try one : tryOfCall.values()) {
+        for (ClientAttempt one : tryOfCall.values()) {
             if (!one.isRefused()) {
                 continue;
             }
             if (!one.hasRetryAfter) {
-                advice.broken(one.call);
+                advice.broken(one.callId);
             }
-            Profile.Service service = run.load().services().get(one.arrival.service());
+            Profile.Service service = run.load().services().get(one.arrival.serviceIndex());
             boolean mayRepeat = service.isRetryable() || service.isKeyed() && service.group().equals("all");
-            for (Visit visit : byCall.getOrDefault(one.call, List.of())) {
+            for (Visit visit : byCall.getOrDefault(one.callId, List.of())) {
                 if (!mayRepeat && visit.mayHaveRun()) {
-                    truthful.broken(one.call + " was refused, and " + visit.uid + " had " + visit.did);
+                    truthful.broken(one.callId + " was refused, and " + visit.uid + " had " + visit.did);
                     break;
                 }
             }
@@ -233,16 +233,16 @@
         byKey.values().forEach(visits -> visits.sort(Comparator.comparingLong(visit -> visit.firstByteUs)));
         long doubled = 0;
         for (Map.Entry<String, List<Visit>> entry : byKey.entrySet()) {
-            Try one = tryOfCall.get(entry.getValue().get(0).call);
+            ClientAttempt one = tryOfCall.get(entry.getValue().get(0).call);
             if (one != null) {
-                Profile.Service service = run.load().services().get(one.arrival.service());
+                Profile.Service service = run.load().services().get(one.arrival.serviceIndex());
                 repeated(service, entry.getKey(), entry.getValue(), rule);
                 doubled += isDoubled(service, entry.getValue()) ? 1 : 0;
             }
         }
         for (Map.Entry<String, List<Visit>> entry : byCall.entrySet()) {
-            Try one = tryOfCall.get(entry.getKey());
-            Profile.Service service = one == null ? null : run.load().services().get(one.arrival.service());
+            ClientAttempt one = tryOfCall.get(entry.getKey());
+            Profile.Service service = one == null ? null : run.load().services().get(one.arrival.serviceIndex());
             if (service != null && service.repeats().equals("fragile")) {
                 repeated(service, entry.getKey(), entry.getValue(), rule);
             }
@@ -321,11 +321,11 @@
         }
         long grace = run.sidecars().drainGraceUs() + CLOCK_SLACK_US;
         for (Visit visit : allVisits) {
-            Try one = tryOfCall.get(visit.call);
+            ClientAttempt one = tryOfCall.get(visit.call);
             if (one == null) {
                 continue;
             }
-            int view = one.arrival.target();
+            int view = one.arrival.targetIndex();
             Lives.Life life = run.lives().at(view, visit.firstByteUs);
             FleetLog.Told since = null;
             for (FleetLog.Told news : told.getOrDefault(view + " " + visit.uid, List.of())) {
@@ -357,23 +357,23 @@
             double all = 0;
             for (Visit visit : allVisits) {
                 if (visit.host == start.host() && visit.uid.equals(start.uid()) && visit.atUs >= start.atUs()) {
-                    budget.sent(visit.atUs - start.atUs(), visit.askedUs);
+                    budget.recordWork(visit.atUs - start.atUs(), visit.askedUs);
                     all += visit.askedUs;
                     knowing += wasToldOf(start, visit) ? visit.askedUs : 0;
                 }
             }
-            worst = Math.max(worst, budget.worst());
-            if (budget.worst() > 1 && (run.lives() == null || knowing * 3 >= all * 2)) {
-                rule.broken(start.uid() + String.format(Locale.ROOT, " was sent %.2f of its budget", budget.worst()));
+            worst = Math.max(worst, budget.maxUsed());
+            if (budget.maxUsed() > 1 && (run.lives() == null || knowing * 3 >= all * 2)) {
+                rule.broken(start.uid() + String.format(Locale.ROOT, " was sent %.2f of its budget", budget.maxUsed()));
             }
         }
         verdict.figure("cold_budget_used", worst);
     }
 
     private boolean wasToldOf(FleetLog.Start start, Visit visit) {
-        Try one = tryOfCall.get(visit.call);
+        ClientAttempt one = tryOfCall.get(visit.call);
         for (FleetLog.Told news : allTold) {
-            if (one != null && news.view() == one.arrival.target() && news.uid().equals(start.uid())
+            if (one != null && news.view() == one.arrival.targetIndex() && news.uid().equals(start.uid())
                     && news.bootMs() >= start.atUs() / 1000 - 1 && news.atUs() <= visit.firstByteUs) {
                 return true;
             }
--- a/lab/src/main/java/dapplequay/lab/fleet/Fleet.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/Fleet.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.fleet;
 
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -17,9 +17,9 @@
 
     private final FleetSpec spec;
     private final FleetLog log;
-    private final List<Loop> loops = new ArrayList<>();
+    private final List<EventLoop> loops = new ArrayList<>();
     private final List<HostServer> hosts = new ArrayList<>();
-    private final Loop listLoop = new Loop("discovery");
+    private final EventLoop listLoop = new EventLoop("discovery");
     private final Discovery discovery;
     private boolean closed;
 
@@ -29,17 +29,17 @@
         log = new FleetLog(spec.hosts().size());
         int count = Math.max(1, Math.min(MOST_LOOPS, Runtime.getRuntime().availableProcessors() / 2));
         for (int i = 0; i < count; i++) {
-            loops.add(new Loop("hosts-" + i));
+            loops.add(new EventLoop("hosts-" + i));
         }
         discovery = new Discovery(spec, listLoop, log);
-        long now = Loop.nowUs();
+        long now = EventLoop.nowUs();
         for (int i = 0; i < spec.hosts().size(); i++) {
             HostServer host = new HostServer(spec, i, address(i), loops.get(i % count), log,
                     RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 1_000_003 + i));
             int at = i;
-            loops.get(i % count).call(() -> start(host, now));
+            loops.get(i % count).postAndWait(() -> start(host, now));
             hosts.add(host);
-            listLoop.call(() -> discovery.publish(entry(at, host, "SERVING", 0)));
+            listLoop.postAndWait(() -> discovery.publish(entry(at, host, "SERVING", 0)));
         }
     }
 
@@ -78,7 +78,7 @@
     /** The list of this moment in discovery's form, as this view sees it. */
     public String known(int view) {
         String[] text = new String[1];
-        listLoop.call(() -> text[0] = discovery.known(view));
+        listLoop.postAndWait(() -> text[0] = discovery.known(view));
         return text[0];
     }
 
@@ -92,11 +92,11 @@
         for (FaultScript.Step step : script.steps()) {
             long at = startUs + step.atUs();
             if (step.hosts().isEmpty()) {
-                listLoop.post(() -> listLoop.at(at, () -> listFault(step)));
+                listLoop.post(() -> listLoop.schedule(at, () -> listFault(step)));
             }
             for (int place : step.hosts()) {
-                Loop loop = loops.get(place % loops.size());
-                loop.post(() -> loop.at(at, () -> hostFault(place, step)));
+                EventLoop loop = loops.get(place % loops.size());
+                loop.post(() -> loop.schedule(at, () -> hostFault(place, step)));
             }
         }
     }
@@ -111,7 +111,7 @@
 
     private void hostFault(int place, FaultScript.Step step) {
         HostServer host = hosts.get(place);
-        long now = Loop.nowUs();
+        long now = EventLoop.nowUs();
         ListState.Entry before = entry(place, host, "DELETED", 0);
         try {
             if (step.begins()) {
@@ -165,9 +165,9 @@
         closed = true;
         for (int i = 0; i < hosts.size(); i++) {
             HostServer host = hosts.get(i);
-            loops.get(i % loops.size()).call(host::close);
+            loops.get(i % loops.size()).postAndWait(host::close);
         }
-        loops.forEach(Loop::close);
+        loops.forEach(EventLoop::close);
         listLoop.close();
     }
 }
--- a/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
@@ -1,10 +1,10 @@
 package dapplequay.lab.fleet;
 
 import dapplequay.lab.fleet.FaultSpec.Kind;
-import dapplequay.lab.http.BadHttp;
+import dapplequay.lab.http.HttpConnection;
+import dapplequay.lab.http.MalformedHttpException;
 import dapplequay.lab.http.Message;
-import dapplequay.lab.http.Wire;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.loop.EventLoop;
 import dapplequay.lab.model.HostModel;
 import dapplequay.lab.model.LoadReport;
 import java.io.IOException;
@@ -42,7 +42,7 @@
     private final FleetSpec fleet;
     private final FleetSpec.Host host;
     private final int place;
-    private final Loop loop;
+    private final EventLoop loop;
     private final FleetLog log;
     private final UniformRandomProvider random;
     private final InetAddress address;
@@ -51,10 +51,10 @@
     private final List<SocketChannel> plugs = new ArrayList<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final Map<Long, Pending> pending = new HashMap<>();
-    private final List<HostModel.Ended> ended = new ArrayList<>();
+    private final List<HostModel.RequestEnd> ended = new ArrayList<>();
     private final HostFaults faults = new HostFaults();
     private HostModel model;
-    private Loop.Timer wake;
+    private EventLoop.Timer wake;
     private long wakeAtUs;
     private long lastId;
     private String uid;
@@ -67,7 +67,7 @@
     /** A request in the model: the connection that waits for it, and its line in the log. */
     private record Pending(Connection from, FleetLog.Visit visit) { }
 
-    HostServer(FleetSpec fleet, int place, InetAddress address, Loop loop, FleetLog log,
+    HostServer(FleetSpec fleet, int place, InetAddress address, EventLoop loop, FleetLog log,
                UniformRandomProvider random) {
         this.fleet = fleet;
         this.place = place;
@@ -110,13 +110,13 @@
     /** The counts outlive the process. */
     private void keepCounts() {
         if (model != null) {
-            doneBefore += model.doneUs();
-            wastedBefore += model.wastedUs();
+            doneBefore += model.usefulWorkUs();
+            wastedBefore += model.wastedWorkUs();
         }
     }
 
     private void listen(int backlog) throws IOException {
-        loop.release();
+        loop.releaseClosedSockets();
         for (int zone = 0; zone < ports.length; zone++) {
             int callerZone = zone;
             ServerSocketChannel listener = ServerSocketChannel.open();
@@ -164,7 +164,7 @@
 
     private void accepted(SocketChannel channel, int callerZone) throws IOException {
         Connection connection = new Connection(channel, callerZone);
-        if (model.connect(Loop.nowUs(), ended)) {
+        if (model.connect(EventLoop.nowUs(), ended)) {
             connection.counted = true;
             log.counts(place).handshakes++;
         } else {
@@ -227,7 +227,7 @@
     }
 
     private void refreshFaults(long nowUs) {
-        model.slowness(nowUs, faults.amount(Kind.SLOW, 1), ended);
+        model.slowdownFactor(nowUs, faults.amount(Kind.SLOW, 1), ended);
         model.errorShare(faults.amount(Kind.ERRORS, host.spec().errorShare()));
         model.reportDelayUs(host.spec().reportDelayUs()
                 + Math.round(faults.amount(Kind.LATE_REPORTS, 0) * 1e6));
@@ -261,13 +261,13 @@
     /** Carries out what the model says has ended, and sets the timer for what ends next. */
     private void settle() {
         while (!ended.isEmpty()) {
-            List<HostModel.Ended> now = List.copyOf(ended);
+            List<HostModel.RequestEnd> now = List.copyOf(ended);
             ended.clear();
             now.forEach(this::answer);
         }
         if (model.isFallen() && up) {
             LOG.log(Level.INFO, "{0} fell over: too much work while cold", uid);
-            log.add(new FleetLog.Fall(place, uid, Loop.nowUs()));
+            log.add(new FleetLog.Fall(place, uid, EventLoop.nowUs()));
             stop();
             return;
         }
@@ -281,17 +281,17 @@
         }
         wakeAtUs = next;
         if (next != Long.MAX_VALUE) {
-            wake = loop.at(next, () -> {
+            wake = loop.schedule(next, () -> {
                 wake = null;
                 if (up) {
-                    model.advance(Loop.nowUs(), ended);
+                    model.advance(EventLoop.nowUs(), ended);
                     settle();
                 }
             });
         }
     }
 
-    private void answer(HostModel.Ended end) {
+    private void answer(HostModel.RequestEnd end) {
         Pending one = pending.remove(end.id());
         if (one == null) {
             return;
@@ -299,7 +299,7 @@
         FleetLog.Visit visit = one.visit();
         visit.endUs = end.atUs();
         visit.spentUs = end.workUs();
-        switch (end.fate()) {
+        switch (end.state()) {
             case SERVED -> {
                 visit.did = FleetLog.Did.SERVED;
                 visit.nonce = random.nextLong();
@@ -314,17 +314,17 @@
     }
 
     private void sweepIdle() {
-        long now = Loop.nowUs();
+        long now = EventLoop.nowUs();
         for (Connection connection : List.copyOf(connections)) {
             if (!silent && connection.isIdleSince(now - fleet.idleUs())) {
                 connection.close();
             }
         }
-        loop.at(now + IDLE_SWEEP_US, this::sweepIdle);
+        loop.schedule(now + IDLE_SWEEP_US, this::sweepIdle);
     }
 
     private void sample() {
-        long now = Loop.nowUs();
+        long now = EventLoop.nowUs();
         if (up) {
             model.advance(now, ended);
             settle();
@@ -336,11 +336,11 @@
         } else {
             log.add(new FleetLog.Sample(now, place, 0, 0, 0, 0));
         }
-        loop.at(now + SAMPLE_US, this::sample);
+        loop.schedule(now + SAMPLE_US, this::sample);
     }
 
     /** One connection of a caller. */
-    private final class Connection extends Wire {
+    private final class Connection extends HttpConnection {
         private final int callerZone;
         private boolean counted;
         private boolean refused;
@@ -348,7 +348,7 @@
         private String about;
         private long requestInModel = -1;
         private long firstByteUs;
-        private long quietSinceUs = Loop.nowUs();
+        private long quietSinceUs = EventLoop.nowUs();
 
         Connection(SocketChannel channel, int callerZone) {
             super(channel, false);
@@ -360,22 +360,22 @@
         }
 
         boolean isIdleSince(long us) {
-            return requestInModel < 0 && !framer.isWithin() && quietSinceUs < us && !mute;
+            return requestInModel < 0 && !parser.isMidMessage() && quietSinceUs < us && !mute;
         }
 
         void hush() {
-            goDeaf();
+            stopReading();
         }
 
         @Override
-        protected void received() throws IOException {
+        protected void onBytesReceived() throws IOException {
             if (firstByteUs == 0) {
-                firstByteUs = Loop.nowUs();
+                firstByteUs = EventLoop.nowUs();
             }
             Message request;
             try {
-                request = framer.next();
-            } catch (BadHttp e) {
+                request = parser.next();
+            } catch (MalformedHttpException e) {
                 answerPlain(400, e.getMessage() + "\n", true);
                 return;
             }
@@ -383,13 +383,13 @@
                 return;
             }
             long first = firstByteUs;
-            long whole = Loop.nowUs();
+            long whole = EventLoop.nowUs();
             firstByteUs = 0;
             if (latencyUs() == 0) {
                 take(request, first, whole);
             } else {
                 requestInModel = 0;
-                loop.at(whole + latencyUs(), () -> take(request, first, whole));
+                loop.schedule(whole + latencyUs(), () -> take(request, first, whole));
             }
         }
 
@@ -417,12 +417,12 @@
             FleetLog.Visit visit = new FleetLog.Visit(name, key, place, uid, host.pod(), callerZone, first, whole,
                     work(request, key == null ? name : key));
             log.add(visit);
-            about = request.query("obj");
+            about = request.queryParameter("obj");
             begin(visit);
         }
 
         private double work(Message request, String name) {
-            String asked = request.query("w");
+            String asked = request.queryParameter("w");
             double work = asked != null && asked.matches("[0-9]{1,12}") ? Double.parseDouble(asked)
                     : fleet.workLeastUs() + HostFaults.unit(name) * (fleet.workMostUs() - fleet.workLeastUs());
             return faults.hits(Kind.HEAVY, name) ? work * faults.amount(Kind.HEAVY, 1) : work;
@@ -437,7 +437,7 @@
             if (faults.hits(Kind.SILENT_CONNECTION, visit.call + uid)) {
                 visit.did = FleetLog.Did.BROKEN;
                 mute = true;
-                goDeaf();
+                stopReading();
                 return;
             }
             if (refused || draining) {
@@ -446,7 +446,7 @@
                 return;
             }
             long id = ++lastId;
-            HostModel.Admission admission = model.offer(Loop.nowUs(), id, visit.askedUs, about, ended);
+            HostModel.Admission admission = model.offer(EventLoop.nowUs(), id, visit.askedUs, about, ended);
             switch (admission) {
                 case WORKING, WAITING -> {
                     requestInModel = id;
@@ -467,13 +467,13 @@
                 return;
             }
             log.counts(place).probes++;
-            model.probe(Loop.nowUs(), ended);
+            model.probe(EventLoop.nowUs(), ended);
             answerPlain(draining ? 503 : 200, path.equals("/load") ? report().header() : "ok\n", false);
             settle();
         }
 
         private LoadReport report() {
-            return model.report(Loop.nowUs(), ended);
+            return model.report(EventLoop.nowUs(), ended);
         }
 
         void answerServed(FleetLog.Visit visit) {
@@ -516,11 +516,11 @@
 
         private void send(byte[] answer, End end) {
             requestInModel = -1;
-            quietSinceUs = Loop.nowUs();
+            quietSinceUs = EventLoop.nowUs();
             if (latencyUs() == 0) {
                 sendNow(answer, end);
             } else {
-                loop.at(Loop.nowUs() + latencyUs(), () -> sendNow(answer, end));
+                loop.schedule(EventLoop.nowUs() + latencyUs(), () -> sendNow(answer, end));
             }
         }
 
@@ -533,17 +533,17 @@
                 closeWhenWritten();
             } else if (end == End.RESET) {
                 // The bytes go first: a reset that overtakes them would be another fault.
-                loop.at(Loop.nowUs() + 5_000, this::reset);
+                loop.schedule(EventLoop.nowUs() + 5_000, this::reset);
             }
         }
 
         @Override
-        protected void peerEnded() {
+        protected void onPeerClosed() {
             close();
         }
 
         @Override
-        protected void gone() {
+        protected void onClosed() {
             connections.remove(this);
             if (counted) {
                 model.disconnect();
@@ -551,7 +551,7 @@
             if (requestInModel > 0 && up) {
                 long id = requestInModel;
                 requestInModel = -1;
-                model.giveUp(Loop.nowUs(), id, ended);
+                model.giveUp(EventLoop.nowUs(), id, ended);
                 settle();
             }
         }
--- a/lab/src/main/java/dapplequay/lab/http/Message.java
+++ b/lab/src/main/java/dapplequay/lab/http/Message.java
@@ -3,42 +3,42 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** One whole request or response. Header names are in lower case. */
+/** A complete HTTP request or response. Header names are in lower case. */
 public record Message(String startLine, Map<String, String> headers, byte[] body) {
     public String header(String name) {
         return headers.get(name);
     }
 
-    /** The method of a request. */
+    /** Returns the method; for requests only. */
     public String method() {
         return startLine.substring(0, startLine.indexOf(' '));
     }
 
-    /** Path and query of a request. */
+    /** Returns path and query; for requests only. */
     public String target() {
-        int from = startLine.indexOf(' ') + 1;
-        return startLine.substring(from, startLine.indexOf(' ', from));
+        int targetStart = startLine.indexOf(' ') + 1;
+        return startLine.substring(targetStart, startLine.indexOf(' ', targetStart));
     }
 
-    /** The status of a response. */
+    /** Returns the status code; for responses only. */
     public int status() {
         return Integer.parseInt(startLine.substring(9, 12));
     }
 
-    public boolean keepsAlive() {
+    public boolean isKeepAlive() {
         String connection = headers.get("connection");
-        boolean asked = connection != null && connection.equalsIgnoreCase("close");
-        return !asked && (startLine.startsWith("HTTP/1.1") || startLine.endsWith("HTTP/1.1"));
+        boolean closeRequested = connection != null && connection.equalsIgnoreCase("close");
+        return !closeRequested && (startLine.startsWith("HTTP/1.1") || startLine.endsWith("HTTP/1.1"));
     }
 
-    /** One value of the query of a request, or null. */
-    public String query(String name) {
+    /** Returns the undecoded value of a query parameter, or null if it is absent; for requests only. */
+    public String queryParameter(String name) {
         String target = target();
-        int at = target.indexOf('?');
-        if (at < 0) {
+        int queryStart = target.indexOf('?');
+        if (queryStart < 0) {
             return null;
         }
-        for (String pair : target.substring(at + 1).split("&")) {
+        for (String pair : target.substring(queryStart + 1).split("&")) {
             if (pair.startsWith(name + "=")) {
                 return pair.substring(name.length() + 1);
             }
--- a/lab/src/main/java/dapplequay/lab/load/NullServer.java
+++ b/lab/src/main/java/dapplequay/lab/load/NullServer.java
@@ -1,8 +1,8 @@
 package dapplequay.lab.load;
 
-import dapplequay.lab.http.BadHttp;
-import dapplequay.lab.http.Wire;
-import dapplequay.lab.loop.Loop;
+import dapplequay.lab.http.HttpConnection;
+import dapplequay.lab.http.MalformedHttpException;
+import dapplequay.lab.loop.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -15,7 +15,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Answers every request at once with the same few bytes: what a generator is measured against. */
+/** A server that answers every request at once with the same bytes, to measure the generator itself. */
 public final class NullServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(NullServer.class.getName());
     private static final byte[] ANSWER =
@@ -23,64 +23,64 @@
     private static final int BACKLOG = 1024;
 
     private final ServerSocketChannel listener = ServerSocketChannel.open();
-    private final Loop accepting = new Loop("null-accept");
-    private final List<Loop> loops = new ArrayList<>();
-    private int accepted;
+    private final EventLoop acceptLoop = new EventLoop("null-accept");
+    private final List<EventLoop> loops = new ArrayList<>();
+    private int acceptedCount;
 
     public NullServer(int threads) throws IOException {
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         for (int i = 0; i < Math.max(1, threads); i++) {
-            loops.add(new Loop("null-" + i));
+            loops.add(new EventLoop("null-" + i));
         }
-        accepting.post(() -> accepting.accept(listener,
-                channel -> serve(channel, loops.get(accepted++ % loops.size()))));
+        acceptLoop.post(() -> acceptLoop.accept(listener,
+                channel -> serve(channel, loops.get(acceptedCount++ % loops.size()))));
     }
 
     public InetSocketAddress address() throws IOException {
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    private static void serve(SocketChannel channel, Loop loop) {
+    private static void serve(SocketChannel channel, EventLoop loop) {
         loop.post(() -> {
             try {
                 new Connection(channel).register(loop, SelectionKey.OP_READ);
             } catch (IOException e) {
-                LOG.log(Level.FINE, "connection was gone at once", e);
+                LOG.log(Level.FINE, "accepted connection could not be registered", e);
             }
         });
     }
 
-    private static final class Connection extends Wire {
+    private static final class Connection extends HttpConnection {
         Connection(SocketChannel channel) {
             super(channel, false);
         }
 
         @Override
-        protected void received() throws IOException {
+        protected void onBytesReceived() throws IOException {
             try {
-                while (!isClosed() && framer.next() != null) {
+                while (!isClosed() && parser.next() != null) {
                     write(ANSWER);
                 }
-            } catch (BadHttp e) {
+            } catch (MalformedHttpException e) {
                 close();
             }
         }
 
         @Override
-        protected void peerEnded() {
+        protected void onPeerClosed() {
             close();
         }
 
         @Override
-        protected void gone() {
-            // Nothing is kept of a connection.
+        protected void onClosed() {
+            // There is no state to release.
         }
     }
 
     @Override
     public void close() throws IOException {
         listener.close();
-        accepting.close();
-        loops.forEach(Loop::close);
+        acceptLoop.close();
+        loops.forEach(EventLoop::close);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/loop/Loop.java
+++ b/lab/src/main/java/dapplequay/lab/loop/EventLoop.java
@@ -20,38 +20,38 @@
 import java.util.logging.Logger;
 
 /**
- * One thread that serves many sockets: it waits for sockets that are ready, for timers that are due and for
- * tasks that other threads hand in. What belongs to a loop is touched by its thread alone.
+ * An event loop: one thread that waits for ready sockets, due timers and tasks posted by other threads. State
+ * that belongs to a loop is accessed by its thread only.
  */
-public final class Loop implements AutoCloseable {
-    private static final Logger LOG = Logger.getLogger(Loop.class.getName());
-    private static final long ANCHOR_US = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
-    private static final long ANCHOR_NANOS = System.nanoTime();
-    /** Below this the selector's whole milliseconds are too coarse, and the loop naps instead. */
-    private static final long FINE_US = 1_500;
-    private static final long NAP_NANOS = 50_000;
-
-    /** Serves one socket. An IOException is handed to {@link #broken} and ends nothing else. */
+public final class EventLoop implements AutoCloseable {
+    private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
+    private static final long UNIX_US_AT_START = ChronoUnit.MICROS.between(Instant.EPOCH, Instant.now());
+    private static final long NANO_TIME_AT_START = System.nanoTime();
+    /** For shorter waits the selector's millisecond timeout is too coarse, and the loop parks instead. */
+    private static final long MIN_SELECT_US = 1_500;
+    private static final long PARK_NANOS = 50_000;
+
+    /** Serves one socket. An IOException is passed to {@link #onError} and affects no other socket. */
     public interface Handler {
-        void ready(SelectionKey key) throws IOException;
+        void onReady(SelectionKey key) throws IOException;
 
-        void broken(IOException why);
+        void onError(IOException cause);
     }
 
-    /** Takes a connection that a listener has accepted. */
+    /** Receives the connections that a listener has accepted. */
     public interface Acceptor {
-        void accepted(SocketChannel channel) throws IOException;
+        void onAccepted(SocketChannel channel) throws IOException;
     }
 
-    /** Something to be done at a time, unless it is cancelled before. */
+    /** A task scheduled for a time; it does not run if it is cancelled before. */
     public static final class Timer {
-        private final long atUs;
-        private final long number;
+        private final long dueUs;
+        private final long sequence;
         private Runnable task;
 
-        private Timer(long atUs, long number, Runnable task) {
-            this.atUs = atUs;
-            this.number = number;
+        private Timer(long dueUs, long sequence, Runnable task) {
+            this.dueUs = dueUs;
+            this.sequence = sequence;
             this.task = task;
         }
 
@@ -62,13 +62,13 @@
 
     private final Selector selector;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) ->
-            a.atUs != b.atUs ? Long.compare(a.atUs, b.atUs) : Long.compare(a.number, b.number));
+            a.dueUs != b.dueUs ? Long.compare(a.dueUs, b.dueUs) : Long.compare(a.sequence, b.sequence));
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Thread thread;
-    private long timersSet;
-    private volatile boolean ended;
+    private long nextTimerSequence;
+    private volatile boolean stopped;
 
-    public Loop(String name) {
+    public EventLoop(String name) {
         try {
             selector = Selector.open();
         } catch (IOException e) {
@@ -79,20 +79,24 @@
         thread.start();
     }
 
-    /** Unix time in microseconds that never runs backwards, the same for all loops of the process. */
+    /** Returns monotonic Unix time in microseconds, the same for all loops of the process. */
     public static long nowUs() {
-        return ANCHOR_US + (System.nanoTime() - ANCHOR_NANOS) / 1000;
+        return UNIX_US_AT_START + (System.nanoTime() - NANO_TIME_AT_START) / 1000;
     }
 
-    /** Does this on the loop's thread, soon. */
+    /** Queues a task for the loop's thread. Any thread may call this. */
     public void post(Runnable task) {
         tasks.add(task);
         selector.wakeup();
     }
 
-    /** Does this and waits until it is done. Not to be called from a loop's thread, nor once it is closed. */
-    public void call(Runnable task) {
-        if (ended) {
+    /**
+     * Runs a task on the loop's thread and waits until it is done. Not to be called from a loop's thread.
+     *
+     * @throws IllegalStateException if the loop is closed
+     */
+    public void postAndWait(Runnable task) {
+        if (stopped) {
             throw new IllegalStateException(thread.getName() + " has ended");
         }
         java.util.concurrent.CountDownLatch done = new java.util.concurrent.CountDownLatch(1);
@@ -110,52 +114,52 @@
         }
     }
 
-    /** On the loop's thread only. */
-    public Timer at(long us, Runnable task) {
-        Timer timer = new Timer(us, timersSet++, task);
+    /** Schedules a task for a time in Unix microseconds. On the loop's thread only. */
+    public Timer schedule(long dueUs, Runnable task) {
+        Timer timer = new Timer(dueUs, nextTimerSequence++, task);
         timers.add(timer);
         return timer;
     }
 
-    /** On the loop's thread only. */
+    /** Registers a channel, made non-blocking, for the interest set. On the loop's thread only. */
     public SelectionKey register(SelectableChannel channel, int interest, Handler handler) throws IOException {
         channel.configureBlocking(false);
         return channel.register(selector, interest, handler);
     }
 
-    /** Serves what comes to a listener: each connection is handed over as soon as it is accepted. */
+    /** Accepts connections on a listener and passes each to the acceptor. */
     public void accept(ServerSocketChannel listener, Acceptor acceptor) {
         try {
             register(listener, SelectionKey.OP_ACCEPT, new Handler() {
                 @Override
-                public void ready(SelectionKey key) throws IOException {
+                public void onReady(SelectionKey key) throws IOException {
                     for (SocketChannel channel = listener.accept(); channel != null; channel = listener.accept()) {
                         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                        acceptor.accepted(channel);
+                        acceptor.onAccepted(channel);
                     }
                 }
 
                 @Override
-                public void broken(IOException why) {
-                    LOG.log(Level.FINE, "accept failed: {0}", why.toString());
+                public void onError(IOException cause) {
+                    LOG.log(Level.FINE, "accept failed: {0}", cause.toString());
                 }
             });
         } catch (IOException e) {
-            LOG.log(Level.FINE, "listener was closed again: {0}", e.toString());
+            LOG.log(Level.FINE, "listener could not be registered: {0}", e.toString());
         }
     }
 
     /**
-     * Lets go of sockets that were closed in this turn: until then their ports stay taken. On the loop's thread
-     * only, from a task or a timer.
+     * Completes the close of sockets closed since the last select: until then their ports stay in use. On the
+     * loop's thread only, from a task or a timer.
      */
-    public void release() throws IOException {
+    public void releaseClosedSockets() throws IOException {
         selector.selectNow();
     }
 
     @Override
     public void close() {
-        ended = true;
+        stopped = true;
         selector.wakeup();
         if (Thread.currentThread() != thread) {
             try {
@@ -167,42 +171,42 @@
     }
 
     private void run() {
-        while (!ended) {
+        while (!stopped) {
             try {
-                turn();
+                runOnce();
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
-                LOG.log(Level.SEVERE, "a turn of " + thread.getName() + " failed", e);
+                LOG.log(Level.SEVERE, "an iteration of event loop " + thread.getName() + " failed", e);
             }
         }
         for (SelectionKey key : selector.keys()) {
             try {
                 key.channel().close();
             } catch (IOException e) {
-                LOG.log(Level.FINE, "not closed", e);
+                LOG.log(Level.FINE, "channel or selector could not be closed", e);
             }
         }
         try {
             selector.close();
         } catch (IOException e) {
-            LOG.log(Level.FINE, "not closed", e);
+            LOG.log(Level.FINE, "channel or selector could not be closed", e);
         }
     }
 
-    private void turn() throws IOException {
+    private void runOnce() throws IOException {
         waitForWork();
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
-            guarded(task);
+            runGuarded(task);
         }
         for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext();) {
             SelectionKey key = keys.next();
             keys.remove();
-            serve(key);
+            dispatch(key);
         }
         long now = nowUs();
-        while (!timers.isEmpty() && timers.peek().atUs <= now) {
+        while (!timers.isEmpty() && timers.peek().dueUs <= now) {
             Runnable task = timers.poll().task;
             if (task != null) {
-                guarded(task);
+                runGuarded(task);
             }
         }
     }
@@ -211,35 +215,35 @@
         while (!timers.isEmpty() && timers.peek().task == null) {
             timers.poll();
         }
-        long left = timers.isEmpty() ? 1_000_000 : timers.peek().atUs - nowUs();
-        if (!tasks.isEmpty() || left <= 0) {
+        long untilDueUs = timers.isEmpty() ? 1_000_000 : timers.peek().dueUs - nowUs();
+        if (!tasks.isEmpty() || untilDueUs <= 0) {
             selector.selectNow();
-        } else if (left >= FINE_US) {
-            selector.select(Math.max(1, (left - 500) / 1000));
+        } else if (untilDueUs >= MIN_SELECT_US) {
+            selector.select(Math.max(1, (untilDueUs - 500) / 1000));
         } else if (selector.selectNow() == 0) {
-            LockSupport.parkNanos(Math.min(NAP_NANOS, left * 1000));
+            LockSupport.parkNanos(Math.min(PARK_NANOS, untilDueUs * 1000));
         }
     }
 
-    private void serve(SelectionKey key) {
+    private void dispatch(SelectionKey key) {
         Handler handler = (Handler) key.attachment();
         try {
-            handler.ready(key);
+            handler.onReady(key);
         } catch (IOException e) {
-            handler.broken(e);
+            handler.onError(e);
         } catch (CancelledKeyException e) {
-            LOG.log(Level.FINEST, "closed in this very turn", e);
+            LOG.log(Level.FINEST, "key was cancelled in this iteration", e);
         } catch (RuntimeException e) {
-            LOG.log(Level.WARNING, "a connection failed", e);
-            handler.broken(new IOException(e));
+            LOG.log(Level.WARNING, "a socket handler failed", e);
+            handler.onError(new IOException(e));
         }
     }
 
-    private void guarded(Runnable task) {
+    private void runGuarded(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "a task of " + thread.getName() + " failed", e);
+            LOG.log(Level.SEVERE, "a task on event loop " + thread.getName() + " failed", e);
         }
     }
 }
--- a/lab/src/main/java/dapplequay/lab/model/ColdBudget.java
+++ b/lab/src/main/java/dapplequay/lab/model/ColdBudget.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * How much of what a cold host can bear was sent to it: within any window of the stated length no more work
- * than {@code multiple} times the host's mean capacity in that window. Times count from the host's start.
+ * Tracks how much of its cold-start budget a host was sent: in any window of {@code windowUs}, at most
+ * {@code multiple} times the work that its mean capacity allows. Times count from the host's start.
  */
 public final class ColdBudget {
     private final double fullCapacity;
@@ -12,17 +12,17 @@
     private final long warmUpUs;
     private final double multiple;
     private final long windowUs;
-    private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
-    private double inWindow;
-    private double worst;
+    private final ArrayDeque<WorkItem> itemsInWindow = new ArrayDeque<>();
+    private double workInWindowUs;
+    private double maxUsed;
 
-    private record Piece(double atUs, double workUs) { }
+    private record WorkItem(double atUs, double workUs) { }
 
     public ColdBudget(HostSpec spec) {
         this(spec.fullCapacity(), spec.coldFrom(), spec.warmUpUs(), spec.tipMultiple(), spec.tipAfterUs());
     }
 
-    /** {@code fullCapacity}: work per microsecond; {@code multiple}: over 0. */
+    /** Creates a budget; {@code fullCapacity} is in work per microsecond, {@code multiple} is over 0. */
     public ColdBudget(double fullCapacity, double coldFrom, long warmUpUs, double multiple, long windowUs) {
         this.fullCapacity = fullCapacity;
         this.coldFrom = coldFrom;
@@ -31,33 +31,33 @@
         this.windowUs = windowUs;
     }
 
-    /** Takes one piece of work; returns the share of the budget that is used now, over 1: broken. */
-    public double sent(double sinceStartUs, double workUs) {
+    /** Records work sent to the host; returns the share of the budget in use, over 1 if it is exceeded. */
+    public double recordWork(double sinceStartUs, double workUs) {
         if (sinceStartUs > warmUpUs + windowUs) {
             return 0;
         }
-        pieces.add(new Piece(sinceStartUs, workUs));
-        inWindow += workUs;
-        while (pieces.peek().atUs() < sinceStartUs - windowUs) {
-            inWindow -= pieces.poll().workUs();
+        itemsInWindow.add(new WorkItem(sinceStartUs, workUs));
+        workInWindowUs += workUs;
+        while (itemsInWindow.peek().atUs() < sinceStartUs - windowUs) {
+            workInWindowUs -= itemsInWindow.poll().workUs();
         }
-        double from = Math.max(0, sinceStartUs - windowUs);
-        double span = Math.max(1, sinceStartUs - from);
-        double mean = (capacityUpTo(from + span) - capacityUpTo(from)) / span;
-        double used = inWindow / (multiple * mean * windowUs);
-        worst = Math.max(worst, used);
-        return used;
+        double windowStartUs = Math.max(0, sinceStartUs - windowUs);
+        double spanUs = Math.max(1, sinceStartUs - windowStartUs);
+        double meanCapacity = (workPossibleUntil(windowStartUs + spanUs) - workPossibleUntil(windowStartUs)) / spanUs;
+        double usedShare = workInWindowUs / (multiple * meanCapacity * windowUs);
+        maxUsed = Math.max(maxUsed, usedShare);
+        return usedShare;
     }
 
-    /** The greatest share of the budget used so far. */
-    public double worst() {
-        return worst;
+    /** Returns the greatest share of the budget in use so far. */
+    public double maxUsed() {
+        return maxUsed;
     }
 
-    /** Work that could be done from the start up to this time. */
-    private double capacityUpTo(double us) {
-        double warming = Math.min(us, warmUpUs);
-        double rise = warmUpUs == 0 ? 0 : (1 - coldFrom) * warming * warming / (2.0 * warmUpUs);
-        return fullCapacity * (coldFrom * warming + rise + Math.max(0, us - warmUpUs));
+    /** Returns the work that the host can do from its start up to this time, in microseconds. */
+    private double workPossibleUntil(double us) {
+        double warmingUs = Math.min(us, warmUpUs);
+        double rampWork = warmUpUs == 0 ? 0 : (1 - coldFrom) * warmingUs * warmingUs / (2.0 * warmUpUs);
+        return fullCapacity * (coldFrom * warmingUs + rampWork + Math.max(0, us - warmUpUs));
     }
 }
--- a/lab/src/main/java/dapplequay/lab/text/Durations.java
+++ b/lab/src/main/java/dapplequay/lab/text/Durations.java
@@ -4,29 +4,29 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as people write them: a number and one of us, ms, s, m. Inside they are whole microseconds. */
+/** Converts between microseconds and text: a number followed by us, ms, s or m. */
 public final class Durations {
-    private static final Pattern FORM = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)(us|ms|s|m)");
+    private static final Pattern PATTERN = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)(us|ms|s|m)");
 
     private Durations() { }
 
-    /** Microseconds, 0 or more; IllegalArgumentException where the text is not a duration. */
+    /** Parses a duration into microseconds, 0 or more; throws IllegalArgumentException if it is invalid. */
     public static long parseUs(String text) {
-        Matcher form = FORM.matcher(text.trim());
-        if (!form.matches()) {
+        Matcher matcher = PATTERN.matcher(text.trim());
+        if (!matcher.matches()) {
             throw new IllegalArgumentException("is not a duration such as 250ms or 10s: " + text);
         }
-        double unit = switch (form.group(2)) {
+        double unit = switch (matcher.group(2)) {
             case "us" -> 1;
             case "ms" -> 1e3;
             case "s" -> 1e6;
             default -> 60e6;
         };
-        return Math.round(Double.parseDouble(form.group(1)) * unit);
+        return Math.round(Double.parseDouble(matcher.group(1)) * unit);
     }
 
-    /** Seconds with as many decimals as are of use to a reader. */
-    public static String seconds(long us) {
+    /** Formats microseconds as seconds: whole seconds without decimals, others with two. */
+    public static String formatSeconds(long us) {
         return String.format(Locale.ROOT, us % 1_000_000 == 0 ? "%.0fs" : "%.2fs", us / 1e6);
     }
 }
--- a/lab/src/test/java/dapplequay/lab/model/HostModelTest.java
+++ b/lab/src/test/java/dapplequay/lab/model/HostModelTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.within;
 
 import dapplequay.lab.model.HostModel.Admission;
-import dapplequay.lab.model.HostModel.Ended;
-import dapplequay.lab.model.HostModel.Fate;
+import dapplequay.lab.model.HostModel.EndState;
+import dapplequay.lab.model.HostModel.RequestEnd;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -15,7 +15,7 @@
 class HostModelTest {
     private static final long T0 = 1_000_000_000L;
 
-    private final List<Ended> ended = new ArrayList<>();
+    private final List<RequestEnd> ended = new ArrayList<>();
 
     private static UniformRandomProvider random() {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(5);
@@ -31,14 +31,14 @@
         assertThat(model.offer(T0, 1, 100_000, ended)).isEqualTo(Admission.WORKING);
         assertThat(model.nextEndUs()).isEqualTo(T0 + 50_000);
         model.advance(T0 + 50_000, ended);
-        assertThat(ended).containsExactly(new Ended(1, T0 + 50_000, Fate.SERVED, 100_000));
+        assertThat(ended).containsExactly(new RequestEnd(1, T0 + 50_000, EndState.SERVED, 100_000));
         assertThat(model.held()).isZero();
         assertThat(model.nextEndUs()).isEqualTo(Long.MAX_VALUE);
     }
 
-    /** Six requests on one core wait five deep: too much for a second, then two and a half times as slow until it rests. */
+    /** Six requests on one core, five of them waiting: after 1 s the host is 2.5 times as slow until it recovers. */
     @Test
-    void aHostThatHeldTooMuchForLongIsSlowUntilItHasRested() {
+    void sustainedOverloadSlowsAHostUntilItHasRecovered() {
         HostModel model = warm(new HostSpec.Builder().cores(1).slots(1)
                 .chokes(new HostSpec.Choke(4, 1_000_000, 2.5, 0.5, 500_000, 60_000_000)).build());
         for (int i = 0; i < 6; i++) {
@@ -51,7 +51,7 @@
         assertThat(model.capacity()).isEqualTo(0.4);
         model.advance(T0 + 1_000_000 + 27_400_000, ended);
         assertThat(ended).as("11 s of work at 0.4 from the first second on").hasSize(5);
-        assertThat(model.isChoked()).as("it still works").isTrue();
+        assertThat(model.isChoked()).as("the last request is still in work").isTrue();
         model.advance(T0 + 29_300_000, ended);
         assertThat(ended).hasSize(6);
         assertThat(model.isChoked()).isFalse();
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void aKeyMetLatelyIsLessWorkUntilItIsForgotten() {
+    void aRememberedKeyCostsLessWorkUntilItIsForgotten() {
         HostModel model = warm(new HostSpec.Builder().cores(1).remembers(new HostSpec.Keys(0.5, 1_000_000, 2)).build());
         long at = T0;
         long id = 0;
-        // met before, not known, met before, pushed out by the third of two, and too long ago
+        // Remembered (a), new (b), remembered (a), evicted by the third key (b), and expired (late).
         for (String key : List.of("a", "a", "b", "a", "c", "b", "late", "late")) {
             at += key.equals("late") ? 2_000_000 : 200_000;
             model.offer(at, id++, 100_000, key, ended);
             model.advance(at + 200_000, ended);
         }
-        assertThat(ended).extracting(Ended::workUs).containsExactly(100_000.0, 50_000.0, 100_000.0, 50_000.0,
+        assertThat(ended).extracting(RequestEnd::workUs).containsExactly(100_000.0, 50_000.0, 100_000.0, 50_000.0,
                 100_000.0, 100_000.0, 100_000.0, 100_000.0);
     }
 
@@ -79,22 +79,22 @@
         model.offer(T0, 1, 100_000, ended);
         model.offer(T0, 2, 40_000, ended);
         model.advance(T0 + 300_000, ended);
-        assertThat(ended).extracting(Ended::atUs).containsExactly(T0 + 80_000, T0 + 140_000);
+        assertThat(ended).extracting(RequestEnd::atUs).containsExactly(T0 + 80_000, T0 + 140_000);
     }
 
     @Test
-    void beyondSlotsRequestsWaitInTurnAndBeyondRoomTheyAreTurnedAway() {
+    void beyondSlotsRequestsWaitInOrderAndBeyondRoomTheyAreRefused() {
         HostModel model = warm(new HostSpec.Builder().slots(1).room(1).build());
         assertThat(model.offer(T0, 1, 10_000, ended)).isEqualTo(Admission.WORKING);
         assertThat(model.offer(T0, 2, 10_000, ended)).isEqualTo(Admission.WAITING);
         assertThat(model.offer(T0, 3, 10_000, ended)).isEqualTo(Admission.FULL);
         model.advance(T0 + 100_000, ended);
-        assertThat(ended).extracting(Ended::id).containsExactly(1L, 2L);
+        assertThat(ended).extracting(RequestEnd::id).containsExactly(1L, 2L);
         assertThat(ended.get(1).atUs()).isEqualTo(T0 + 20_000);
     }
 
     @Test
-    void aCrowdedHostGetsLessDone() {
+    void aCrowdedHostIsSlower() {
         HostSpec.Builder spec = new HostSpec.Builder().slots(8).room(100);
         HostModel sound = warm(spec.build());
         HostModel crowded = warm(spec.crowd(2, 1).build());
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aColdHostWarmsUpEvenly() {
+    void aColdHostWarmsUpLinearly() {
         HostSpec spec = new HostSpec.Builder().cold(0.5, 10_000_000).build();
         HostModel cold = new HostModel(spec, random(), T0, true);
         assertThat(cold.capacity()).isEqualTo(0.5);
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aColdHostThatIsSentTooMuchFallsOverAndStaysDown() {
+    void aColdHostThatIsSentTooMuchCrashesForGood() {
         HostSpec spec = new HostSpec.Builder().cold(0.31, 8_800_000).tips(3, 3_000_000).build();
         HostModel cold = new HostModel(spec, random(), T0, true);
         int taken = 0;
@@ -138,12 +138,12 @@
     }
 
     @Test
-    void workStopsWhenGivenUpOnlyWhereTheHostCanDoThat() {
+    void cancellingStopsWorkOnlyIfTheHostSupportsIt() {
         HostModel stops = warm(new HostSpec.Builder().build());
         stops.offer(T0, 1, 100_000, ended);
         stops.giveUp(T0 + 30_000, 1, ended);
-        assertThat(ended).containsExactly(new Ended(1, T0 + 30_000, Fate.STOPPED, 30_000));
-        assertThat(stops.wastedUs()).isEqualTo(30_000);
+        assertThat(ended).containsExactly(new RequestEnd(1, T0 + 30_000, EndState.STOPPED, 30_000));
+        assertThat(stops.wastedWorkUs()).isEqualTo(30_000);
         assertThat(stops.held()).isZero();
         ended.clear();
         HostModel goesOn = warm(new HostSpec.Builder().stopsOnCancel(false).build());
@@ -151,8 +151,8 @@
         goesOn.giveUp(T0 + 30_000, 1, ended);
         assertThat(ended).isEmpty();
         goesOn.advance(T0 + 100_000, ended);
-        assertThat(ended).containsExactly(new Ended(1, T0 + 100_000, Fate.STOPPED, 100_000));
-        assertThat(goesOn.wastedUs()).isEqualTo(100_000);
+        assertThat(ended).containsExactly(new RequestEnd(1, T0 + 100_000, EndState.STOPPED, 100_000));
+        assertThat(goesOn.wastedWorkUs()).isEqualTo(100_000);
     }
 
     @Test
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void reportsAreRefreshedNowAndThenAndShowLater() {
+    void reportsAreRefreshedPeriodicallyAndShownAfterTheirDelay() {
         HostModel model = warm(new HostSpec.Builder().slots(1).reports(1_000_000, 0, 0).build());
         for (int i = 0; i < 4; i++) {
             model.offer(T0 + 10, i, 60_000_000, ended);
@@ -182,25 +182,25 @@
     }
 
     @Test
-    void aShareFailsQuickly() {
+    void theErrorShareOfRequestsFails() {
         HostModel model = warm(new HostSpec.Builder().errors(0.25, 1_000).room(100_000).build());
         int failed = 0;
         for (int i = 0; i < 4000; i++) {
             model.offer(T0 + i * 50_000L, i, 10_000, ended);
         }
         model.advance(T0 + 500_000_000L, ended);
-        for (Ended end : ended) {
-            failed += end.fate() == Fate.FAILED ? 1 : 0;
+        for (RequestEnd end : ended) {
+            failed += end.state() == EndState.FAILED ? 1 : 0;
         }
         assertThat(ended).hasSize(4000);
         assertThat(failed).isBetween(900, 1100);
     }
 
     @Test
-    void slownessCountsFromItsMomentOn() {
+    void aSlowdownAppliesFromTheMomentItIsSet() {
         HostModel model = warm(new HostSpec.Builder().build());
         model.offer(T0, 1, 100_000, ended);
-        model.slowness(T0 + 50_000, 2, ended);
+        model.slowdownFactor(T0 + 50_000, 2, ended);
         assertThat(model.nextEndUs()).isEqualTo(T0 + 150_000);
     }
 }
