--- a/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/HostServer.java
@@ -183,7 +183,7 @@
         switch (fault.kind()) {
             case SILENT -> {
                 silent = true;
-                connections.forEach(Connection::stopReading);
+                connections.forEach(Connection::makeSilent);
                 makeConnectsHang();
             }
             case REFUSE -> stopListening();
@@ -363,7 +363,7 @@
             return requestInModel < 0 && !framer.isWithin() && idleSinceUs < us && !silenced;
         }
 
-        void stopReading() {
+        void makeSilent() {
             goDeaf();
         }
 
