--- a/lab/src/main/java/dapplequay/lab/cli/DemoCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/DemoCommand.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import org.kohsuke.args4j.Option;
 
-/** The first thing to try: a small fleet, some sidecars, a calm part and a troubled one. */
+/** Runs the demo experiment: a small fleet with sidecars, first without faults, then with faults. */
 public final class DemoCommand implements Command {
     @Option(name = "--out", metaVar = "DIR")
     private String out;
@@ -24,6 +24,6 @@
             Files.write(file, text.readAllBytes());
         }
         System.err.println("9 hosts and 4 sidecars for 24 seconds; trouble from the ninth on");
-        return RunCommand.play(ExperimentSpec.read(file, null), folder, null);
+        return RunCommand.runAndReport(ExperimentSpec.read(file, null), folder, null);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/cli/FleetCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/FleetCommand.java
@@ -11,7 +11,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** A fleet alone, until it is told to end. Its faults count from its start. */
+/** Runs a fleet without sidecars until SIGTERM. Fault times are relative to its start. */
 public final class FleetCommand implements Command {
     @Argument(required = true, metaVar = "FILE.toml")
     private String file;
@@ -25,10 +25,10 @@
         if (parsed.fleet() == null) {
             throw new dapplequay.lab.text.InvalidFileException(file, 1, "fleet", "is missing");
         }
-        CountDownLatch told = new CountDownLatch(1);
+        CountDownLatch shutdownRequested = new CountDownLatch(1);
         CountDownLatch ended = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            told.countDown();
+            shutdownRequested.countDown();
             try {
                 ended.await();
             } catch (InterruptedException e) {
@@ -36,11 +36,11 @@
             }
         }, "ending"));
         try (Fleet fleet = new Fleet(parsed.fleet(), seed)) {
-            fleet.log().keepCountsAlone();
-            fleet.play(FaultScript.draw(parsed.fleet(), parsed.faults(), seed), EventLoop.nowUs());
+            fleet.log().recordCountsOnly();
+            fleet.scheduleFaults(FaultScript.draw(parsed.fleet(), parsed.faults(), seed), EventLoop.nowUs());
             System.out.println(firstLine(fleet));
             System.out.flush();
-            told.await();
+            shutdownRequested.await();
         } finally {
             ended.countDown();
         }
--- a/lab/src/main/java/dapplequay/lab/experiment/ExperimentSpec.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/ExperimentSpec.java
@@ -11,43 +11,48 @@
 import java.util.Set;
 
 /**
- * One experiment as a file describes it: fleet, faults, load, sidecars and what is compared.
+ * An experiment as read from a file: fleet, faults, load, sidecars and the variants to compare.
  *
- * @param connectionsMax open client connections, all sidecars together
+ * @param connectionsMax limit of open client connections, over all sidecars together
  */
 public record ExperimentSpec(String title, FleetSpec fleet, List<FaultSpec> faults, Profile load,
                              SidecarsSpec sidecars, List<Wave> waves, List<Variant> variants, long seed,
                              int repeat, int connectionsMax) {
     /**
-     * The sidecars, and the settings that each is given.
+     * The number of sidecars and the settings that each gets.
      *
-     * @param memoryMb     resident memory over which a sidecar counts as killed
-     * @param sockets      descriptors that a sidecar may hold, enforced
-     * @param drainGraceUs how long after a drain was told new work may still go to the host
+     * @param memoryMb     resident memory above which the judge reports a violation; not enforced
+     * @param sockets      limit of file descriptors of a sidecar, enforced by {@code ulimit}
+     * @param drainGraceUs time after a drain is announced in which new requests may still go to the host
      */
     public record SidecarsSpec(int count, int memoryMb, int sockets, int sendCap, boolean secondCopies,
                                long connectTimeoutUs, long drainGraceUs, double crossZonePrice) { }
 
-    /** Reads a whole file; its faults are told as InvalidFileException, unknown keys among them. */
-    public static ExperimentSpec read(Path file, Long seedGiven) {
+    /**
+     * Reads a file; throws InvalidFileException if it is invalid or has unknown keys. {@code seedOverride} may be
+     * null.
+     */
+    public static ExperimentSpec read(Path file, Long seedOverride) {
         TomlFile doc = TomlFile.read(file);
-        ExperimentSpec spec = read(doc, file.toAbsolutePath().getParent(), seedGiven);
+        ExperimentSpec spec = read(doc, file.toAbsolutePath().getParent(), seedOverride);
         doc.rejectUnknownKeys();
         return spec;
     }
 
-    private static ExperimentSpec read(TomlFile doc, Path folder, Long seedGiven) {
+    private static ExperimentSpec read(TomlFile doc, Path folder, Long seedOverride) {
         TomlFile.Table root = doc.root();
         TomlFile.Table run = root.table("run");
-        long seed = seedGiven != null ? seedGiven : run.integer("seed", 1, 0, Integer.MAX_VALUE);
-        if (seedGiven != null) {
+        long seed = seedOverride != null ? seedOverride : run.integer("seed", 1, 0, Integer.MAX_VALUE);
+        if (seedOverride != null) {
             run.has("seed");
         }
-        TomlFile.Table s = root.table("sidecars");
-        SidecarsSpec sidecars = new SidecarsSpec(s.integer("count", 4, 1, 500), s.integer("memory_mb", 192, 16, 65536),
-                s.integer("sockets", 1024, 64, 1_000_000), s.integer("send_cap", 3, 1, 10),
-                s.bool("second_copies", true), s.durationUs("connect_timeout", 250_000),
-                s.durationUs("drain_grace", 2_500_000), s.number("cross_zone_price", 0.03, 0, 1));
+        TomlFile.Table sidecarsTable = root.table("sidecars");
+        SidecarsSpec sidecars = new SidecarsSpec(
+                sidecarsTable.integer("count", 4, 1, 500), sidecarsTable.integer("memory_mb", 192, 16, 65536),
+                sidecarsTable.integer("sockets", 1024, 64, 1_000_000), sidecarsTable.integer("send_cap", 3, 1, 10),
+                sidecarsTable.bool("second_copies", true), sidecarsTable.durationUs("connect_timeout", 250_000),
+                sidecarsTable.durationUs("drain_grace", 2_500_000), sidecarsTable.number("cross_zone_price", 0.03, 0,
+                        1));
         FleetSpec fleet = FleetSpec.read(root.table("fleet"), sidecars.count(), seed);
         if (fleet.views() < sidecars.count()) {
             throw root.table("fleet").error("views", "must not be fewer than the sidecars");
--- a/lab/src/main/java/dapplequay/lab/fleet/Discovery.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/Discovery.java
@@ -18,23 +18,23 @@
 import java.util.Set;
 
 /**
- * The discovery service on sockets, one listener for each view. It is one service for all: it takes calls in
- * turn, each for a stated time, and turns away those that would wait too long.
+ * The discovery service, with one listener for each view. All views share its capacity: it handles one call at a
+ * time, each for a configured time, and answers 503 to calls that would queue too long.
  */
 final class Discovery {
-    private static final long LONGEST_WATCH_MS = 60_000;
+    private static final long MAX_WATCH_MS = 60_000;
 
     private final FleetSpec fleet;
     private final EventLoop loop;
     private final FleetLog log;
     private final ListState list = new ListState();
-    private final List<ListState.Entry> heldBack = new ArrayList<>();
-    private final List<Runnable> unanswered = new ArrayList<>();
+    private final List<ListState.Entry> delayedChanges = new ArrayList<>();
+    private final List<Runnable> deferredAnswers = new ArrayList<>();
     private final ServerSocketChannel[] listeners;
     private final int[] ports;
-    private final Set<Call> calls = new LinkedHashSet<>();
-    private long freeAtUs;
-    private double callTimes = 1;
+    private final Set<CallerConnection> calls = new LinkedHashSet<>();
+    private long busyUntilUs;
+    private double callCostFactor = 1;
     private boolean stale;
     private boolean down;
 
@@ -49,18 +49,18 @@
 
     private void listen() throws IOException {
         for (int view = 0; view < listeners.length; view++) {
-            int at = view;
+            int viewIndex = view;
             ServerSocketChannel listener = ServerSocketChannel.open();
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), ports[view]), 128);
             ports[view] = ((InetSocketAddress) listener.getLocalAddress()).getPort();
             listeners[view] = listener;
-            loop.post(() -> loop.accept(listener, channel -> accepted(channel, at)));
+            loop.post(() -> loop.accept(listener, channel -> accepted(channel, viewIndex)));
         }
     }
 
     private void accepted(SocketChannel channel, int view) throws IOException {
-        Call call = new Call(channel, view);
+        CallerConnection call = new CallerConnection(channel, view);
         calls.add(call);
         call.register(loop, SelectionKey.OP_READ);
     }
@@ -69,75 +69,75 @@
         return "127.0.0.1:" + ports[view];
     }
 
-    /** The list as it stands now, for this view: what a sidecar would have kept from before. */
-    String known(int view) {
-        return new String(ListState.json(list.whole(), fleet.viewZones().get(view)), StandardCharsets.UTF_8);
+    /** Returns the current list as this view sees it, as a sidecar would have kept it from an earlier run. */
+    String listSnapshot(int view) {
+        return new String(ListState.json(list.full(), fleet.viewZones().get(view)), StandardCharsets.UTF_8);
     }
 
-    /** The list shows this after its delay. */
+    /** Publishes this entry after the fleet's list delay. */
     void change(ListState.Entry entry) {
         loop.schedule(EventLoop.nowUs() + fleet.listDelayUs(), () -> publish(entry));
     }
 
-    /** The list shows this now, unless it is stale. */
+    /** Publishes this entry now, or when the list stops being stale. */
     void publish(ListState.Entry entry) {
         if (stale) {
-            heldBack.add(entry);
+            delayedChanges.add(entry);
             return;
         }
         list.change(entry);
-        wakeWatchers();
+        notifyWatchers();
     }
 
-    private void wakeWatchers() {
-        for (Call call : List.copyOf(calls)) {
+    private void notifyWatchers() {
+        for (CallerConnection call : List.copyOf(calls)) {
             call.changed();
         }
     }
 
-    /** A fault of the list begins or ends. */
-    void fault(FaultSpec fault, boolean begins) throws IOException {
+    /** Begins or ends a fault of the list. */
+    void applyFault(FaultSpec fault, boolean begins) throws IOException {
         switch (fault.kind()) {
-            case LIST_STALE -> holdBack(begins);
+            case LIST_STALE -> setStale(begins);
             case LIST_EMPTY -> {
-                list.empty(begins);
-                wakeWatchers();
+                list.setEmpty(begins);
+                notifyWatchers();
             }
             case LIST_ODD_ZONE -> publish(new ListState.Entry("h-odd",
                     fleet.zones().stream().map(zone -> "127.0.0.1:1").toList(), "nowhere", "odd", 0,
                     begins ? "SERVING" : "DELETED", 1, 0));
-            case LIST_SLOW -> callTimes = begins ? fault.amount() : 1;
+            case LIST_SLOW -> callCostFactor = begins ? fault.amount() : 1;
             case LIST_DOWN -> {
                 down = begins;
                 if (fleet.pushed()) {
-                    agents(begins);
+                    setAgentsSilent(begins);
                 } else if (begins) {
                     close();
                 } else {
                     listen();
                 }
             }
-            default -> throw new IllegalArgumentException(fault.kind().word());
+            default -> throw new IllegalArgumentException(fault.kind().configName());
         }
     }
 
-    /** Changes wait from now on, or those that waited come. */
-    private void holdBack(boolean begins) {
+    /** Starts to hold changes back, or publishes those that were held back. */
+    private void setStale(boolean begins) {
         stale = begins;
         if (!begins) {
-            List<ListState.Entry> late = List.copyOf(heldBack);
-            heldBack.clear();
-            late.forEach(this::publish);
+            List<ListState.Entry> delayed = List.copyOf(delayedChanges);
+            delayedChanges.clear();
+            delayed.forEach(this::publish);
         }
     }
 
-    /** An agent is there all the time; while discovery is down nothing reaches it, and it says nothing. */
-    private void agents(boolean silent) {
-        holdBack(silent);
+    /** Agents stay reachable while discovery is down, but get no updates and defer all answers until it is back. */
+    private void setAgentsSilent(boolean silent) {
+        setStale(silent);
         if (!silent) {
-            List<Runnable> asked = List.copyOf(unanswered);
-            unanswered.clear();
-            asked.forEach(Runnable::run);
+            List<Runnable> deferred = List.copyOf(deferredAnswers);
+            deferredAnswers.clear();
+            deferred.forEach(Runnable::run);
         }
     }
 
@@ -148,14 +148,14 @@
         List.copyOf(calls).forEach(HttpConnection::reset);
     }
 
-    /** One caller's connection, on which it asks again and again. */
-    private final class Call extends HttpConnection {
+    /** A persistent connection of one caller. */
+    private final class CallerConnection extends HttpConnection {
         private final int view;
         private boolean watching;
-        private long after;
-        private EventLoop.Timer until;
+        private long knownRevision;
+        private EventLoop.Timer watchTimer;
 
-        Call(SocketChannel channel, int view) {
+        CallerConnection(SocketChannel channel, int view) {
             super(channel, false);
             this.view = view;
         }
@@ -177,18 +177,18 @@
                 return;
             }
             long now = EventLoop.nowUs();
-            long starts = Math.max(now, freeAtUs);
+            long starts = Math.max(now, busyUntilUs);
             if (starts - now > fleet.listWaitUs()) {
                 write(http(503, new byte[0]));
                 return;
             }
-            freeAtUs = starts + Math.round(fleet.listCallUs() * callTimes);
-            loop.schedule(freeAtUs, () -> serve(request));
+            busyUntilUs = starts + Math.round(fleet.listCallUs() * callCostFactor);
+            loop.schedule(busyUntilUs, () -> serve(request));
         }
 
         private void serve(Message request) {
             if (!isClosed() && down && fleet.pushed()) {
-                unanswered.add(() -> serve(request));
+                deferredAnswers.add(() -> serve(request));
             }
             if (isClosed() || down) {
                 return;
@@ -197,25 +197,25 @@
                 write(http(404, new byte[0]));
                 return;
             }
-            String known = request.queryParameter("after");
-            if (known == null) {
-                answer(list.whole());
+            String afterParameter = request.queryParameter("after");
+            if (afterParameter == null) {
+                answer(list.full());
                 return;
             }
-            after = Long.parseLong(known);
+            knownRevision = Long.parseLong(afterParameter);
             String wait = request.queryParameter("wait_ms");
-            long waitMs = wait == null ? 0 : Math.min(LONGEST_WATCH_MS, Long.parseLong(wait));
-            if (after != list.revision() || waitMs == 0) {
-                answer(list.after(after));
+            long waitMs = wait == null ? 0 : Math.min(MAX_WATCH_MS, Long.parseLong(wait));
+            if (knownRevision != list.revision() || waitMs == 0) {
+                answer(list.changesAfter(knownRevision));
                 return;
             }
             watching = true;
-            until = loop.schedule(EventLoop.nowUs() + waitMs * 1000, () -> {
+            watchTimer = loop.schedule(EventLoop.nowUs() + waitMs * 1000, () -> {
                 watching = false;
                 if (down) {
-                    unanswered.add(() -> answer(list.after(after)));
+                    deferredAnswers.add(() -> answer(list.changesAfter(knownRevision)));
                 } else {
-                    answer(list.after(after));
+                    answer(list.changesAfter(knownRevision));
                 }
             });
         }
@@ -223,17 +223,17 @@
         void changed() {
             if (watching) {
                 watching = false;
-                until.cancel();
-                answer(list.after(after));
+                watchTimer.cancel();
+                answer(list.changesAfter(knownRevision));
             }
         }
 
         private void answer(ListState.Answer answer) {
             write(http(200, ListState.json(answer, fleet.viewZones().get(view))));
             long now = EventLoop.nowUs();
-            log.listCall(answer.entries().size());
+            log.addListCall(answer.entries().size());
             for (ListState.Entry entry : answer.entries()) {
-                log.add(new FleetLog.Told(view, entry.uid(), entry.state(), entry.bootMs(), now));
+                log.add(new FleetLog.ListUpdate(view, entry.uid(), entry.state(), entry.bootMs(), now));
             }
         }
 
@@ -253,8 +253,8 @@
         @Override
         protected void onClosed() {
             calls.remove(this);
-            if (until != null) {
-                until.cancel();
+            if (watchTimer != null) {
+                watchTimer.cancel();
             }
         }
     }
--- a/lab/src/main/java/dapplequay/lab/fleet/FleetSpec.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/FleetSpec.java
@@ -9,23 +9,23 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A fleet as a file describes it. Times are microseconds.
+ * A fleet as read from a file. Times are microseconds.
  *
  * @param hosts          every host, in order
  * @param zones          the names of the zones
- * @param zoneLatencyUs  one way between two zones; within a zone it is 0
- * @param views          sidecars that discovery tells apart, each asking at an address of its own
- * @param viewZones      the zone of each view, by its place in {@code zones}
- * @param listDelayUs    how long after a change of the fleet the list shows it
- * @param listCallUs     time that discovery works on a call; it takes one after the other
- * @param listWaitUs     a call that would wait longer than this for its turn ends with 503
- * @param workLeastUs    work of a request that names none, the least
- * @param workMostUs     and the most
- * @param idleUs         hosts close connections that were idle this long
- * @param plain          whether hosts serve requests that carry no call id
+ * @param zoneLatencyUs  one-way latency between two zones; 0 within a zone
+ * @param views          number of callers that discovery tells apart, each with a discovery address of its own
+ * @param viewZones      the zone of each view, as an index into {@code zones}
+ * @param listDelayUs    delay until the list shows a change of the fleet
+ * @param listCallUs     time that discovery needs for a call; it handles one at a time
+ * @param listWaitUs     longest time in discovery's queue; calls that would wait longer get 503
+ * @param workLeastUs    minimum work of a request that does not state its work
+ * @param workMostUs     maximum work of such a request
+ * @param idleUs         idle time after which hosts close a connection
+ * @param plain          whether hosts accept requests without a call id
  * @param probes         whether hosts answer probes
- * @param pushed         whether each view has an agent of its own that lists are pushed to: calls cost nothing, and
- *                       while discovery is down the agent says nothing
+ * @param pushed         whether lists are pushed to an agent beside each view: calls are then free, and the agent
+ *                       defers its answers while discovery is down
  */
 public record FleetSpec(List<Host> hosts, List<String> zones, long zoneLatencyUs, int views,
                         List<Integer> viewZones, long listDelayUs, long listCallUs, long listWaitUs,
@@ -34,7 +34,7 @@
     /** One host: its name, zone, pod, kind and behaviour. */
     public record Host(String uid, int zone, int pod, String kind, HostSpec spec) { }
 
-    /** Reads the table {@code [fleet]}; kinds of hosts are spread by their shares, in an order of the seed. */
+    /** Reads the table {@code [fleet]}; kinds of hosts are assigned by their shares, shuffled by the seed. */
     public static FleetSpec read(TomlFile.Table fleet, int views, long seed) {
         int count = fleet.integer("hosts", 9, 1, 2000);
         List<String> zones = fleet.strings("zones", List.of("north", "south"));
@@ -50,21 +50,21 @@
         List<HostSpec> specs = new ArrayList<>();
         List<String> kinds = new ArrayList<>();
         List<TomlFile.Table> tables = fleet.tables("kind");
-        int given = 0;
+        int assigned = 0;
         for (int k = 0; k < tables.size(); k++) {
             TomlFile.Table kind = tables.get(k);
             double share = kind.number("share", 1, 0, 1);
-            int until = k == tables.size() - 1 ? count : Math.min(count, given + (int) Math.round(share * count));
-            HostSpec spec = kind(kind);
+            int until = k == tables.size() - 1 ? count : Math.min(count, assigned + (int) Math.round(share * count));
+            HostSpec spec = readHostSpec(kind);
             String name = kind.string("name");
-            for (; given < until; given++) {
+            for (; assigned < until; assigned++) {
                 specs.add(spec);
                 kinds.add(name);
             }
         }
-        HostSpec ordinary = kind(fleet.table("host"));
+        HostSpec defaultSpec = readHostSpec(fleet.table("host"));
         while (specs.size() < count) {
-            specs.add(ordinary);
+            specs.add(defaultSpec);
             kinds.add("host");
         }
         shuffle(specs, kinds, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
@@ -93,7 +93,7 @@
         }
     }
 
-    private static HostSpec kind(TomlFile.Table table) {
+    private static HostSpec readHostSpec(TomlFile.Table table) {
         return new HostSpec.Builder().cores(table.integer("cores", 1, 1, 256))
                 .speed(table.number("speed", 1, 0.001, 1e6))
                 .slots(table.integer("slots", 4, 1, 100_000)).room(table.integer("room", 30, 0, 1_000_000))
@@ -106,8 +106,8 @@
                 .errors(table.number("errors", 0, 0, 1), table.durationUs("error_takes", 2_000))
                 .stopsOnCancel(table.bool("stops_on_cancel", true))
                 .tips(table.number("tip_multiple", 3, 0, 1000), table.durationUs("tip_after", 3_000_000))
-                .chokes(new HostSpec.Choke(table.number("choke_at", 0, 0, 1e6),
-                        table.durationUs("choke_after", 2_000_000),
+                .chokes(new HostSpec.Choke(table.number("choke_at", 0, 0, 1e6), table.durationUs("choke_after",
+                        2_000_000),
                         table.number("choke_slower", 2.5, 1, 1000), table.number("choke_below", 0.3, 0, 1),
                         table.durationUs("choke_rest", 3_000_000), table.durationUs("choke_most", 25_000_000)))
                 .remembers(new HostSpec.Keys(table.number("key_gain", 0, 0, 1), table.durationUs("key_for", 6_000_000),
--- a/lab/src/main/java/dapplequay/lab/fleet/ListState.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/ListState.java
@@ -8,24 +8,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** Discovery's list with its versions: pure, no clock and no socket. */
+/** Discovery's list and its revisions; uses neither clock nor sockets. */
 public final class ListState {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** Changes that are remembered for watchers; who lags behind further gets the whole list. */
-    private static final int REMEMBERED = 1000;
+    /** Number of changes kept for watchers; a watcher that is further behind gets the full list. */
+    private static final int MAX_CHANGES = 1000;
 
-    /** What the list says of one host. {@code endpoints}: one for each zone that asks. */
+    /** The list's entry of one host. {@code endpoints} holds one address for each zone of callers. */
     public record Entry(String uid, List<String> endpoints, String zone, String kind, int pod, String state,
                         double capacity, long bootMs) {
-        public Entry as(String newState) {
+        public Entry withState(String newState) {
             return new Entry(uid, endpoints, zone, kind, pod, newState, capacity, bootMs);
         }
     }
 
     private record Change(long revision, Entry entry) { }
 
-    /** An answer: its text, and the entries in it. */
-    public record Answer(long revision, boolean whole, List<Entry> entries) { }
+    /** An answer to a call: the full list, or else only the entries that changed. */
+    public record Answer(long revision, boolean full, List<Entry> entries) { }
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final ArrayList<Change> changes = new ArrayList<>();
@@ -36,7 +36,7 @@
         return revision;
     }
 
-    /** Takes one changed entry over; a state DELETED takes it out. */
+    /** Applies a changed entry; one with the state DELETED is removed. */
     public void change(Entry entry) {
         revision++;
         if (entry.state().equals("DELETED")) {
@@ -45,31 +45,31 @@
             entries.put(entry.uid(), entry);
         }
         changes.add(new Change(revision, entry));
-        if (changes.size() > REMEMBERED) {
-            changes.subList(0, REMEMBERED / 2).clear();
+        if (changes.size() > MAX_CHANGES) {
+            changes.subList(0, MAX_CHANGES / 2).clear();
         }
     }
 
-    /** From now on the whole list is told as empty, or again as it is. Watchers are told the whole list. */
-    public void empty(boolean on) {
+    /** Starts or stops to report the list as empty. Watchers then get the full list. */
+    public void setEmpty(boolean on) {
         empty = on;
         revision++;
         changes.clear();
     }
 
-    public Answer whole() {
+    public Answer full() {
         return new Answer(revision, true, empty ? List.of() : List.copyOf(entries.values()));
     }
 
-    /** What changed after this revision; the whole list where that is not known any more. */
-    public Answer after(long known) {
+    /** Returns the changes after this revision, or the full list if they are no longer known. */
+    public Answer changesAfter(long knownRevision) {
         long oldest = changes.isEmpty() ? revision : changes.get(0).revision() - 1;
-        if (known > revision || known < oldest || empty) {
-            return whole();
+        if (knownRevision > revision || knownRevision < oldest || empty) {
+            return full();
         }
         Map<String, Entry> latest = new LinkedHashMap<>();
         for (Change change : changes) {
-            if (change.revision() > known) {
+            if (change.revision() > knownRevision) {
                 latest.remove(change.entry().uid());
                 latest.put(change.entry().uid(), change.entry());
             }
@@ -77,11 +77,11 @@
         return new Answer(revision, false, List.copyOf(latest.values()));
     }
 
-    /** The protocol's form, as a caller of this zone sees it. */
+    /** Returns the answer in the protocol's JSON format, as a caller in this zone sees it. */
     public static byte[] json(Answer answer, int zone) {
         ObjectNode root = JSON.createObjectNode();
         root.put("rev", answer.revision());
-        root.put("all", answer.whole());
+        root.put("all", answer.full());
         ArrayNode targets = root.putArray("targets");
         for (Entry entry : answer.entries()) {
             targets.addObject().put("uid", entry.uid()).put("endpoint", entry.endpoints().get(zone))
--- a/lab/src/main/java/dapplequay/lab/report/ReportHtml.java
+++ b/lab/src/main/java/dapplequay/lab/report/ReportHtml.java
@@ -15,7 +15,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** One page that holds all of a report: it asks no other file and no other machine for anything. */
+/** Writes a report as one self-contained HTML page, which loads no other resource. */
 public final class ReportHtml {
     private static final Logger LOG = Logger.getLogger(ReportHtml.class.getName());
     private static final String STYLE = """
@@ -32,19 +32,19 @@
 
     private ReportHtml() { }
 
-    /** Writes {@code report.html} beside the report that is given. */
+    /** Writes {@code report.html} to this folder. */
     public static void write(JsonNode root, Path folder) throws IOException {
         String title = root.path("title").asText("").isEmpty() ? "dapplequay laboratory: " + root.path("kind").asText()
                 : root.path("title").asText();
         Files.writeString(folder.resolve("report.html"), page(title, body(title, root)));
     }
 
-    /** One page with both reports side by side, {@code compare.html}, and the table of their figures above. */
-    public static void compare(JsonNode one, String oneName, JsonNode other, String otherName, Path folder)
+    /** Writes {@code compare.html}: a table that compares the figures, then both reports side by side. */
+    public static void compare(JsonNode first, String firstName, JsonNode second, String secondName, Path folder)
             throws IOException {
-        String body = "<h1>" + escape(oneName) + " beside " + escape(otherName) + "</h1>"
-                + Compare.html(one, oneName, other, otherName) + "<div class=side><div>" + body(oneName, one)
-                + "</div><div>" + body(otherName, other) + "</div></div>";
+        String body = "<h1>" + escape(firstName) + " beside " + escape(secondName) + "</h1>"
+                + Compare.html(first, firstName, second, secondName) + "<div class=side><div>" + body(firstName, first)
+                + "</div><div>" + body(secondName, second) + "</div></div>";
         Files.createDirectories(folder);
         Files.writeString(folder.resolve("compare.html"), page("comparison", body));
     }
@@ -66,33 +66,34 @@
         }
         if (root.path("kind").asText().equals("load")) {
             body.append(latencies(List.of(root), node -> "load")).append(outcomes(root));
-            body.append("<div class=plots>").append(drawn(Plots::percentiles, root))
-                    .append(drawn(Plots::latency, root)).append(drawn(Plots::outcomes, root)).append("</div>");
+            body.append("<div class=plots>").append(drawOrNote(Plots::percentiles, root))
+                    .append(drawOrNote(Plots::latency, root)).append(drawOrNote(Plots::outcomes, root))
+                    .append("</div>");
             return body.toString();
         }
         List<JsonNode> variants = new ArrayList<>();
         root.path("variants").forEach(variants::add);
         body.append("<h2>Figures by variant</h2>").append(figures(variants));
         body.append("<h2>Latency, ms</h2>").append(latencies(variants, v -> v.path("name").asText()));
-        body.append("<div class=plots>").append(drawn(Plots::percentiles, root)).append("</div>");
+        body.append("<div class=plots>").append(drawOrNote(Plots::percentiles, root)).append("</div>");
         for (JsonNode run : root.path("runs")) {
             body.append("<h2>").append(escape(run.path("variant").asText())).append(", seed ")
                     .append(run.path("seed").asLong()).append("</h2>").append(rules(run)).append("<div class=plots>");
             for (Function<JsonNode, String> plot : List.<Function<JsonNode, String>>of(Plots::faults, Plots::latency,
                     Plots::outcomes, Plots::held, Plots::load)) {
-                body.append(drawn(plot, run));
+                body.append(drawOrNote(plot, run));
             }
             body.append("</div>");
         }
         return body.toString();
     }
 
-    /** A machine without fonts can't draw: the figures are of use without plots, too. */
-    private static String drawn(Function<JsonNode, String> plot, JsonNode of) {
+    /** Returns the plot, or a note if drawing fails (as on a machine without fonts), so that the figures still show. */
+    private static String drawOrNote(Function<JsonNode, String> plot, JsonNode of) {
         try {
             return plot.apply(of);
         } catch (RuntimeException | LinkageError | InternalError e) {
-            LOG.log(Level.FINE, "no plot", e);
+            LOG.log(Level.FINE, "could not draw plot", e);
             return "<p class=note>No plot: " + escape(String.valueOf(e.getMessage())) + "</p>";
         }
     }
--- a/sidecar/src/test/java/dapplequay/cli/RollUnderLoadTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/RollUnderLoadTest.java
@@ -80,7 +80,9 @@
         }
     }
 
-    /** Takes some ms for most requests, 300 for some, and 1,200 for a few, which are held when the time to end is over. */
+    /**
+     * Takes some ms for most requests, 300 for some, and 1,200 for a few, which are held when the time to end is over.
+     */
     private void serve(Socket socket, int group) throws Exception {
         socket.setTcpNoDelay(true);
         MessageReader reader = new MessageReader(socket.getInputStream());
--- a/sidecar/src/test/java/dapplequay/cli/ThreadShortageTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/ThreadShortageTest.java
@@ -54,7 +54,10 @@
         program.awaitReady();
     }
 
-    /** Clients that connect, send nothing and stay, until the process can't start a thread for one; kept up in the background. */
+    /**
+     * Clients that connect, send nothing and stay, until the process can't start a thread for one; kept up in the
+     * background.
+     */
     private void fill() throws Exception {
         Thread filler = new Thread(() -> {
             while (program.process.isAlive()) {
--- a/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
@@ -41,7 +41,9 @@
         }
     }
 
-    /** Returns once the attempt's first bytes have come: its writer is in the write, and comes out by what a test does. */
+    /**
+     * Returns once the attempt's first bytes have come: its writer is in the write, and comes out by what a test does.
+     */
     @BeforeEach
     void begin() throws Exception {
         listener.setReceiveBufferSize(4_096);
--- a/sidecar/src/test/java/dapplequay/net/ClientDepartureTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientDepartureTest.java
@@ -69,7 +69,9 @@
         };
     }
 
-    /** Its thread read no further than the next request's first byte while one was out, and so never came to the end. */
+    /**
+     * Its thread read no further than the next request's first byte while one was out, and so never came to the end.
+     */
     @ParameterizedTest
     @CsvSource({"request,false", "request,true", "half,false", "half,true", "line,false", "much,false", "much,true",
         "nothing,false", "nothing,true"})
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -663,7 +663,9 @@
         }
     }
 
-    /** A deadline of 4 s and more outlasts the platform's patience: what was held then was cut off without an answer. */
+    /**
+     * A deadline of 4 s and more outlasts the platform's patience: what was held then was cut off without an answer.
+     */
     @Test
     void whatIsHeldWhenTheTimeToEndIsOverFailsAndIsNotCutOff() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
--- a/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
@@ -148,7 +148,9 @@
         }
     }
 
-    /** The second answer comes while an attempt waits, or the end: it goes out on a new one, and its time begins there. */
+    /**
+     * The second answer comes while an attempt waits, or the end: it goes out on a new one, and its time begins there.
+     */
     @ParameterizedTest
     @EnumSource(Does.class)
     void aConnectionThatEndsWhileALegWaitsForItIsNotUsed(Does what) throws Exception {
@@ -172,7 +174,9 @@
         }
     }
 
-    /** A cut while the attempt waits ends the wait; its host is not held against, and the connection is the next one's. */
+    /**
+     * A cut while the attempt waits ends the wait; its host is not held against, and the connection is the next one's.
+     */
     @ParameterizedTest
     @EnumSource(value = AttemptEnd.class, names = {"GIVEN_UP", "TIMED_OUT", "SILENT"})
     void anAttemptThatIsCutWhileItWaitsNeverRan(AttemptEnd why) throws Exception {
@@ -211,7 +215,9 @@
         }
     }
 
-    /** At a bound of one: each attempt evicts the other host's connection; none is used after that, nor counted twice. */
+    /**
+     * At a bound of one: each attempt evicts the other host's connection; none is used after that, nor counted twice.
+     */
     @Test
     void evictedConnectionsAreCountedOnceAndNotUsedAgain() throws Exception {
         UpstreamRig one = new UpstreamRig(1);
