--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -391,8 +391,8 @@
         if (listener != null) {
             boolean sharesSocket = listener.stopIfShared();
             ShutdownSchedule ending = sharesSocket ? requested.forHandover() : requested;
-            LOG.info(sharesSocket ? "shutting down: a successor takes the clients"
-                    : "shutting down: connected clients are still served");
+            LOG.info(sharesSocket ? "ending: a successor takes the clients"
+                    : "ending: connected clients are still served");
             lifecycle.end(ending.keepAliveUntilUs());
             listener.awaitEmpty(nowUs + ending.acceptUntilUs(), nowUs + ending.answerUntilUs(),
                     nowUs + ending.closeConnectionsAtUs());
