--- a/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class BlockedWriteTest {
     private final UpstreamRig rig = new UpstreamRig(10);
-    private final CountDownLatch go = new CountDownLatch(1);
+    private final CountDownLatch mayGoOn = new CountDownLatch(1);
     private final ServerSocket listener = new ServerSocket();
     private Socket host;
     private Attempt attempt;
@@ -47,14 +47,14 @@
         listener.setReceiveBufferSize(4_096);
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         rig.list("SERVING", listener.getLocalPort());
-        rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+        rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
         host = listener.accept();
         host.getInputStream().read(new byte[4_096]);
         write(host, Host.ok("first"));
         assertThat(rig.next().body()).isEqualTo("first");
-        rig.now.addAndGet(400_000);
+        rig.nowUs.addAndGet(400_000);
         attempt = rig.largeAttempt("s0");
-        writer = new Thread(() -> rig.side.send(attempt));
+        writer = new Thread(() -> rig.pool.send(attempt));
         writer.setDaemon(true);
         writer.start();
         assertThat(host.getInputStream().read(new byte[100])).isPositive();
@@ -62,13 +62,13 @@
 
     @AfterEach
     void end() throws IOException {
-        go.countDown();
+        mayGoOn.countDown();
         host.close();
         listener.close();
     }
 
-    private void assertEnded(AttemptEnd how) throws Exception {
-        assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, how, null));
+    private void assertEnded(AttemptEnd expected) throws Exception {
+        assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, expected, null));
         writer.join(TimeUnit.SECONDS.toMillis(Host.PATIENCE_S));
         assertThat(writer.isAlive()).as("it comes back").isFalse();
         rig.awaitThreads(0);
@@ -81,11 +81,11 @@
      */
     @Test
     void anAnswerThatBreaksUnderItsRequestIsNotWhole() throws Exception {
-        CountDownLatch met = new CountDownLatch(1);
-        rig.atLook(null, () -> {
-            rig.atLook(writer, () -> {
-                met.countDown();
-                await(go);
+        CountDownLatch writerFailed = new CountDownLatch(1);
+        rig.onClockRead(null, () -> {
+            rig.onClockRead(writer, () -> {
+                writerFailed.countDown();
+                await(mayGoOn);
             });
             try {
                 host.setSoLinger(true, 0);
@@ -93,21 +93,21 @@
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
-            while (met.getCount() > 0) {
+            while (writerFailed.getCount() > 0) {
                 Thread.onSpinWait();
             }
         });
         write(host, "HTTP/1.1 200 OK\r\n\r\nhalf");
-        await(met);
+        await(writerFailed);
         rig.awaitEndOrWaiting();
-        go.countDown();
+        mayGoOn.countDown();
         assertEnded(AttemptEnd.NOT_CONNECTED);
     }
 
     /** It never ran, as it was not whole. */
     @Test
     void itsTimeEnds() throws Exception {
-        rig.now.addAndGet(UpstreamRig.TIME_US);
+        rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
         rig.deadlines.runExpired();
         assertEnded(AttemptEnd.NOT_CONNECTED);
     }
@@ -115,8 +115,8 @@
     /** The write has just become whole, and its thread has not said so: it may have run. */
     @Test
     void itsTimeEndsInTheMomentInWhichItIsWhole() throws Exception {
-        rig.atLook(writer, () -> {
-            rig.now.addAndGet(UpstreamRig.TIME_US);
+        rig.onClockRead(writer, () -> {
+            rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             rig.deadlines.runExpired();
         });
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
@@ -126,8 +126,8 @@
     /** The head of its answer is here, and then its time is over: the cut counts, and the answer reaches nobody. */
     @Test
     void itsTimeEndsWhileItsAnswerIsRead() throws Exception {
-        rig.atLook(null, () -> {
-            rig.now.addAndGet(UpstreamRig.TIME_US);
+        rig.onClockRead(null, () -> {
+            rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             rig.deadlines.runExpired();
         });
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
@@ -139,19 +139,19 @@
     /** The answer is here and told, and then its time is over: the answer counts, and its connection stays. */
     @Test
     void itsTimeEndsWhenItIsAnswered() throws Exception {
-        rig.atEnd = ended -> {
-            rig.atEnd = next -> { };
-            rig.now.addAndGet(UpstreamRig.TIME_US);
+        rig.onAttemptEnd = ended -> {
+            rig.onAttemptEnd = next -> { };
+            rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             rig.deadlines.runExpired();
             attempt.abort(AttemptEnd.TIMED_OUT);
-            go.countDown();
+            mayGoOn.countDown();
         };
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
         writer.join();
         write(host, Host.ok("in time"));
         assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "in time"));
-        await(go);
-        rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+        await(mayGoOn);
+        rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
         write(host, Host.ok("next"));
         assertThat(rig.next().body()).as("on the same connection").isEqualTo("next");
     }
--- a/sidecar/src/test/java/dapplequay/net/BrokenAnswersTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BrokenAnswersTest.java
@@ -78,10 +78,10 @@
     @ValueSource(strings = {"", "half", "Content-Length: 9\r\n"})
     void aShortAnswerThatIsResetIsAskedForAnew(String text) throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Host.Script script = (head, seen) -> {
+        Host.Script script = (head, request) -> {
             if (calls.getAndIncrement() == 0) {
-                write(seen.socket(), "HTTP/1.1 200 OK\r\n" + (text.contains(":") ? text + "\r\nhalf" : "\r\n" + text));
-                reset(seen.socket());
+                write(request.socket(), "HTTP/1.1 200 OK\r\n" + (text.contains(":") ? text + "\r\nhalf" : "\r\n" + text));
+                reset(request.socket());
                 return null;
             }
             return Host.ok("whole");
@@ -100,10 +100,10 @@
     @CsvSource({"1.1,half", "1.1,''", "1.0,half"})
     void anAnswerThatIsResetAfterAPauseIsNotWhole(String version, String text) throws Exception {
         CountDownLatch passedOn = new CountDownLatch(1);
-        Host host = open(new Host((head, seen) -> {
-            write(seen.socket(), "HTTP/1.1 200 OK\r\n\r\n" + text);
+        Host host = open(new Host((head, request) -> {
+            write(request.socket(), "HTTP/1.1 200 OK\r\n\r\n" + text);
             passedOn.await();
-            reset(seen.socket());
+            reset(request.socket());
             return null;
         }));
         Host.Client client = open(new Host.Client(sidecar(Map.of(), host.port()).address()));
@@ -113,17 +113,17 @@
         passedOn.countDown();
         assertThatThrownBy(() -> client.reader.readResponseBody(head))
                 .isInstanceOf(version.equals("1.0") ? SocketException.class : IOException.class);
-        assertThat(host.seen).as("what has begun is not asked for anew").hasSize(1);
+        assertThat(host.received).as("what has begun is not asked for anew").hasSize(1);
     }
 
     /** The same where the connection ends in order: that is the whole answer. */
     @Test
     void anAnswerThatEndsAfterAPauseIsWhole() throws Exception {
         CountDownLatch passedOn = new CountDownLatch(1);
-        Host host = open(new Host((head, seen) -> {
-            write(seen.socket(), "HTTP/1.1 200 OK\r\n\r\nhalf");
+        Host host = open(new Host((head, request) -> {
+            write(request.socket(), "HTTP/1.1 200 OK\r\n\r\nhalf");
             passedOn.await();
-            write(seen.socket(), " and half");
+            write(request.socket(), " and half");
             return null;
         }));
         Host.Client client = open(new Host.Client(sidecar(Map.of(), host.port()).address()));
@@ -143,7 +143,7 @@
         ServerSocket[] hosts = {open(new ServerSocket(0, 1, InetAddress.getLoopbackAddress())),
             open(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()))};
         List<Socket> fillers = new CopyOnWriteArrayList<>();
-        AtomicInteger seen = new AtomicInteger();
+        AtomicInteger requests = new AtomicInteger();
         CountDownLatch broken = new CountDownLatch(1);
         CountDownLatch bothAccept = new CountDownLatch(2);
         CountDownLatch windowOver = new CountDownLatch(1);
@@ -157,11 +157,11 @@
                 if (fillsOther) {
                     MessageReader reader = new MessageReader(first.getInputStream());
                     reader.readRequestBody(reader.readRequestHead());
-                    seen.incrementAndGet();
+                    requests.incrementAndGet();
                     fillers.add(new Socket());
                     fillers.get(0).connect(other.getLocalSocketAddress());
                     bothAccept.await();             // the other takes no more from here on, and its backlog stays full
-                    WriteGuardTest.fill(other, fillers);
+                    WriteGuardTest.fillBacklog(other, fillers);
                     reset(first);
                     broken.countDown();
                 }
@@ -171,7 +171,7 @@
                     Host.daemon(() -> {
                         MessageReader reader = new MessageReader(late.getInputStream());
                         reader.readRequestBody(reader.readRequestHead());
-                        seen.incrementAndGet();
+                        requests.incrementAndGet();
                         write(late, Host.ok("late"));
                     });
                 }
@@ -188,7 +188,7 @@
         }
         windowOver.countDown();
         assertThat(client.answer().status()).isEqualTo(502);
-        assertThat(seen.get()).isEqualTo(1);
+        assertThat(requests.get()).isEqualTo(1);
         fillers.forEach(Sockets::closeQuietly);
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/ClientDepartureTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientDepartureTest.java
@@ -32,7 +32,7 @@
 @Timeout(90)
 class ClientDepartureTest extends ClosesWhatItOpened {
     /** Far less than the requests' own time, after which their attempts would end anyhow. */
-    private static final int SOON_S = 6;
+    private static final int DEPARTURE_TIMEOUT_S = 6;
 
 
     private ClientRig rig(ClientRig.Hooks hooks, int... ports) throws IOException {
@@ -40,17 +40,17 @@
     }
 
     /** Holds requests with this key until their attempt is given up, and answers the others. */
-    private Host holding(String key) throws IOException {
-        return open(new Host((head, seen) -> {
+    private Host hostHolding(String key) throws IOException {
+        return open(new Host((head, request) -> {
             if (key.equals(head.get("Idempotency-Key"))) {
-                seen.socket().getInputStream().read();
+                request.socket().getInputStream().read();
                 return null;
             }
             return Host.ok("done");
         }));
     }
 
-    private static void leave(Host.Client client, boolean withReset) throws IOException {
+    private static void disconnect(Host.Client client, boolean withReset) throws IOException {
         client.socket.setSoLinger(withReset, 0);
         client.close();
     }
@@ -59,7 +59,7 @@
         return host.next().head().get("Idempotency-Key");
     }
 
-    private static String behind(String what) {
+    private static String trailingBytes(String what) {
         return switch (what) {
             case "request" -> ClientRig.pay("behind");
             case "half" -> ClientRig.pay("behind").substring(0, 50);
@@ -74,52 +74,52 @@
     @CsvSource({"request,false", "request,true", "half,false", "half,true", "line,false", "much,false", "much,true",
         "nothing,false", "nothing,true"})
     void departureBehindBytesIsNoticedAndNothingBehindItIsServed(String what, boolean withReset) throws Exception {
-        Host host = holding("held");
+        Host host = hostHolding("held");
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
-        client.send(ClientRig.pay("held") + behind(what));
+        client.send(ClientRig.pay("held") + trailingBytes(what));
         assertThat(key(host)).isEqualTo("held");
-        leave(client, withReset);
-        assertThat(host.closed.poll(SOON_S, TimeUnit.SECONDS)).as("given up").isTrue();
+        disconnect(client, withReset);
+        assertThat(host.closed.poll(DEPARTURE_TIMEOUT_S, TimeUnit.SECONDS)).as("given up").isTrue();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         Host.Client other = rig.client();
         other.send(ClientRig.pay("other"));
         assertThat(other.answer().status()).isEqualTo(200);
         assertThat(key(host)).isEqualTo("other");
-        assertThat(host.seen).isEmpty();
+        assertThat(host.received).isEmpty();
     }
 
     /** Each was answered sooner than a client that waits behind bytes is looked for, and the next one followed. */
     @Test
     void requestsInARowAreNotServedToTheLastOneForAClientThatHasGone() throws Exception {
-        int row = 40;
-        Host host = open(new Host((head, seen) -> {
+        int pipelined = 40;
+        Host host = open(new Host((head, request) -> {
             Thread.sleep(15);
             return Host.ok("done");
         }));
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
         StringBuilder all = new StringBuilder();
-        for (int i = 0; i < row; i++) {
+        for (int i = 0; i < pipelined; i++) {
             all.append(ClientRig.pay("row" + i));
         }
         client.send(all.toString());
         assertThat(key(host)).isEqualTo("row0");
         client.socket.shutdownOutput();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
-        assertThat(host.seen).as("of " + row).hasSizeLessThan(row / 2);
+        assertThat(host.received).as("of " + pipelined).hasSizeLessThan(pipelined / 2);
     }
 
     /** The page tells a close from nothing else; for an attempt, ending its sending is giving it up. */
     @Test
     void clientThatEndsItsSendingHasGoneThoughItStillReads() throws Exception {
-        Host host = holding("held");
+        Host host = hostHolding("held");
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
         client.send(ClientRig.pay("held"));
         host.next();
         client.socket.shutdownOutput();
-        assertThat(host.closed.poll(SOON_S, TimeUnit.SECONDS)).as("given up").isTrue();
+        assertThat(host.closed.poll(DEPARTURE_TIMEOUT_S, TimeUnit.SECONDS)).as("given up").isTrue();
         assertThat(client.atEnd()).as("with no answer").isTrue();
     }
 
@@ -127,7 +127,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void requestWhoseClientLeftBeforeItWasReadIsNotSentOn(boolean withReset) throws Exception {
-        Host host = open(new Host((head, seen) -> Host.ok("done")));
+        Host host = open(new Host((head, request) -> Host.ok("done")));
         CountDownLatch left = new CountDownLatch(1);
         AtomicInteger connections = new AtomicInteger();
         ClientRig rig = rig(new ClientRig.Hooks() {
@@ -147,11 +147,11 @@
         other.send(ClientRig.pay("before"));
         assertThat(other.answer().status()).isEqualTo(200);
         Thread.sleep(30);           // the host's connection has rested, so that the next is written at once
-        rig.comesLate();
+        rig.suspendTicks();
         connections.set(2);
         Host.Client stale = rig.client();
         stale.send(ClientRig.pay("stale"));
-        leave(stale, withReset);
+        disconnect(stale, withReset);
         Thread.sleep(60);           // so long the process gets no processor time
         left.countDown();
         rig.accepted();
@@ -160,20 +160,20 @@
         assertThat(other.answer().status()).isEqualTo(200);
         assertThat(key(host)).isEqualTo("before");
         assertThat(key(host)).isEqualTo("after");
-        assertThat(host.seen).isEmpty();
+        assertThat(host.received).isEmpty();
     }
 
     /** The first attempt fails only once its client has gone: the next one is due then, and must not begin. */
     @ParameterizedTest
     @ValueSource(strings = {"nothing", "half", "request"})
     void attemptThatFailsAfterTheDepartureIsNotFollowedByAnother(String what) throws Exception {
-        Host.Script script = (head, seen) -> {
+        Host.Script script = (head, request) -> {
             if ("other".equals(head.get("Idempotency-Key"))) {
                 return Host.ok("done");
             }
             try {
-                seen.socket().setSoTimeout(3_000);
-                seen.socket().getInputStream().read();
+                request.socket().setSoTimeout(3_000);
+                request.socket().getInputStream().read();
             } catch (SocketTimeoutException e) {
                 // Not given up, though the client has gone: it fails now.
             }
@@ -183,26 +183,26 @@
         Host second = open(new Host(script));
         ClientRig rig = rig(new ClientRig.Hooks(), first.port(), second.port());
         Host.Client client = rig.client();
-        client.send(ClientRig.pay("held") + behind(what));
-        while (first.seen.isEmpty() && second.seen.isEmpty()) {
+        client.send(ClientRig.pay("held") + trailingBytes(what));
+        while (first.received.isEmpty() && second.received.isEmpty()) {
             Thread.sleep(1);
         }
-        leave(client, false);
+        disconnect(client, false);
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         Host.Client other = rig.client();
         other.send(ClientRig.pay("other"));
         assertThat(other.answer().status()).isEqualTo(200);
-        assertThat(first.seen.size() + second.seen.size()).isEqualTo(2);
+        assertThat(first.received.size() + second.received.size()).isEqualTo(2);
     }
 
     /** A host whose queue is full, so that connects wait, until it is opened; what it gets then, key by key. */
-    private static final class FullHost implements AutoCloseable {
-        final BlockingQueue<String> got = new LinkedBlockingQueue<>();
+    private static final class BacklogFullHost implements AutoCloseable {
+        final BlockingQueue<String> receivedKeys = new LinkedBlockingQueue<>();
         final BlockingQueue<Boolean> ended = new LinkedBlockingQueue<>();
         private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> queue = new ArrayList<>();
 
-        FullHost() throws IOException {
+        BacklogFullHost() throws IOException {
             try {
                 while (true) {
                     Socket one = new Socket();
@@ -218,7 +218,7 @@
             return listener.getLocalPort();
         }
 
-        void opens() {
+        void startAccepting() {
             Host.daemon(() -> {
                 while (true) {
                     Socket socket = listener.accept();
@@ -238,7 +238,7 @@
                     } catch (IOException e) {
                         key += " in part";
                     }
-                    got.add(key);
+                    receivedKeys.add(key);
                     socket.getOutputStream().write(Host.ok("done").getBytes(StandardCharsets.ISO_8859_1));
                 }
             } finally {
@@ -258,37 +258,37 @@
     @ParameterizedTest
     @ValueSource(strings = {"nothing", "half", "request"})
     void nothingIsWrittenWhereTheClientLeftDuringTheConnect(String what) throws Exception {
-        FullHost host = open(new FullHost());
+        BacklogFullHost host = open(new BacklogFullHost());
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
-        client.send(ClientRig.pay("held") + behind(what));
+        client.send(ClientRig.pay("held") + trailingBytes(what));
         ClientRig.Accepted accepted = rig.accepted();
-        while (accepted.read.get() == 0) {
+        while (accepted.bytesRead.get() == 0) {
             Thread.sleep(1);
         }
-        leave(client, false);
-        assertThat(accepted.closed.await(SOON_S, TimeUnit.SECONDS)).isTrue();
-        host.opens();
+        disconnect(client, false);
+        assertThat(accepted.closed.await(DEPARTURE_TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        host.startAccepting();
         Host.Client other = rig.client();
         other.send(ClientRig.pay("other"));
         assertThat(other.answer().status()).isEqualTo(200);
-        assertThat(host.got).containsExactly("other");
+        assertThat(host.receivedKeys).containsExactly("other");
     }
 
     /**
      * Its connections take in little of what is written to them. It answers each request but one that is to get stuck: of
      * that it reads the head alone, until it breaks off.
      */
-    private static final class StuckHost implements AutoCloseable {
-        private static final int BUFFER = 4_096;
-        final BlockingQueue<String> got;
-        private final CountDownLatch breaks;
+    private static final class StalledHost implements AutoCloseable {
+        private static final int BUFFER_BYTES = 4_096;
+        final BlockingQueue<String> receivedKeys;
+        private final CountDownLatch reset;
         private final ServerSocket listener = new ServerSocket();
 
-        StuckHost(BlockingQueue<String> got, CountDownLatch breaks) throws IOException {
-            this.got = got;
-            this.breaks = breaks;
-            listener.setReceiveBufferSize(BUFFER);
+        StalledHost(BlockingQueue<String> receivedKeys, CountDownLatch reset) throws IOException {
+            this.receivedKeys = receivedKeys;
+            this.reset = reset;
+            listener.setReceiveBufferSize(BUFFER_BYTES);
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Host.daemon(() -> {
                 while (true) {
@@ -299,10 +299,10 @@
         }
 
         /** One that holds little of what is written to it. */
-        static Socket narrow() {
+        static Socket smallBufferSocket() {
             Socket socket = new Socket();
             try {
-                socket.setSendBufferSize(BUFFER);
+                socket.setSendBufferSize(BUFFER_BYTES);
             } catch (SocketException e) {
                 throw new AssertionError(e);
             }
@@ -314,9 +314,9 @@
                 MessageReader reader = new MessageReader(socket.getInputStream());
                 while (reader.awaitData()) {
                     Head head = reader.readRequestHead();
-                    got.add(head.get("Idempotency-Key"));
+                    receivedKeys.add(head.get("Idempotency-Key"));
                     if (head.get("Idempotency-Key").equals("held")) {
-                        breaks.await();
+                        reset.await();
                         socket.setSoLinger(true, 0);
                         return;
                     }
@@ -339,43 +339,43 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void attemptThatBreaksWithinItsWriteIsNotFollowedByAnother(boolean withReset) throws Exception {
-        BlockingQueue<String> got = new LinkedBlockingQueue<>();
-        CountDownLatch breaks = new CountDownLatch(1);
-        StuckHost first = open(new StuckHost(got, breaks));
-        StuckHost second = open(new StuckHost(got, breaks));
+        BlockingQueue<String> receivedKeys = new LinkedBlockingQueue<>();
+        CountDownLatch reset = new CountDownLatch(1);
+        StalledHost first = open(new StalledHost(receivedKeys, reset));
+        StalledHost second = open(new StalledHost(receivedKeys, reset));
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks() {
             /** The thread reads again only once a second attempt has come, or none comes for long. */
             @Override
             void beforeRead() throws IOException {
                 long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
-                while (breaks.getCount() == 0 && !got.contains("other") && Collections.frequency(got, "held") < 2
+                while (reset.getCount() == 0 && !receivedKeys.contains("other") && Collections.frequency(receivedKeys, "held") < 2
                         && System.nanoTime() < untilNs) {
                     Thread.onSpinWait();
                 }
             }
-        }, 100, StuckHost::narrow, first.listener.getLocalPort(), second.listener.getLocalPort()));
+        }, 100, StalledHost::smallBufferSocket, first.listener.getLocalPort(), second.listener.getLocalPort()));
         Host.Client client = rig.client();
         client.send(ClientRig.pay("before"));
         assertThat(client.answer().status()).isEqualTo(200);
         rig.stopClock(30_000);          // the connection has rested, so that it is used again
         client.send(ClientRig.pay("held", 15_000, 60_000));
-        while (!got.contains("held")) {
+        while (!receivedKeys.contains("held")) {
             Thread.onSpinWait();
         }
-        leave(client, withReset);
+        disconnect(client, withReset);
         rig.stopClock(200_000);
-        breaks.countDown();
+        reset.countDown();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         Host.Client other = rig.client();
         other.send(ClientRig.pay("other"));
         assertThat(other.answer().status()).isEqualTo(200);
-        assertThat(got).containsExactly("before", "held", "other");
+        assertThat(receivedKeys).containsExactly("before", "held", "other");
     }
 
     /** The same where the connect ends long after it has left: not even the head goes out. */
     @Test
     void longRequestIsNotBegunForAClientThatLeftDuringItsConnect() throws Exception {
-        FullHost host = open(new FullHost());
+        BacklogFullHost host = open(new BacklogFullHost());
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
         client.send(ClientRig.pay("long", 15_000, 100_000));
@@ -385,40 +385,40 @@
                         && f.getMethodName().equals("connect")))) {
             Thread.onSpinWait();
         }
-        leave(client, false);
+        disconnect(client, false);
         rig.stopClock(200_000);
-        host.opens();
+        host.startAccepting();
         assertThat(accepted.isClosedInTime()).isTrue();
-        assertThat(host.ended.poll(SOON_S, TimeUnit.SECONDS)).as("its connection is closed").isTrue();
+        assertThat(host.ended.poll(DEPARTURE_TIMEOUT_S, TimeUnit.SECONDS)).as("its connection is closed").isTrue();
         Host.Client other = rig.client();
         other.send(ClientRig.pay("other"));
         assertThat(other.answer().status()).isEqualTo(200);
-        assertThat(host.got).containsExactly("other");
+        assertThat(host.receivedKeys).containsExactly("other");
     }
 
     /** The client's own thread is in the connect then, and all of the body lies in the socket when it comes back. */
     @Test
     void longRequestIsNotMadeWholeForAClientThatHasGone() throws Exception {
-        FullHost host = open(new FullHost());
+        BacklogFullHost host = open(new BacklogFullHost());
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
         String request = ClientRig.pay("long", 15_000, 100_000);
         int held = 80_000;
         client.send(request.substring(0, held));
         ClientRig.Accepted accepted = rig.accepted();
-        while (accepted.read.get() < 10_000) {      // more than is held of it
+        while (accepted.bytesRead.get() < 10_000) {      // more than is held of it
             Thread.sleep(1);
         }
         client.send(request.substring(held));
-        leave(client, false);
-        host.opens();
+        disconnect(client, false);
+        host.startAccepting();
         assertThat(accepted.isClosedInTime()).isTrue();
         Host.Client other = rig.client();
         other.send(ClientRig.pay("other"));
         assertThat(other.answer().status()).isEqualTo(200);
-        while (!host.got.contains("other")) {
+        while (!host.receivedKeys.contains("other")) {
             Thread.sleep(1);
         }
-        assertThat(host.got).doesNotContain("long");
+        assertThat(host.receivedKeys).doesNotContain("long");
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -37,7 +37,7 @@
 final class ClientRig implements AutoCloseable {
     private static final AtomicInteger CALLS = new AtomicInteger();
     /** What the system may hold of what a client sends, bytes, on its side and on the sidecar's. */
-    private static final int BUFFER = 64 * 1024;
+    private static final int SOCKET_BUFFER_BYTES = 64 * 1024;
 
     /** What happens at an accepted connection, on the thread that is about to go on. */
     static class Hooks {
@@ -45,7 +45,7 @@
 
         void afterRead() { }
 
-        void beforeEnd() throws IOException { }
+        void beforeClose() throws IOException { }
 
         void beforeWrite(Accepted to) throws IOException { }
     }
@@ -53,9 +53,9 @@
     /** An accepted connection, in the order in which they came. */
     static final class Accepted extends Socket {
         final CountDownLatch closed = new CountDownLatch(1);
-        final AtomicInteger read = new AtomicInteger();
+        final AtomicInteger bytesRead = new AtomicInteger();
         private final Hooks hooks;
-        private boolean ends;
+        private boolean closing;
 
         Accepted(Hooks hooks) {
             this.hooks = hooks;
@@ -68,7 +68,7 @@
                 public int read(byte[] into, int from, int length) throws IOException {
                     hooks.beforeRead();
                     int count = super.read(into, from, length);
-                    read.addAndGet(Math.max(0, count));
+                    bytesRead.addAndGet(Math.max(0, count));
                     hooks.afterRead();
                     return count;
                 }
@@ -86,25 +86,25 @@
             };
         }
 
-        private void ending() throws IOException {
+        private void closing() throws IOException {
             synchronized (hooks) {
-                if (ends) {
+                if (closing) {
                     return;
                 }
-                ends = true;
+                closing = true;
             }
-            hooks.beforeEnd();
+            hooks.beforeClose();
         }
 
         @Override
         public void shutdownOutput() throws IOException {
-            ending();
+            closing();
             super.shutdownOutput();
         }
 
         @Override
         public void close() throws IOException {
-            ending();
+            closing();
             super.close();
             closed.countDown();
         }
@@ -115,7 +115,7 @@
     }
 
     /** The process's own door, with hooks. */
-    private static ListeningSocket door(Hooks hooks, BlockingQueue<Accepted> accepted) throws IOException {
+    private static ListeningSocket openListeningSocket(Hooks hooks, BlockingQueue<Accepted> accepted) throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress()) {
             @Override
             public Socket accept() throws IOException {
@@ -125,67 +125,67 @@
                 return socket;
             }
         };
-        listener.setReceiveBufferSize(BUFFER);
+        listener.setReceiveBufferSize(SOCKET_BUFFER_BYTES);
         return new ListeningSocket.Owned(listener);
     }
 
     final BlockingQueue<Accepted> accepted = new LinkedBlockingQueue<>();
-    final SidecarLifecycle lifetime;
+    final SidecarLifecycle lifecycle;
     private final List<AutoCloseable> toClose = new ArrayList<>();
-    private final ClientListener side;
+    private final ClientListener clientListener;
     private final DeadlineQueue deadlines;
-    private final UnixClock running = new UnixClock();
+    private final UnixClock clock = new UnixClock();
     private volatile long stoppedUs = -1;
-    private volatile boolean tellsTurns = true;
+    private volatile boolean ticksEnabled = true;
     private volatile boolean closed;
 
-    /** {@code most}: client connections at the bound; {@code ports}: the hosts. */
-    ClientRig(Hooks hooks, int most, int... ports) throws IOException {
-        this(hooks, most, Socket::new, ports);
+    /** {@code maxConnections}: client connections at the bound; {@code ports}: the hosts. */
+    ClientRig(Hooks hooks, int maxConnections, int... ports) throws IOException {
+        this(hooks, maxConnections, Socket::new, ports);
     }
 
     /** {@code sockets}: for the connections to hosts. */
-    ClientRig(Hooks hooks, int most, Supplier<Socket> sockets, int... ports) throws IOException {
-        this(hooks, most, 1_000, sockets, ports);
+    ClientRig(Hooks hooks, int maxConnections, Supplier<Socket> sockets, int... ports) throws IOException {
+        this(hooks, maxConnections, 1_000, sockets, ports);
     }
 
     /** {@code crowd}: of so many clients. */
-    ClientRig(Hooks hooks, int most, int crowd, Supplier<Socket> sockets, int... ports) throws IOException {
-        deadlines = new DeadlineQueue(() -> stoppedUs >= 0 ? stoppedUs : running.getAsLong());
+    ClientRig(Hooks hooks, int maxConnections, int crowdThreshold, Supplier<Socket> sockets, int... ports) throws IOException {
+        deadlines = new DeadlineQueue(() -> stoppedUs >= 0 ? stoppedUs : clock.getAsLong());
         String text = Files.readString(Path.of("example/config.json"))
                 .replaceAll("\"connect_timeout_us\": \\d+", "\"connect_timeout_us\": 8000000")
                 .replaceAll("\"deadline_us\": \\d+", "\"deadline_us\": 20000000");
         Map<?, ?> example = (Map<?, ?>) Json.parse(text.getBytes(StandardCharsets.UTF_8));
         Setup setup = SettingsReader.of(example.get("settings"), "example");
         Facade facade = new Facade(setup, 7, deadlines::now, line -> { });
-        Endpoints table = new Endpoints();
+        Endpoints endpoints = new Endpoints();
         Endpoints.EndpointUpdate known = Endpoints.parse(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
-        table.restore(known);
+        endpoints.restore(known);
         facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
         RequestCounts counts = new RequestCounts();
         counts.addClasses(setup.classes().keySet());
-        lifetime = new SidecarLifecycle(deadlines::now);
-        UpstreamPool upstreams = new UpstreamPool(table, deadlines, () -> setup, 100, counts, new DiscoveryMetrics(),
+        lifecycle = new SidecarLifecycle(deadlines::now);
+        UpstreamPool upstreams = new UpstreamPool(endpoints, deadlines, () -> setup, 100, counts, new DiscoveryMetrics(),
                 sockets);
-        RequestDispatcher conductor = new RequestDispatcher(facade, upstreams);
-        upstreams.setDispatcher(conductor);
-        ListeningSocket door = door(hooks, accepted);
-        side = new ClientListener(door, () -> setup, facade, conductor, deadlines, counts, lifetime,
+        RequestDispatcher dispatcher = new RequestDispatcher(facade, upstreams);
+        upstreams.setDispatcher(dispatcher);
+        ListeningSocket listeningSocket = openListeningSocket(hooks, accepted);
+        clientListener = new ClientListener(listeningSocket, () -> setup, facade, dispatcher, deadlines, counts, lifecycle,
                 new LongBodyThrottle(1),
-                most, crowd, 10, new ThreadReserve(deadlines::now));
-        Host.daemon(side::run);
-        lifetime.listening();
+                maxConnections, crowdThreshold, 10, new ThreadReserve(deadlines::now));
+        Host.daemon(clientListener::run);
+        lifecycle.listening();
         Host.daemon(() -> {
             while (!closed) {
-                conductor.abort(facade.tick());
+                dispatcher.abort(facade.tick());
                 deadlines.runExpired();
-                if (tellsTurns) {
-                    side.tick();
+                if (ticksEnabled) {
+                    clientListener.tick();
                 }
                 deadlines.awaitNext(10_000);
             }
         });
-        toClose.add(door::stopAccepting);
+        toClose.add(listeningSocket::stopAccepting);
     }
 
     private static String list(int... ports) {
@@ -198,28 +198,28 @@
     }
 
     /** The timekeeper's turn, by the caller. */
-    void turn() {
-        side.tick();
+    void tick() {
+        clientListener.tick();
     }
 
     /** From now on the timekeeper is not heard of, as in a process that does not get the processor. */
-    void comesLate() {
-        tellsTurns = false;
+    void suspendTicks() {
+        ticksEnabled = false;
     }
 
     /** The clock stands still, this much after the moment at which it stood or stands. */
-    void stopClock(long laterUs) {
-        stoppedUs = (stoppedUs >= 0 ? stoppedUs : running.getAsLong()) + laterUs;
+    void stopClock(long offsetUs) {
+        stoppedUs = (stoppedUs >= 0 ? stoppedUs : clock.getAsLong()) + offsetUs;
     }
 
     /** The last moment of an ending has come: what is held fails, and has so long to reach its clients, us. */
-    void lastMoment(long marginUs) throws InterruptedException {
-        side.awaitEmpty(0, 0, deadlines.now() + marginUs);
+    void failHeldRequests(long marginUs) throws InterruptedException {
+        clientListener.awaitEmpty(0, 0, deadlines.now() + marginUs);
     }
 
     Host.Client client() throws IOException {
-        Host.Client client = new Host.Client(side.address());
-        client.socket.setSendBufferSize(BUFFER);
+        Host.Client client = new Host.Client(clientListener.address());
+        client.socket.setSendBufferSize(SOCKET_BUFFER_BYTES);
         toClose.add(client);
         return client;
     }
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -157,7 +157,7 @@
         missingLogged.await();
     }
 
-    private static String query(Host.Seen seen) {
+    private static String query(Host.ReceivedRequest seen) {
         return seen.head().startLine[1];
     }
 
@@ -175,7 +175,7 @@
         };
         start(oldDiscovery, 250_000);
         assertThat(query(newDiscovery.next())).isEqualTo("/v1/servers");
-        assertThat(oldDiscovery.seen).hasSize(1);
+        assertThat(oldDiscovery.received).hasSize(1);
     }
 
     /**
@@ -192,7 +192,7 @@
             discoveryClient.moveTo(at(first));
         }
         assertThat(query(first.next())).isEqualTo("/v1/servers");
-        assertThat(second.seen).isEmpty();
+        assertThat(second.received).isEmpty();
     }
 
     /** The move may come while the client connects, writes, reads, applies an answer or pauses between two calls. */
--- a/sidecar/src/test/java/dapplequay/net/DrippingHeadsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DrippingHeadsTest.java
@@ -15,14 +15,14 @@
 /** Clients whose heads drip in byte by byte, many at once, beside such that send whole requests. */
 @Timeout(90)
 class DrippingHeadsTest {
-    private static final int MOST = 20;
-    private static final int ASK = 30;
-    private static final long DRIP_MS = 40;
-    private static final long HEAD_MS = 2_000;
+    private static final int MAX_CONNECTIONS = 20;
+    private static final int WHOLE_REQUESTS = 30;
+    private static final long DRIP_INTERVAL_MS = 40;
+    private static final long HEAD_TIMEOUT_MS = 2_000;
     /** A head has 2.3 s, a client 1 s for its own close: twice that, and for those at the door until they are in. */
-    private static final long BOUND_S = 10;
+    private static final long END_TIMEOUT_S = 10;
 
-    private static CompletableFuture<String> end(Host.Client dripping) {
+    private static CompletableFuture<String> dripHead(Host.Client dripping) {
         CompletableFuture<String> end = new CompletableFuture<>();
         Host.daemon(() -> {
             try {
@@ -37,7 +37,7 @@
             dripping.send("POST /pay/x HTTP/1.1\r\nX-Drip: ");
             while (!end.isDone()) {
                 dripping.send("x");
-                Thread.sleep(DRIP_MS);
+                Thread.sleep(DRIP_INTERVAL_MS);
             }
         });
         return end;
@@ -45,19 +45,19 @@
 
     /** Half of what may be connected, and three times as much. */
     @ParameterizedTest
-    @ValueSource(ints = {MOST / 2, 3 * MOST})
+    @ValueSource(ints = {MAX_CONNECTIONS / 2, 3 * MAX_CONNECTIONS})
     void clientsWithWholeRequestsAreServedAndTheOthersEnd(int dripping) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"));
-                ClientRig rig = new ClientRig(new ClientRig.Hooks(), MOST, host.port())) {
+        try (Host host = new Host((head, request) -> Host.ok("done"));
+                ClientRig rig = new ClientRig(new ClientRig.Hooks(), MAX_CONNECTIONS, host.port())) {
             Host.Client known = rig.client();
             known.send(ClientRig.pay("known"));
             assertThat(known.answer().status()).isEqualTo(200);
             List<CompletableFuture<String>> ends = new ArrayList<>();
             for (int i = 0; i < dripping; i++) {
-                ends.add(end(rig.client()));
+                ends.add(dripHead(rig.client()));
             }
             long slowestMs = 0;
-            for (int i = 0; i < ASK; i++) {
+            for (int i = 0; i < WHOLE_REQUESTS; i++) {
                 long from = System.nanoTime();
                 try (Host.Client whole = rig.client()) {
                     whole.send(ClientRig.pay("whole"));
@@ -67,9 +67,9 @@
                 known.send(ClientRig.pay("known"));
                 assertThat(known.answer().status()).isEqualTo(200);
             }
-            assertThat(slowestMs).as("nobody waits for a head to be too late").isLessThan(HEAD_MS);
+            assertThat(slowestMs).as("nobody waits for a head to be too late").isLessThan(HEAD_TIMEOUT_MS);
             for (CompletableFuture<String> end : ends) {
-                assertThat(end.get(BOUND_S, TimeUnit.SECONDS)).isIn("408", "closed");
+                assertThat(end.get(END_TIMEOUT_S, TimeUnit.SECONDS)).isIn("408", "closed");
             }
         }
     }
--- a/sidecar/src/test/java/dapplequay/net/Host.java
+++ b/sidecar/src/test/java/dapplequay/net/Host.java
@@ -18,13 +18,13 @@
 
     /** What a host does with a request; null: close the connection with no answer. */
     interface Script {
-        String answer(Head head, Seen seen) throws Exception;
+        String answer(Head head, ReceivedRequest request) throws Exception;
     }
 
     /** One request as it came. */
-    record Seen(Head head, String body, Socket socket) { }
+    record ReceivedRequest(Head head, String body, Socket socket) { }
 
-    final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
+    final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
     final BlockingQueue<Boolean> closed = new LinkedBlockingQueue<>();
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final Script script;
@@ -60,10 +60,10 @@
             MessageReader reader = new MessageReader(socket.getInputStream());
             while (reader.awaitData()) {
                 Head head = reader.readRequestHead();
-                Seen now = new Seen(head, new String(reader.readRequestBody(head), StandardCharsets.ISO_8859_1),
+                ReceivedRequest request = new ReceivedRequest(head, new String(reader.readRequestBody(head), StandardCharsets.ISO_8859_1),
                         socket);
-                seen.add(now);
-                String answer = script.answer(head, now);
+                received.add(request);
+                String answer = script.answer(head, request);
                 if (answer == null) {
                     return;
                 }
@@ -78,8 +78,8 @@
         return listener.getLocalPort();
     }
 
-    Seen next() throws InterruptedException {
-        Seen next = seen.poll(PATIENCE_S, TimeUnit.SECONDS);
+    ReceivedRequest next() throws InterruptedException {
+        ReceivedRequest next = received.poll(PATIENCE_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("no request came");
         }
--- a/sidecar/src/test/java/dapplequay/net/LastFailuresTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LastFailuresTest.java
@@ -14,8 +14,8 @@
 class LastFailuresTest {
     private static final long MARGIN_US = 30_000_000;
 
-    private final CountDownLatch stuck = new CountDownLatch(1);
-    private volatile ClientRig.Accepted full;
+    private final CountDownLatch writeBlocked = new CountDownLatch(1);
+    private volatile ClientRig.Accepted stuckClient;
 
     /** The failures were written one after the other, by the ending's thread. */
     @Test
@@ -24,8 +24,8 @@
             @Override
             void beforeWrite(ClientRig.Accepted to) throws IOException {
                 try {
-                    if (to == full) {
-                        stuck.countDown();
+                    if (to == stuckClient) {
+                        writeBlocked.countDown();
                         to.closed.await();
                     }
                 } catch (InterruptedException e) {
@@ -34,8 +34,8 @@
             }
         };
         List<Host.Client> clients = new ArrayList<>();
-        try (Host host = new Host((head, seen) -> {
-            seen.socket().getInputStream().read();
+        try (Host host = new Host((head, request) -> {
+            request.socket().getInputStream().read();
             return null;
         }); ClientRig rig = new ClientRig(hooks, 100, host.port())) {
             for (int i = 0; i < 3; i++) {
@@ -43,14 +43,14 @@
                 clients.get(i).send(ClientRig.pay("held"));
                 host.next();
             }
-            full = rig.accepted();              // the first: all others were told behind it
-            Host.daemon(() -> rig.lastMoment(MARGIN_US));
-            stuck.await();
+            stuckClient = rig.accepted();              // the first: all others were told behind it
+            Host.daemon(() -> rig.failHeldRequests(MARGIN_US));
+            writeBlocked.await();
             for (Host.Client other : clients.subList(1, clients.size())) {
                 assertThat(other.answer().status()).isEqualTo(504);
             }
-            assertThat(full.closed.getCount()).as("still stuck").isEqualTo(1);
-            full.close();
+            assertThat(stuckClient.closed.getCount()).as("still stuck").isEqualTo(1);
+            stuckClient.close();
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/LingeringCloseTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LingeringCloseTest.java
@@ -30,9 +30,9 @@
 
     private static void closeConnections(ClientRig rig, String cause) {
         if (cause.equals("drain")) {
-            rig.lifetime.drain();
+            rig.lifecycle.drain();
         } else if (cause.equals("ending")) {
-            rig.lifetime.end(0);
+            rig.lifecycle.end(0);
         }
     }
 
@@ -43,7 +43,7 @@
         Host host = host();
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks() {
             @Override
-            void beforeEnd() throws IOException {
+            void beforeClose() throws IOException {
                 sender.send(ClientRig.pay("crossing", 900, 8_000));
             }
         }, 100, host.port()));
@@ -56,7 +56,7 @@
         sender.send("more that nobody reads");
         sender.close();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
-        assertThat(host.seen).as("requests sent upstream after the close").isEmpty();
+        assertThat(host.received).as("requests sent upstream after the close").isEmpty();
     }
 
     @ParameterizedTest
@@ -69,7 +69,7 @@
         assertThat(client.atEnd()).isTrue();
         client.send(ClientRig.pay("late"));
         assertThat(rig.accepted().isClosedInTime()).isTrue();
-        assertThat(host.seen).hasSize(1);
+        assertThat(host.received).hasSize(1);
     }
 
     @ParameterizedTest
@@ -80,10 +80,10 @@
         Host.Client partial = clientAfterOneRequest(rig);
         Host.Client idle = clientAfterOneRequest(rig);
         ClientRig.Accepted accepted = rig.accepted();
-        int readBefore = accepted.read.get();
+        int readBefore = accepted.bytesRead.get();
         String request = ClientRig.pay("half");
         partial.send(request.substring(0, 40));
-        while (accepted.read.get() < readBefore + 40) {
+        while (accepted.bytesRead.get() < readBefore + 40) {
             Thread.sleep(1);
         }
         closeConnections(rig, cause);
@@ -137,7 +137,7 @@
         String request = ClientRig.pay("half");
         partial.send(request.substring(0, 40));
         ClientRig.Accepted accepted = rig.accepted();
-        while (accepted.read.get() < 40) {
+        while (accepted.bytesRead.get() < 40) {
             Thread.sleep(1);
         }
         assertThat(idle.get(0).atEnd()).as("one idle connection is closed to make room").isTrue();
--- a/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
@@ -39,8 +39,8 @@
 /** Bodies that pass through, on real sockets: what arrives, what a break shows, and who waits for whom. */
 @Timeout(90)
 class LongBodiesTest {
-    private static final int LONG = 32 << 20;
-    private static final int PATIENCE_MS = 30_000;
+    private static final int LONG_BODY_BYTES = 32 << 20;
+    private static final int TIMEOUT_MS = 30_000;
     private static final AtomicInteger CALLS = new AtomicInteger();
 
     /** What a host does with a connection's next request, whose head has been read. */
@@ -99,7 +99,7 @@
 
     private Socket client(Sidecar sidecar) throws IOException {
         Socket socket = new Socket(sidecar.address().getAddress(), sidecar.address().getPort());
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         toClose.add(socket);
         return socket;
     }
@@ -114,7 +114,7 @@
     }
 
     /** What a client of this version reads that has asked for something of the host at this port, without a body. */
-    private MessageReader asked(int port, String version) throws Exception {
+    private MessageReader sendRequest(int port, String version) throws Exception {
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 0").replace("HTTP/1.1", "HTTP/" + version));
         return new MessageReader(client.getInputStream(), MessageReader.MAX_BODY_BYTES);
@@ -143,7 +143,7 @@
         return sum.getValue();
     }
 
-    private static long sum(Body body, int pauseMs) throws Exception {
+    private static long checksum(Body body, int pauseMs) throws Exception {
         CRC32 sum = new CRC32();
         byte[] piece = new byte[50_000];
         int pauses = 0;
@@ -156,14 +156,14 @@
         return sum.getValue();
     }
 
-    private static void ok(Socket socket, String body) throws IOException {
+    private static void respondOk(Socket socket, String body) throws IOException {
         send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
     @ParameterizedTest
     @CsvSource({"false,33554432", "true,8388608", "false,65537", "true,65537", "true,65536", "false,65536"})
     void requestsPassThrough(boolean chunked, int length) throws Exception {
-        int port = host((head, reader, socket) -> ok(socket, Long.toString(sum(reader.requestBody(head), 0))));
+        int port = host((head, reader, socket) -> respondOk(socket, Long.toString(checksum(reader.requestBody(head), 0))));
         Socket client = client(sidecar(port));
         MessageReader in = new MessageReader(client.getInputStream());
         for (int i = 0; i < 2; i++) {           // and the connection is good for another
@@ -182,7 +182,7 @@
     void answersPassThrough(String framing, String version, int length) throws Exception {
         AtomicLong sum = new AtomicLong();
         int port = host((head, reader, socket) -> {
-            sum(reader.requestBody(head), 0);
+            checksum(reader.requestBody(head), 0);
             send(socket, "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nX-Kept: yes\r\n"
                     + (framing.equals("length") ? "Content-Length: " + length + "\r\n"
                     : framing.equals("chunked") ? "Transfer-Encoding: Chunked\r\n" : "") + "\r\n");
@@ -191,54 +191,54 @@
                 socket.close();
             }
         });
-        MessageReader in = asked(port, version);
+        MessageReader in = sendRequest(port, version);
         Head answer = in.readResponseHead();
         assertThat(answer.startLine[1]).isEqualTo("200");
         assertThat(answer.get("X-Kept")).isEqualTo("yes");
         if (version.equals("1.0")) {
             assertThat(answer.get("Transfer-Encoding")).as("not known to HTTP/1.0").isNull();
         }
-        long got = sum(in.responseBody(answer), 0);
+        long got = checksum(in.responseBody(answer), 0);
         assertThat(got).isEqualTo(sum.get());
     }
 
     @Test
     void manyLongBodiesWithSlowPeersLeaveSmallRequestsInTime() throws Exception {
         int port = host((head, reader, socket) -> {
-            long sum = sum(reader.requestBody(head), head.get("Slow") == null ? 0 : 20);
+            long sum = checksum(reader.requestBody(head), head.get("Slow") == null ? 0 : 20);
             if (head.get("Down") == null) {
-                ok(socket, "" + sum);
+                respondOk(socket, "" + sum);
             } else {
-                send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n");
-                write(socket.getOutputStream(), LONG, false);
+                send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n");
+                write(socket.getOutputStream(), LONG_BODY_BYTES, false);
             }
         });
         Sidecar sidecar = sidecar(port, port, port);
-        List<Thread> long32 = new ArrayList<>();
-        AtomicInteger whole = new AtomicInteger();
+        List<Thread> longTransfers = new ArrayList<>();
+        AtomicInteger completed = new AtomicInteger();
         for (int i = 0; i < 12; i++) {
             boolean up = i % 2 == 0;
             Socket client = client(sidecar);
             Thread thread = new Thread(() -> {
                 try {
-                    send(client, head("Slow: 1\r\n" + (up ? "" : "Down: 1\r\n") + "Content-Length: " + (up ? LONG : 0)));
-                    long sent = up ? write(client.getOutputStream(), LONG, false) : 0;
+                    send(client, head("Slow: 1\r\n" + (up ? "" : "Down: 1\r\n") + "Content-Length: " + (up ? LONG_BODY_BYTES : 0)));
+                    long sent = up ? write(client.getOutputStream(), LONG_BODY_BYTES, false) : 0;
                     MessageReader in = new MessageReader(client.getInputStream(), MessageReader.MAX_BODY_BYTES);
                     Head answer = in.readResponseHead();
                     if (answer.startLine[1].equals("503")) {
-                        whole.incrementAndGet();        // turned away by the decisions, which is an answer too
+                        completed.incrementAndGet();        // turned away by the decisions, which is an answer too
                     } else if (up) {
                         String body = new String(in.readResponseBody(answer), StandardCharsets.ISO_8859_1);
-                        whole.addAndGet(body.equals("" + sent) ? 1 : 0);
+                        completed.addAndGet(body.equals("" + sent) ? 1 : 0);
                     } else {
-                        sum(in.responseBody(answer), 20);
-                        whole.incrementAndGet();
+                        checksum(in.responseBody(answer), 20);
+                        completed.incrementAndGet();
                     }
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
             });
-            long32.add(thread);
+            longTransfers.add(thread);
             thread.start();
         }
         Socket small = client(sidecar);
@@ -249,17 +249,17 @@
             in.readResponseBody(answer);
             assertThat(answer.startLine[1]).isIn("200", "503");
         }
-        for (Thread thread : long32) {
+        for (Thread thread : longTransfers) {
             thread.join();
         }
-        assertThat(whole.get()).isEqualTo(12);
+        assertThat(completed.get()).isEqualTo(12);
     }
 
     @Test
     void whatIsHeldGoesToAnotherHostWhereTheFirstIsGone() throws Exception {
         ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         gone.close();
-        int port = host((head, reader, socket) -> ok(socket, "" + sum(reader.requestBody(head), 0)));
+        int port = host((head, reader, socket) -> respondOk(socket, "" + checksum(reader.requestBody(head), 0)));
         for (int[] ports : new int[][] {{gone.getLocalPort(), port}, {port, gone.getLocalPort()}}) {
             Socket client = client(sidecar(ports));
             send(client, head("Content-Length: 300000"));
@@ -274,14 +274,14 @@
     /** The host ends its connection after so many bytes; from the last one on the request may have run. */
     @ParameterizedTest
     @CsvSource({"200000,503", "1000000,502"})
-    void aHostThatBreaksWithinARequestIsToldApartFromOneThatHadIt(int after, int status) throws Exception {
-        AtomicInteger seen = new AtomicInteger();
+    void aHostThatBreaksWithinARequestIsToldApartFromOneThatHadIt(int bytesRead, int status) throws Exception {
+        AtomicInteger requests = new AtomicInteger();
         int port = host((head, reader, socket) -> {
-            seen.incrementAndGet();
+            requests.incrementAndGet();
             Body body = reader.requestBody(head);
             byte[] piece = new byte[1000];
-            for (int sum = 0; sum < after; ) {
-                sum += body.read(piece, 0, Math.min(piece.length, after - sum));
+            for (int sum = 0; sum < bytesRead; ) {
+                sum += body.read(piece, 0, Math.min(piece.length, bytesRead - sum));
             }
             socket.close();
         });
@@ -290,13 +290,13 @@
         MessageReader in = new MessageReader(client.getInputStream());
         write(client.getOutputStream(), 300_000, false);
         Host.daemon(() -> {
-            Thread.sleep(after < 300_000 ? 500 : 0);
+            Thread.sleep(bytesRead < 300_000 ? 500 : 0);
             write(client.getOutputStream(), 700_000, false);
         });
         Head answer = in.readResponseHead();
         assertThat(answer.startLine[1]).isEqualTo("" + status);
         assertThat(answer.get("Retry-After") != null).isEqualTo(status == 503);
-        assertThat(seen.get()).as("never sent again").isEqualTo(1);
+        assertThat(requests.get()).as("never sent again").isEqualTo(1);
     }
 
     @ParameterizedTest
@@ -310,23 +310,23 @@
             socket.getOutputStream().write(framing.equals("length") ? piece : ChunkedFraming.chunkOf(piece));
             socket.close();
         });
-        MessageReader in = asked(port, version);
+        MessageReader in = sendRequest(port, version);
         Head answer = in.readResponseHead();
         assertThat(answer.startLine[1]).isEqualTo("200");
-        assertThatThrownBy(() -> sum(in.responseBody(answer), 0))
+        assertThatThrownBy(() -> checksum(in.responseBody(answer), 0))
                 .isInstanceOf(version.equals("1.0") ? SocketException.class
                 : IOException.class);
     }
 
     @Test
     void aClientThatStopsIsToldSoAndItsHostLetGo() throws Exception {
-        int port = host((head, reader, socket) -> sum(reader.requestBody(head), 0));
+        int port = host((head, reader, socket) -> checksum(reader.requestBody(head), 0));
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 1000000"));
         client.getOutputStream().write(new byte[70_000]);
         MessageReader in = new MessageReader(client.getInputStream());
         assertThat(in.readResponseHead().startLine[1]).isEqualTo("408");
-        assertThat(ends.poll(PATIENCE_MS, TimeUnit.MILLISECONDS)).isNotNull();
+        assertThat(ends.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS)).isNotNull();
     }
 
     @ParameterizedTest
@@ -336,10 +336,10 @@
         int port = host((head, reader, socket) -> {
             begun.countDown();
             if (whileItSends) {
-                sum(reader.requestBody(head), 0);
+                checksum(reader.requestBody(head), 0);
             } else {
-                send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG + "\r\n\r\n");
-                write(socket.getOutputStream(), LONG, false);
+                send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + LONG_BODY_BYTES + "\r\n\r\n");
+                write(socket.getOutputStream(), LONG_BODY_BYTES, false);
             }
         });
         Socket client = client(sidecar(port));
@@ -347,7 +347,7 @@
         client.getOutputStream().write(new byte[whileItSends ? 100_000 : 0]);
         begun.await();
         client.close();
-        assertThat(ends.poll(PATIENCE_MS, TimeUnit.MILLISECONDS)).isNotNull();
+        assertThat(ends.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS)).isNotNull();
     }
 
     @Test
@@ -375,7 +375,7 @@
         BlockingQueue<String> targets = new LinkedBlockingQueue<>();
         int port = host((head, reader, socket) -> {
             targets.add(head.startLine[1]);
-            ok(socket, "" + sum(reader.requestBody(head), 0));
+            respondOk(socket, "" + checksum(reader.requestBody(head), 0));
         });
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 3").replace("POST /pay/x HTTP/1.1", start));
@@ -385,7 +385,7 @@
         }
         send(client, "abc");
         assertThat(new MessageReader(raw).readResponseHead().startLine[1]).isEqualTo("200");
-        assertThat(targets.poll(PATIENCE_MS, TimeUnit.MILLISECONDS)).isEqualTo("/pay/x");
+        assertThat(targets.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS)).isEqualTo("/pay/x");
     }
 
     @ParameterizedTest
--- a/sidecar/src/test/java/dapplequay/net/RequestInHandTest.java
+++ b/sidecar/src/test/java/dapplequay/net/RequestInHandTest.java
@@ -15,13 +15,13 @@
     void aRequestThatHasJustBeenReadIsAnsweredThoughItsConnectionIsToBeClosed() throws Exception {
         AtomicBoolean closes = new AtomicBoolean();
         ClientRig[] rig = new ClientRig[1];
-        Host host = open(new Host((head, seen) -> Host.ok("done")));
+        Host host = open(new Host((head, request) -> Host.ok("done")));
         rig[0] = open(new ClientRig(new ClientRig.Hooks() {
             @Override
             void afterRead() {
                 if (closes.getAndSet(false)) {
-                    rig[0].lifetime.end(0);
-                    rig[0].turn();
+                    rig[0].lifecycle.end(0);
+                    rig[0].tick();
                 }
             }
         }, 100, host.port()));
--- a/sidecar/src/test/java/dapplequay/net/ResponseRelayTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ResponseRelayTest.java
@@ -45,7 +45,7 @@
         continueHost.countDown();
     }
 
-    private static void write(Host.Seen to, String text) throws IOException {
+    private static void write(Host.ReceivedRequest to, String text) throws IOException {
         to.socket().getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
@@ -91,7 +91,7 @@
             }
 
             @Override
-            void beforeEnd() {
+            void beforeClose() {
                 connectionEnds.countDown();
             }
         }, 100, host.port()));
@@ -144,7 +144,7 @@
     @CsvSource({"chunked,1.0", "end,1.0", "end,1.1", "length,1.1"})
     void responseCutShortByShutdownIsSeenAsTruncated(String framing, String version) throws Exception {
         Body body = request(host(begun(framing), null), version, 5);
-        rig.lastMoment(0);
+        rig.failHeldRequests(0);
         assertThat(catchThrowable(() -> readRest(body))).isNotInstanceOf(SocketTimeoutException.class)
                 .isInstanceOf(version.equals("1.0") ? SocketException.class : IOException.class);
     }
@@ -197,7 +197,7 @@
         assertThat(host.closed.poll(TIMEOUT_S, TimeUnit.SECONDS)).as("the attempt is given up").isTrue();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         host.next();
-        assertThat(host.seen).as("no request is served after the client has left").isEmpty();
+        assertThat(host.received).as("no request is served after the client has left").isEmpty();
     }
 
     /** Closing the connection with these bytes unread caused a reset, and the client lost unread response bytes. */
@@ -218,6 +218,6 @@
         client.close();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         host.next();
-        assertThat(host.seen).as("no request is served after the last response").isEmpty();
+        assertThat(host.received).as("no request is served after the last response").isEmpty();
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -42,7 +42,7 @@
     private boolean isManaged;
     private String configuration;
     private String known;
-    private InetSocketAddress discoveryAt;
+    private InetSocketAddress discoveryAddress;
     private long connIdleUs = 30_000_000;
 
     private Host host(Host.Script script) throws IOException {
@@ -64,23 +64,23 @@
         for (int i = 0; i < ports.length; i++) {
             targets[i] = target(i, ports[i], "SERVING");
         }
-        Host discovery = host((head, seen) -> Host.ok(lists.take()));
+        Host discovery = host((head, request) -> Host.ok(lists.take()));
         String text = Files.readString(Path.of("example/config.json"))
                 .replaceAll("\"conn_idle_us\": \\d+", "\"conn_idle_us\": " + connIdleUs)
                 .replaceAll("\"deadline_us\": \\d+", "\"deadline_us\": 20000000")
                 .replace("\"balancers\":", extraSettings + "\"balancers\":");
         configuration = text;
         known = list(true, targets);
-        discoveryAt = new InetSocketAddress(InetAddress.getLoopbackAddress(), discovery.port());
-        Sidecar sidecar = new Sidecar(plan(text));
+        discoveryAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), discovery.port());
+        Sidecar sidecar = new Sidecar(options(text));
         sidecar.start();
         return sidecar;
     }
 
-    private Sidecar.Options plan(String text) throws IOException {
+    private Sidecar.Options options(String text) throws IOException {
         Map<?, ?> example = (Map<?, ?>) Json.parse(text.getBytes());
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return new Sidecar.Options(any, isManaged ? any : null, discoveryAt, 7, 1, sockets, 192,
+        return new Sidecar.Options(any, isManaged ? any : null, discoveryAddress, 7, 1, sockets, 192,
                 Json.parse(known.getBytes()), SettingsReader.of(example.get("settings"), "example"), false);
     }
 
@@ -96,18 +96,18 @@
 
     @Test
     void requestAndAnswerPassUnchanged() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done", "X-Load-Report: inflight=1,queue=0\r\n"));
+        Host host = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=1,queue=0\r\n"));
         Host.Client client = client(sidecar(host.port()));
         client.send("GET /healthz HTTP/1.1\r\n\r\n");
         assertThat(client.answer().status()).isEqualTo(200);
         String call = pay(1, 900, "abc");
         client.send(call);
-        Host.Seen seen = host.next();
-        assertThat(seen.head().startLine).containsExactly("POST", "/pay/x?y=z", "HTTP/1.1");
-        assertThat(call).contains("X-Call-Id: " + seen.head().get("X-Call-Id") + "\r\n");
-        assertThat(seen.head().get("Idempotency-Key")).isEqualTo("k1");
-        assertThat(Integer.parseInt(seen.head().get("X-Budget-Ms"))).isBetween(1, 900);
-        assertThat(seen.body()).isEqualTo("abc");
+        Host.ReceivedRequest request = host.next();
+        assertThat(request.head().startLine).containsExactly("POST", "/pay/x?y=z", "HTTP/1.1");
+        assertThat(call).contains("X-Call-Id: " + request.head().get("X-Call-Id") + "\r\n");
+        assertThat(request.head().get("Idempotency-Key")).isEqualTo("k1");
+        assertThat(Integer.parseInt(request.head().get("X-Budget-Ms"))).isBetween(1, 900);
+        assertThat(request.body()).isEqualTo("abc");
         Host.Answer answer = client.answer();
         assertThat(answer.status()).isEqualTo(200);
         assertThat(answer.body()).isEqualTo("done");
@@ -120,7 +120,7 @@
         "?y=z,?obj=,400", "?y=z,?obj=1&y=z&obj=1,400",
         "Idempotency-Key: k1,A: b,400", "Content-Length: 1,Content-Length: 70000000,413", "Host: service,Ho st: s,400"})
     void badRequestsAreAnsweredAndNothingGoesOut(String good, String bad, int status) throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client client = client(sidecar);
         client.send(pay(1, 900, "a").replace(good, bad));
@@ -129,24 +129,24 @@
         next.send(pay(2, 900, ""));
         assertThat(next.answer().status()).isEqualTo(200);
         assertThat(host.next().head().get("X-Call-Id")).endsWith("02");
-        assertThat(host.seen).isEmpty();
+        assertThat(host.received).isEmpty();
     }
 
     /** An older list once more, as a confused agent gives it, would bring back a host that was told to be gone. */
     @Test
     void listOlderThanTheOneKnownTakesNothingBack() throws Exception {
         isManaged = true;
-        Host draining = host((head, seen) -> Host.ok("old"));
-        Host serving = host((head, seen) -> Host.ok("new"));
+        Host draining = host((head, request) -> Host.ok("old"));
+        Host serving = host((head, request) -> Host.ok("new"));
         Sidecar sidecar = sidecar(draining.port(), serving.port());
         lists.add(list(false, target(0, draining.port(), "DRAINING")));
-        while (figure(sidecar, "svc_out_of_rotation") < 1) {
+        while (metric(sidecar, "svc_out_of_rotation") < 1) {
             Thread.sleep(20);
         }
         lists.add(list(true, target(0, draining.port(), "SERVING"), target(1, serving.port(), "SERVING"))
                 .replace("\"rev\":5", "\"rev\":4"));
         lists.add(list(false, target(2, 1, "DRAINING")));        // its number shows that the one before was heard
-        while (figure(sidecar, "svc_registry_entries") != 3) {
+        while (metric(sidecar, "svc_registry_entries") != 3) {
             Thread.sleep(20);
         }
         Host.Client client = client(sidecar);
@@ -161,33 +161,33 @@
     void whatARequestIsAboutDecidesWhereItGoes() throws Exception {
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            hosts.add(host((head, seen) -> Host.ok("done")));
+            hosts.add(host((head, request) -> Host.ok("done")));
         }
         extraSettings = "\"domain\": {\"warm_keys\": true}, ";
         Host.Client client = client(sidecar(hosts.stream().mapToInt(Host::port).toArray()));
-        Set<Integer> homes = new HashSet<>();
+        Set<Integer> allReceivingHosts = new HashSet<>();
         for (int about = 0; about < 12; about++) {
-            Set<Integer> met = new HashSet<>();
+            Set<Integer> receivingHosts = new HashSet<>();
             for (int i = 0; i < 3; i++) {
                 client.send(pay(3 * about + i, 900, "").replace("y=z", "y=z&obj=o" + about));
                 assertThat(client.answer().status()).isEqualTo(200);
                 for (int h = 0; h < hosts.size(); h++) {
-                    Host.Seen seen = hosts.get(h).seen.poll();
-                    if (seen != null) {
-                        assertThat(seen.head().startLine[1]).endsWith("?y=z&obj=o" + about);
-                        met.add(h);
+                    Host.ReceivedRequest request = hosts.get(h).received.poll();
+                    if (request != null) {
+                        assertThat(request.head().startLine[1]).endsWith("?y=z&obj=o" + about);
+                        receivingHosts.add(h);
                     }
                 }
             }
-            assertThat(met).as("hosts that met " + about).hasSize(1);
-            homes.addAll(met);
+            assertThat(receivingHosts).as("hosts that met " + about).hasSize(1);
+            allReceivingHosts.addAll(receivingHosts);
         }
-        assertThat(homes).hasSizeGreaterThan(1);
+        assertThat(allReceivingHosts).hasSizeGreaterThan(1);
     }
 
     @Test
     void connectionsAreUsedAgainAndPipelinedRequestsAnsweredInOrder() throws Exception {
-        Host host = host((head, seen) -> Host.ok(head.get("Idempotency-Key")));
+        Host host = host((head, request) -> Host.ok(head.get("Idempotency-Key")));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, "") + pay(2, 900, "") + pay(3, 900, ""));
         for (int i = 1; i <= 3; i++) {
@@ -204,7 +204,7 @@
 
     @Test
     void clientThatAsksForNothingMoreIsLetGo() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client silent = client(sidecar);
         Host.Client once = client(sidecar);
@@ -239,7 +239,7 @@
     @Test
     void strangersMakeRoomBeforeIdleClients() throws Exception {
         sockets = 36;
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client known = client(sidecar);
         known.send(pay(1, 900, ""));
@@ -257,7 +257,7 @@
     @Test
     void inACrowdAnswersEndTheirConnections() throws Exception {
         sockets = 40;               // ten make a crowd
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Answer answer = null;
         for (int i = 0; i < 4; i++) {
@@ -278,7 +278,7 @@
     @Test
     void oneStrangerDoesNotHoldUpOthersAtTheBound() throws Exception {
         sockets = 50;               // nine client connections
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         long started = System.nanoTime();
         for (int i = 0; i < 200; i++) {
@@ -293,7 +293,7 @@
 
     @Test
     void whatAHostFindsFaultWithIsTheClientsFault() throws Exception {
-        Host host = host((head, seen) -> seen.body().equals("bad")
+        Host host = host((head, request) -> request.body().equals("bad")
                 ? "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n" : Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         for (int i = 0; i < 5; i++) {
@@ -302,15 +302,15 @@
         }
         client.send(pay(2, 900, "good"));
         assertThat(client.answer().status()).as("the host is not left out").isEqualTo(200);
-        assertThat(host.seen).as("and nothing was sent again").hasSize(6);
+        assertThat(host.received).as("and nothing was sent again").hasSize(6);
     }
 
     @Test
     void idOfAnOpenRequestIsNotBorrowed() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             go.await();
-            return Host.ok(seen.body());
+            return Host.ok(request.body());
         });
         Sidecar sidecar = sidecar(host.port());
         Host.Client first = client(sidecar);
@@ -322,12 +322,12 @@
         assertThat(second.answer().status()).isEqualTo(409);
         go.countDown();
         assertThat(first.answer().body()).isEqualTo("mine");
-        assertThat(host.seen).isEmpty();
+        assertThat(host.received).isEmpty();
     }
 
     @Test
     void reportThatCannotBeReadSpoilsNoAnswer() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done", "X-Load-Report: inflight=1\r\nX-Load-Report: ,=;\r\n"));
+        Host host = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=1\r\nX-Load-Report: ,=;\r\n"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().body()).isEqualTo("done");
@@ -335,7 +335,7 @@
 
     @Test
     void noAttemptWaitsLongerThanItsClassGrants() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900_000_000, ""));
         assertThat(Integer.parseInt(host.next().head().get("X-Budget-Ms"))).isLessThanOrEqualTo(20_000);
@@ -343,14 +343,14 @@
 
     @ParameterizedTest
     @CsvSource({"256,128,218", "1024,192,986", "1024,86,100", "384,32,4"})
-    void connectionsFitTheLimits(int sockets, int memoryMb, int most) {
+    void connectionsFitTheLimits(int sockets, int memoryMb, int maxConnections) {
         assertThat(new Sidecar.Options(null, null, null, 0, 1, sockets, memoryMb, null, null,
-                false).maxConnections()).isEqualTo(most);
+                false).maxConnections()).isEqualTo(maxConnections);
     }
 
     @Test
     void connectionThatTheHostClosedIsNotWrittenTo() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done", "Connection: close\r\n"));
+        Host host = host((head, request) -> Host.ok("done", "Connection: close\r\n"));
         Host.Client client = client(sidecar(host.port()));
         for (int i = 1; i <= 3; i++) {
             client.send(pay(i, 900, ""));
@@ -361,7 +361,7 @@
     @Test
     void idleConnectionIsClosedWellBeforeTheHostWould() throws Exception {
         connIdleUs = 200_000;
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().status()).isEqualTo(200);
@@ -371,8 +371,8 @@
     @Test
     void atTheBoundIdleConnectionsMakeRoom() throws Exception {
         sockets = 36;               // two connections on each side
-        Host first = host((head, seen) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
-        Host second = host((head, seen) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
+        Host first = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
+        Host second = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
         Sidecar sidecar = sidecar(first.port(), second.port());
         Host.Client oldest = client(sidecar);
         for (int i = 1; i <= 5; i++) {
@@ -385,8 +385,8 @@
 
     @Test
     void clientThatLeavesTakesItsAttemptAlong() throws Exception {
-        Host host = host((head, seen) -> {
-            seen.socket().getInputStream().read();
+        Host host = host((head, request) -> {
+            request.socket().getInputStream().read();
             return null;
         });
         Host.Client client = client(sidecar(host.port()));
@@ -399,7 +399,7 @@
     @Test
     void attemptWithoutAnswerFailsInTimeAndItsLateAnswerReachesNobody() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             if (head.get("Idempotency-Key").equals("k1")) {
                 late.await();
                 return Host.ok("late");
@@ -426,9 +426,9 @@
     @Test
     void timeOutClosesTheIdleConnectionsToItsHost() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
-        Host host = host((head, seen) -> {
-            if (seen.body().equals("hang")) {
-                seen.socket().getInputStream().read();
+        Host host = host((head, request) -> {
+            if (request.body().equals("hang")) {
+                request.socket().getInputStream().read();
                 return null;
             }
             both.countDown();
@@ -452,9 +452,9 @@
     @Test
     void attemptAtASilentHostIsCutAndAnotherServes() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Host.Script script = (head, seen) -> {
+        Host.Script script = (head, request) -> {
             if (calls.getAndIncrement() == 0) {
-                seen.socket().getInputStream().read();
+                request.socket().getInputStream().read();
                 return null;
             }
             return Host.ok("done");
@@ -465,22 +465,22 @@
         Host.Client client = client(sidecar(first.port(), second.port()));
         client.send(pay(1, 15_000, ""));
         assertThat(client.answer().status()).isEqualTo(200);
-        assertThat(List.of(first.seen.size(), second.seen.size())).containsExactly(1, 1);
+        assertThat(List.of(first.received.size(), second.received.size())).containsExactly(1, 1);
     }
 
     @Test
     void whatMayHaveRunIsFailedAndNeverRefusedNorSentElsewhere() throws Exception {
-        Host first = host((head, seen) -> null);
-        Host second = host((head, seen) -> null);
+        Host first = host((head, request) -> null);
+        Host second = host((head, request) -> null);
         Host.Client client = client(sidecar(first.port(), second.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().status()).isEqualTo(502);
-        assertThat(first.seen.size() + second.seen.size()).isEqualTo(1);
+        assertThat(first.received.size() + second.received.size()).isEqualTo(1);
     }
 
     @Test
     void whatNeverRanGoesToAnotherHostOrIsRefusedWithAPause() throws Exception {
-        Host busy = host((head, seen) -> "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
+        Host busy = host((head, request) -> "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
         int nobody;
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = gone.getLocalPort();
@@ -490,12 +490,12 @@
         Host.Answer answer = client.answer();
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.head().get("Retry-After")).isEqualTo("0.25");
-        assertThat(busy.seen.size()).isEqualTo(1);
+        assertThat(busy.received.size()).isEqualTo(1);
     }
 
     @Test
     void hostThatDrainsGetsNothingNew() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().status()).isEqualTo(200);
@@ -504,12 +504,12 @@
         assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         client.send(pay(2, 900, ""));
         assertThat(client.answer().status()).isEqualTo(503);
-        assertThat(host.seen.size()).isEqualTo(1);
+        assertThat(host.received.size()).isEqualTo(1);
     }
 
     @Test
     void rubbishFromDiscoveryIsAFailedCallAndTheWatchBeginsAnew() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar());
         lists.add("rubbish");
         lists.add(list(true, target(0, host.port(), "SERVING")));
@@ -524,7 +524,7 @@
     @Test
     void endingAnswersWhatIsHeldAndWhatComesLate() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             if (head.get("Idempotency-Key").equals("k1")) {
                 go.await();
             }
@@ -555,15 +555,15 @@
         assertThat(ended.await(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
     }
 
-    private String managed(Sidecar sidecar, String call) throws IOException {
+    private String callManagement(Sidecar sidecar, String call) throws IOException {
         Host.Client caller = open(new Host.Client(sidecar.managementAddress()));
         caller.send(call + " HTTP/1.1\r\nHost: x\r\n\r\n");
         Host.Answer answer = caller.answer();
         return answer.status() + " " + answer.body();
     }
 
-    private long figure(Sidecar sidecar, String name) throws IOException {
-        return managed(sidecar, "GET /-/metrics").lines().filter(line -> line.startsWith(name + " ")).findFirst()
+    private long metric(Sidecar sidecar, String name) throws IOException {
+        return callManagement(sidecar, "GET /-/metrics").lines().filter(line -> line.startsWith(name + " ")).findFirst()
                 .map(line -> Long.parseLong(line.substring(name.length() + 1))).orElseThrow();
     }
 
@@ -572,9 +572,9 @@
     void figuresAreWhatClientsAndHostsSaw() throws Exception {
         isManaged = true;
         AtomicInteger written = new AtomicInteger();
-        Host.Script script = (head, seen) -> {
+        Host.Script script = (head, request) -> {
             written.incrementAndGet();
-            return switch (seen.body()) {
+            return switch (request.body()) {
                 case "error" -> "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
                 case "full" -> "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
                 case "reset" -> null;
@@ -584,7 +584,7 @@
         };
         Sidecar sidecar = sidecar(host(script).port(), host(script).port(), host(script).port());
         String[] bodies = {"good", "good", "good", "error", "full", "reset", "bad", "good"};
-        AtomicInteger[] told = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger()};
+        AtomicInteger[] answersByKind = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger()};
         List<Thread> threads = new ArrayList<>();
         for (int c = 0; c < 6; c++) {
             Thread thread = new Thread(() -> {
@@ -593,7 +593,7 @@
                     for (int i = 0; i < 400; i++) {
                         client.send(pay(i % 200, 5_000, bodies[i % bodies.length]));
                         int status = client.answer().status();
-                        told[status == 200 ? 0 : status == 503 ? 1 : 2].incrementAndGet();
+                        answersByKind[status == 200 ? 0 : status == 503 ? 1 : 2].incrementAndGet();
                     }
                     client.close();
                 } catch (IOException e) {
@@ -606,16 +606,16 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        assertThat(told[0].get() + told[1].get() + told[2].get()).isEqualTo(2_400);
+        assertThat(answersByKind[0].get() + answersByKind[1].get() + answersByKind[2].get()).isEqualTo(2_400);
         String label = "{priority=\"pay\"}";
-        assertThat(figure(sidecar, "svc_fulfilled_total" + label)).isEqualTo(told[0].get());
-        assertThat(figure(sidecar, "svc_throttled_total" + label)).isEqualTo(told[1].get());
-        assertThat(figure(sidecar, "svc_faulted_total" + label)).isEqualTo(told[2].get());
-        assertThat(figure(sidecar, "svc_relayed_total")).isEqualTo(written.get());
-        assertThat(figure(sidecar, "svc_open_requests")).isZero();
-        assertThat(figure(sidecar, "svc_registry_entries")).isEqualTo(3);
+        assertThat(metric(sidecar, "svc_fulfilled_total" + label)).isEqualTo(answersByKind[0].get());
+        assertThat(metric(sidecar, "svc_throttled_total" + label)).isEqualTo(answersByKind[1].get());
+        assertThat(metric(sidecar, "svc_faulted_total" + label)).isEqualTo(answersByKind[2].get());
+        assertThat(metric(sidecar, "svc_relayed_total")).isEqualTo(written.get());
+        assertThat(metric(sidecar, "svc_open_requests")).isZero();
+        assertThat(metric(sidecar, "svc_registry_entries")).isEqualTo(3);
         lists.add(list(false, target(0, 1, "DRAINING"), target(1, 1, "DELETED")));
-        while (figure(sidecar, "svc_registry_entries") != 2 || figure(sidecar, "svc_out_of_rotation") < 1) {
+        while (metric(sidecar, "svc_registry_entries") != 2 || metric(sidecar, "svc_out_of_rotation") < 1) {
             Thread.sleep(20);
         }
     }
@@ -624,14 +624,14 @@
     void drainedSidecarSendsItsClientsAwayAndTakesThemAgain() throws Exception {
         isManaged = true;
         CountDownLatch go = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             if (head.get("Idempotency-Key").equals("k1")) {
                 go.await();
             }
             return Host.ok("done");
         });
         Sidecar sidecar = sidecar(host.port());
-        assertThat(managed(sidecar, "GET /-/ready")).startsWith("200");
+        assertThat(callManagement(sidecar, "GET /-/ready")).startsWith("200");
         Host.Client idle = client(sidecar);
         idle.send(pay(2, 900, ""));
         assertThat(idle.answer().status()).isEqualTo(200);
@@ -639,9 +639,9 @@
         held.send(pay(1, 10_000, ""));
         assertThat(host.next().head().get("Idempotency-Key")).isEqualTo("k2");
         assertThat(host.next().head().get("Idempotency-Key")).isEqualTo("k1");
-        assertThat(figure(sidecar, "svc_open_requests")).isEqualTo(1);
-        assertThat(managed(sidecar, "PUT /-/drain")).startsWith("200");
-        assertThat(managed(sidecar, "GET /-/ready")).startsWith("503");
+        assertThat(metric(sidecar, "svc_open_requests")).isEqualTo(1);
+        assertThat(callManagement(sidecar, "PUT /-/drain")).startsWith("200");
+        assertThat(callManagement(sidecar, "GET /-/ready")).startsWith("503");
         Host.Client front = client(sidecar);
         front.send("GET /healthz HTTP/1.1\r\n\r\n");
         assertThat(front.answer().status()).isEqualTo(503);
@@ -654,8 +654,8 @@
         assertThat(last.status()).isEqualTo(200);
         assertThat(last.head().get("Connection")).isEqualTo("close");
         assertThat(held.atEnd()).isTrue();
-        assertThat(managed(sidecar, "PUT /-/resume")).startsWith("200");
-        assertThat(managed(sidecar, "GET /-/ready")).startsWith("200");
+        assertThat(callManagement(sidecar, "PUT /-/resume")).startsWith("200");
+        assertThat(callManagement(sidecar, "GET /-/ready")).startsWith("200");
         Host.Client again = client(sidecar);
         for (int i = 4; i < 6; i++) {
             again.send(pay(i, 900, ""));
@@ -667,7 +667,7 @@
     @Test
     void whatIsHeldWhenTheTimeToEndIsOverFailsAndIsNotCutOff() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             never.await();
             return Host.ok("late");
         });
@@ -686,7 +686,7 @@
     void classesComeAndGoWhileALegIsOut() throws Exception {
         isManaged = true;
         CountDownLatch go = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             if ("k1".equals(head.get("Idempotency-Key"))) {
                 go.await();
             }
@@ -696,7 +696,7 @@
         Host.Client held = client(sidecar);
         held.send(pay(1, 10_000, ""));
         host.next();
-        assertThat(sidecar.reload(plan(configuration.replace("\"name\": \"pay\"", "\"name\": \"buy\"")))).isEmpty();
+        assertThat(sidecar.reload(options(configuration.replace("\"name\": \"pay\"", "\"name\": \"buy\"")))).isEmpty();
         Host.Client client = client(sidecar);
         client.send(pay(2, 900, ""));
         assertThat(client.answer().status()).as("a class that vanished").isEqualTo(400);
@@ -704,7 +704,7 @@
         assertThat(client.answer().status()).as("one that appeared").isEqualTo(200);
         go.countDown();
         assertThat(held.answer().status()).as("one under way").isEqualTo(200);
-        assertThat(figure(sidecar, "svc_fulfilled_total{priority=\"pay\"}")).isOne();
-        assertThat(figure(sidecar, "svc_fulfilled_total{priority=\"buy\"}")).isOne();
+        assertThat(metric(sidecar, "svc_fulfilled_total{priority=\"pay\"}")).isOne();
+        assertThat(metric(sidecar, "svc_fulfilled_total{priority=\"buy\"}")).isOne();
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/SpareConnectionsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SpareConnectionsTest.java
@@ -17,7 +17,7 @@
 
     /** Answers once the attempt's writer has done: a connection whose answer overtakes that is not used again. */
     private Host host() throws IOException {
-        return new Host((head, seen) -> {
+        return new Host((head, request) -> {
             Attempt answered = sent;
             while (answered.isWriting()) {
                 Thread.onSpinWait();
@@ -29,7 +29,7 @@
     private Attempt send() {
         Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
         sent = attempt;
-        rig.side.send(attempt);
+        rig.pool.send(attempt);
         return attempt;
     }
 
@@ -37,7 +37,7 @@
     private Socket servedInARow(Host host, long gapUs) throws Exception {
         Socket used = null;
         for (int i = 0; i < SpareConnectionPolicy.WINDOW_ATTEMPTS; i++) {
-            rig.now.addAndGet(gapUs);
+            rig.nowUs.addAndGet(gapUs);
             send();
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             Socket next = host.next().socket();
@@ -68,9 +68,9 @@
             rig.list("SERVING", host.port());
             Socket first = servedInARow(host, 2 * SpareConnectionPolicy.MAX_MEAN_GAP_US);
             send();
-            rig.awaitResting(1);
-            rig.passWithNobodyRested(UpstreamPool.SETTLE_US - 1);
-            rig.now.addAndGet(1);
+            rig.awaitSettleWaits(1);
+            rig.advanceWhileSettling(UpstreamPool.SETTLE_US - 1);
+            rig.nowUs.addAndGet(1);
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             assertThat(host.next().socket()).isSameAs(first);
         }
@@ -83,15 +83,15 @@
             rig.list("SERVING", host.port());
             servedInARow(host, UpstreamPool.SETTLE_US);
             Attempt attempt;
-            synchronized (rig.side) {
+            synchronized (rig.pool) {
                 attempt = send();
                 rig.awaitBlocked();             // it is open, and not taken in yet
                 rig.list("DRAINING", host.port());
             }
             assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            rig.now.addAndGet(UpstreamPool.SETTLE_US);
+            rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.NOT_SENT, null));
-            assertThat(host.seen).isEmpty();
+            assertThat(host.received).isEmpty();
         }
     }
 
@@ -102,14 +102,14 @@
             rig.list("SERVING", host.port());
             send();
             rig.next();
-            rig.now.addAndGet(UpstreamPool.SETTLE_US);
+            rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
             send();
             rig.next();
             assertThat(rig.started).as("a new connection, and a rested one").hasSize(2);
             Attempt attempt = send();
-            rig.awaitResting(1);
+            rig.awaitSettleWaits(1);
             assertThat(rig.started).hasSize(2);
-            rig.now.addAndGet(UpstreamPool.SETTLE_US);
+            rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
             rig.next();
             assertThat(rig.started).last().isSameAs(attempt);
         }
--- a/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
@@ -30,10 +30,10 @@
 @Timeout(60)
 class StartAndEndTest {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final ShutdownSchedule ENDING = new ShutdownSchedule(100_000, 200_000, 20_000_000);
+    private static final ShutdownSchedule SHUTDOWN = new ShutdownSchedule(100_000, 200_000, 20_000_000);
     private final AtomicInteger calls = new AtomicInteger();
 
-    private static Sidecar.Options plan(int... ports) throws Exception {
+    private static Sidecar.Options options(int... ports) throws Exception {
         Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
         StringBuilder targets = new StringBuilder();
         for (int i = 0; i < ports.length; i++) {
@@ -55,40 +55,40 @@
     @Test
     void anEndingThatMeetsTheOpeningOfTheDoorAnswersWhomTheSystemHasLetIn() throws Exception {
         CountDownLatch bound = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+        CountDownLatch openMayReturn = new CountDownLatch(1);
         InetSocketAddress[] address = new InetSocketAddress[1];
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
-            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.ListPersistence.NONE, () -> {
-                ListeningSocket door = new ListeningSocket.Owned(ANY);
-                address[0] = door.address();
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
+            Sidecar sidecar = new Sidecar(options(host.port()), Sidecar.ListPersistence.NONE, () -> {
+                ListeningSocket socket = new ListeningSocket.Owned(ANY);
+                address[0] = socket.address();
                 bound.countDown();
                 try {
-                    goesOn.await();
+                    openMayReturn.await();
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
-                return door;
+                return socket;
             });
-            Thread start = new Thread(() -> start(sidecar));
-            start.start();
+            Thread startThread = new Thread(() -> start(sidecar));
+            startThread.start();
             bound.await();
             try (Host.Client client = new Host.Client(address[0])) {
                 client.send(quote());
-                Thread ending = new Thread(() -> end(sidecar));
-                ending.start();
+                Thread shutdownThread = new Thread(() -> end(sidecar));
+                shutdownThread.start();
                 // It has looked for the door: it waits for who opens it, or has found none and is over.
-                while (ending.isAlive() && !waitsFor(ending, start)) {
+                while (shutdownThread.isAlive() && !isBlockedBy(shutdownThread, startThread)) {
                     Thread.sleep(1);
                 }
-                assertThat(ending.isAlive()).as("the process would be gone").isTrue();
-                goesOn.countDown();
+                assertThat(shutdownThread.isAlive()).as("the process would be gone").isTrue();
+                openMayReturn.countDown();
                 assertThat(client.answer().status()).isEqualTo(200);
-                ending.join();
+                shutdownThread.join();
             }
         }
     }
 
-    private static boolean waitsFor(Thread one, Thread other) {
+    private static boolean isBlockedBy(Thread one, Thread other) {
         ThreadInfo now = ManagementFactory.getThreadMXBean().getThreadInfo(one.getId());
         return now != null && now.getLockOwnerId() == other.getId();
     }
@@ -103,32 +103,32 @@
 
     private static void end(Sidecar sidecar) {
         try {
-            sidecar.end(ENDING);
+            sidecar.end(SHUTDOWN);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** A door whose accepting thread does not get to accept before somebody shuts the door, in whatever way. */
-    private static final class LateDoor implements ListeningSocket {
-        private final ListeningSocket own = new ListeningSocket.Owned(ANY);
-        private final CountDownLatch shut = new CountDownLatch(1);
+    private static final class DelayedListeningSocket implements ListeningSocket {
+        private final ListeningSocket delegate = new ListeningSocket.Owned(ANY);
+        private final CountDownLatch stopped = new CountDownLatch(1);
 
-        LateDoor() throws IOException { }
+        DelayedListeningSocket() throws IOException { }
 
         @Override
         public InetSocketAddress address() {
-            return own.address();
+            return delegate.address();
         }
 
         @Override
         public Socket accept() throws IOException {
             try {
-                shut.await();
+                stopped.await();
             } catch (InterruptedException e) {
                 throw new IOException(e);
             }
-            return own.accept();
+            return delegate.accept();
         }
 
         @Override
@@ -138,38 +138,38 @@
 
         @Override
         public void stopAccepting() {
-            own.stopAccepting();
-            shut.countDown();
+            delegate.stopAccepting();
+            stopped.countDown();
         }
 
         @Override
         public void prepareToStop() {
-            own.prepareToStop();
+            delegate.prepareToStop();
         }
 
         @Override
         public void stopOnceQueueEmpty() {
-            own.stopOnceQueueEmpty();
-            shut.countDown();
+            delegate.stopOnceQueueEmpty();
+            stopped.countDown();
         }
 
         @Override
         public boolean isStopped() {
-            return own.isStopped();
+            return delegate.isStopped();
         }
     }
 
     /** The door was shut by the clock, on whom the system had let in and the accepting thread had not come to yet. */
     @Test
     void whomTheSystemHasLetInIsAnsweredHoweverLateTheAcceptingThreadIs() throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
-            Sidecar sidecar = new Sidecar(plan(host.port()), Sidecar.ListPersistence.NONE, LateDoor::new);
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
+            Sidecar sidecar = new Sidecar(options(host.port()), Sidecar.ListPersistence.NONE, DelayedListeningSocket::new);
             sidecar.start();
             try (Host.Client first = new Host.Client(sidecar.address());
                     Host.Client second = new Host.Client(sidecar.address())) {
                 first.send(quote());
                 second.send(quote());
-                Host.daemon(() -> sidecar.end(ENDING));
+                Host.daemon(() -> sidecar.end(SHUTDOWN));
                 for (Host.Client client : List.of(first, second)) {
                     assertThat(client.answer().status()).isEqualTo(200);
                 }
@@ -180,21 +180,21 @@
     @Test
     void anEndingThatComesBeforeTheDoorIsOpenedKeepsItShut() throws Exception {
         AtomicBoolean opened = new AtomicBoolean();
-        Sidecar sidecar = new Sidecar(plan(1), Sidecar.ListPersistence.NONE, () -> {
+        Sidecar sidecar = new Sidecar(options(1), Sidecar.ListPersistence.NONE, () -> {
             opened.set(true);
             return new ListeningSocket.Owned(ANY);
         });
-        sidecar.end(ENDING);
+        sidecar.end(SHUTDOWN);
         sidecar.start();
         assertThat(opened).isFalse();
-        sidecar.end(ENDING);
+        sidecar.end(SHUTDOWN);
     }
 
     /** The one thread that all deadlines hang on ended where the telling of its fault failed as well. */
     @Test
     void theTimekeeperOutlivesAFaultThatCanNotBeTold() throws Exception {
         CountDownLatch failed = new CountDownLatch(2);
-        Handler full = new Handler() {
+        Handler failingHandler = new Handler() {
             @Override
             public void publish(LogRecord line) {
                 if (Thread.currentThread().getName().equals("timekeeper") && failed.getCount() > 0) {
@@ -210,10 +210,10 @@
             public void close() { }
         };
         Logger log = Logger.getLogger(Sidecar.class.getName());
-        log.addHandler(full);
+        log.addHandler(failingHandler);
         try {
             // Nobody listens there: the module says that the zone is lost, in the timekeeper's turn.
-            Sidecar sidecar = new Sidecar(plan(1, 2));
+            Sidecar sidecar = new Sidecar(options(1, 2));
             sidecar.start();
             try (Host.Client idle = new Host.Client(sidecar.address());
                     Host.Client client = new Host.Client(sidecar.address())) {
@@ -224,9 +224,9 @@
                 assertThat(failed.await(20, TimeUnit.SECONDS)).as("line and fault were both refused").isTrue();
                 assertThat(idle.atEnd()).as("a deadline still passes").isTrue();
             }
-            sidecar.end(ENDING);
+            sidecar.end(SHUTDOWN);
         } finally {
-            log.removeHandler(full);
+            log.removeHandler(failingHandler);
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
@@ -20,7 +20,7 @@
 @Timeout(60)
 class StrayBytesTest {
     /** What a host does on its idle connection. */
-    enum Does { CLOSES, RESETS, SENDS }
+    enum HostAction { CLOSES, RESETS, SENDS }
 
     private static final String STRAY = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
 
@@ -38,16 +38,16 @@
     @ValueSource(strings = {"H", "HTTP/1.1 20", STRAY})
     void whatLiesUnreadIsNotTheNextAttemptsAnswer(String stray) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            rig.atEnd = ended -> {
-                rig.atEnd = next -> { };
+            rig.onAttemptEnd = ended -> {
+                rig.onAttemptEnd = next -> { };
                 await(go);
             };
-            Socket first = rig.served("s0", host).socket();
+            Socket first = rig.sendAndServe("s0", host).socket();
             write(first, stray);
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
-            rig.side.send(attempt);
+            rig.pool.send(attempt);
             go.countDown();
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
@@ -56,8 +56,8 @@
         }
     }
 
-    private static void end(Socket socket, Does what, String stray) throws IOException {
-        switch (what) {
+    private static void perform(Socket socket, HostAction action, String stray) throws IOException {
+        switch (action) {
             case SENDS -> write(socket, stray);
             case RESETS -> {
                 socket.setSoLinger(true, 0);
@@ -80,16 +80,16 @@
      * connection still is: there an attempt takes it. It never ran there, and goes out on another one.
      */
     @ParameterizedTest
-    @EnumSource(Does.class)
-    void anAttemptTakesAConnectionWhoseThreadHasJustSeenItsEnd(Does what) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    @EnumSource(HostAction.class)
+    void anAttemptTakesAConnectionWhoseThreadHasJustSeenItsEnd(HostAction action) throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            Socket first = rig.served("s0", host).socket();
+            Socket first = rig.sendAndServe("s0", host).socket();
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
-            synchronized (rig.side) {
-                end(first, what, "HTTP/1.1 2");
+            synchronized (rig.pool) {
+                perform(first, action, "HTTP/1.1 2");
                 rig.awaitBlocked();
-                rig.side.send(attempt);
+                rig.pool.send(attempt);
             }
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
@@ -101,18 +101,18 @@
     /** A second answer may come some milliseconds late: an attempt on that connection would be served with it. */
     @Test
     void aConnectionIsNotUsedAgainWithinTheMillisecondsThatASecondAnswerMayBeLate() throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            Socket first = rig.served("s0", host).socket();
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            Socket first = rig.sendAndServe("s0", host).socket();
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             assertThat(host.next().socket()).as("it has rested").isSameAs(first);
-            rig.now.addAndGet(15_000);
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
-            rig.awaitResting(1);
-            rig.passWithNobodyRested(4_999);
-            assertThat(host.seen).as("19.999 ms after its last answer").isEmpty();
-            rig.now.addAndGet(1);
+            rig.nowUs.addAndGet(15_000);
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.awaitSettleWaits(1);
+            rig.advanceWhileSettling(4_999);
+            assertThat(host.received).as("19.999 ms after its last answer").isEmpty();
+            rig.nowUs.addAndGet(1);
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             assertThat(host.next().socket()).as("20 ms after it, and no new one").isSameAs(first);
         }
@@ -122,26 +122,26 @@
     @Test
     void aRestingConnectionIsPromisedToOneAttempt() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Host host = new Host((head, seen) -> {
+        try (Host host = new Host((head, request) -> {
             await(go);
             return Host.ok("done");
         })) {
             rig.list("SERVING", host.port());
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             List<Socket> used = List.of(host.next().socket(), host.next().socket());
             go.countDown();
             rig.next();
             rig.next();
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
-            rig.awaitResting(2);
-            rig.now.addAndGet(5_000);
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.awaitSettleWaits(2);
+            rig.nowUs.addAndGet(5_000);
             Attempt third = rig.attempt("s0", Long.MAX_VALUE);
-            rig.side.send(third);
+            rig.pool.send(third);
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(third, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotIn(used);
-            rig.now.addAndGet(UpstreamPool.SETTLE_US - 5_000);
+            rig.nowUs.addAndGet(UpstreamPool.SETTLE_US - 5_000);
             rig.next();
             rig.next();
             assertThat(List.of(host.next().socket(), host.next().socket())).containsExactlyInAnyOrderElementsOf(used);
@@ -150,24 +150,24 @@
 
     /** The second answer comes while an attempt waits, or the end: it goes out on a new one, and its time begins there. */
     @ParameterizedTest
-    @EnumSource(Does.class)
-    void aConnectionThatEndsWhileALegWaitsForItIsNotUsed(Does what) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    @EnumSource(HostAction.class)
+    void aConnectionThatEndsWhileALegWaitsForItIsNotUsed(HostAction action) throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             rig.next();
             Socket first = host.next().socket();
-            rig.now.addAndGet(5_000);
+            rig.nowUs.addAndGet(5_000);
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
-            rig.side.send(attempt);
-            rig.awaitResting(1);
-            rig.passWithNobodyRested(10_000);
-            end(first, what, STRAY);
+            rig.pool.send(attempt);
+            rig.awaitSettleWaits(1);
+            rig.advanceWhileSettling(10_000);
+            perform(first, action, STRAY);
             assertThat(rig.next()).as("before the rest is over").isEqualTo(
                     new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
             assertThat(attempt.durationUs(AttemptEnd.NOT_CONNECTED,
-                    rig.now.get())).as("what a failed connect would say").isZero();
+                    rig.nowUs.get())).as("what a failed connect would say").isZero();
             assertThat(rig.ends).as("told once").isEmpty();
         }
     }
@@ -176,19 +176,19 @@
     @ParameterizedTest
     @EnumSource(value = AttemptEnd.class, names = {"GIVEN_UP", "TIMED_OUT", "SILENT"})
     void anAttemptThatIsCutWhileItWaitsNeverRan(AttemptEnd why) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             rig.next();
             Socket first = host.next().socket();
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
-            rig.side.send(attempt);
-            rig.awaitResting(1);
+            rig.pool.send(attempt);
+            rig.awaitSettleWaits(1);
             attempt.abort(why);
             AttemptEnd told = why == AttemptEnd.GIVEN_UP ? why : AttemptEnd.NOT_SENT;
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, told, null));
-            rig.now.addAndGet(UpstreamPool.SETTLE_US);
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             assertThat(host.next().socket()).as("and nothing came before").isSameAs(first);
         }
@@ -197,14 +197,14 @@
     /** The news of a drain come between the answer and the return of its connection to the idle ones. */
     @Test
     void aConnectionThatIsBeingFreedWhileItsHostBeginsToDrainIsClosed() throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            Endpoints.Endpoint endpoint = rig.table.endpointOf("s0");
-            synchronized (rig.side) {
-                rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            Endpoints.Endpoint endpoint = rig.endpoints.endpointOf("s0");
+            synchronized (rig.pool) {
+                rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
                 rig.awaitBlocked();
                 rig.list("DRAINING", host.port());
-                rig.side.closeIdle(List.of(endpoint));
+                rig.pool.closeIdle(List.of(endpoint));
             }
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
@@ -214,28 +214,28 @@
     /** At a bound of one: each attempt evicts the other host's connection; none is used after that, nor counted twice. */
     @Test
     void evictedConnectionsAreCountedOnceAndNotUsedAgain() throws Exception {
-        UpstreamRig one = new UpstreamRig(1);
+        UpstreamRig smallRig = new UpstreamRig(1);
         CountDownLatch go = new CountDownLatch(1);
-        try (Host a = new Host((head, seen) -> Host.ok("a")); Host b = new Host((head, seen) -> Host.ok("b"));
-             Host silent = new Host((head, seen) -> {
+        try (Host a = new Host((head, request) -> Host.ok("a")); Host b = new Host((head, request) -> Host.ok("b"));
+             Host silent = new Host((head, request) -> {
                  go.await();
                  return Host.ok("late");
              })) {
-            one.list("SERVING", a.port(), b.port(), silent.port());
+            smallRig.list("SERVING", a.port(), b.port(), silent.port());
             for (int i : IntStream.range(0, 20).toArray()) {
-                one.side.send(one.attempt("s" + i % 2, Long.MAX_VALUE));
-                assertThat(one.next().body()).isEqualTo(i % 2 == 0 ? "a" : "b");
-                one.now.addAndGet(400_000);
+                smallRig.pool.send(smallRig.attempt("s" + i % 2, Long.MAX_VALUE));
+                assertThat(smallRig.next().body()).isEqualTo(i % 2 == 0 ? "a" : "b");
+                smallRig.nowUs.addAndGet(400_000);
             }
-            assertThat(List.of(a.seen.size(), b.seen.size())).containsExactly(10, 10);
-            one.side.closeAllIdle();
-            one.awaitThreads(0);
-            one.side.send(one.attempt("s2", Long.MAX_VALUE));
+            assertThat(List.of(a.received.size(), b.received.size())).containsExactly(10, 10);
+            smallRig.pool.closeAllIdle();
+            smallRig.awaitThreads(0);
+            smallRig.pool.send(smallRig.attempt("s2", Long.MAX_VALUE));
             silent.next();
-            one.side.send(one.attempt("s0", Long.MAX_VALUE));
-            assertThat(one.next().end()).as("there is room for one, and that is out").isEqualTo(AttemptEnd.NOT_SENT);
+            smallRig.pool.send(smallRig.attempt("s0", Long.MAX_VALUE));
+            assertThat(smallRig.next().end()).as("there is room for one, and that is out").isEqualTo(AttemptEnd.NOT_SENT);
             go.countDown();
-            assertThat(one.next().body()).isEqualTo("late");
+            assertThat(smallRig.next().body()).isEqualTo("late");
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
@@ -57,7 +57,8 @@
     private static Attempt attempt(UpstreamPool pool) throws IOException {
         Head head = Head.parseRequest("POST /pay HTTP/1.1".getBytes(StandardCharsets.US_ASCII));
         ClientRequest request = new ClientRequest(head, new byte[0], null, "pay", null, null, 10_000_000);
-        return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), pool.now());
+        return new Attempt(new UpstreamRig.ConnectionlessExchange(1, request),
+                new Decision.Send(0, "s1", 10_000_000), pool.now());
     }
 
     /** Else bytes after a response would count as the next response; a new connection would cost the host time. */
@@ -134,7 +135,7 @@
             pool.send(attempt(pool));
             assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.NOT_SENT);
             assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(host.seen).isEmpty();
+            assertThat(host.received).isEmpty();
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -34,17 +34,17 @@
  * thread's next look at it; where attempts end, a thread may be held.
  */
 final class UpstreamRig {
-    static final long TIME_US = 10_000_000;
+    static final long ATTEMPT_TIME_US = 10_000_000;
     /** Far more than sockets hold, bytes. */
-    private static final int LARGE = 16 << 20;
-    private static final Predicate<Thread> WAITER = t -> t.getName().startsWith("waits");
+    private static final int LARGE_BODY_BYTES = 16 << 20;
+    private static final Predicate<Thread> IS_WAITING_SENDER = t -> t.getName().startsWith("waits");
 
     /** One attempt's end, in the order told. */
     record Ended(Attempt attempt, AttemptEnd end, String body) { }
 
     /** An exchange without a client's connection: its client is there. */
-    static final class Listening extends Exchange {
-        Listening(long id, ClientRequest request) {
+    static final class ConnectionlessExchange extends Exchange {
+        ConnectionlessExchange(long id, ClientRequest request) {
             super(id, null, request, new RequestCounts());
         }
 
@@ -52,25 +52,25 @@
         void checkClientPresence() { }
     }
 
-    final AtomicLong now = new AtomicLong(1_000_000_000);
-    final Endpoints table = new Endpoints();
+    final AtomicLong nowUs = new AtomicLong(1_000_000_000);
+    final Endpoints endpoints = new Endpoints();
     final BlockingQueue<Ended> ends = new LinkedBlockingQueue<>();
     /** The attempts that are held back no longer, in the order told. */
     final BlockingQueue<Attempt> started = new LinkedBlockingQueue<>();
-    final DeadlineQueue deadlines = new DeadlineQueue(this::look);
-    final UpstreamPool side;
-    volatile Consumer<Ended> atEnd = ended -> { };
+    final DeadlineQueue deadlines = new DeadlineQueue(this::readClock);
+    final UpstreamPool pool;
+    volatile Consumer<Ended> onAttemptEnd = ended -> { };
     /** When the listed hosts started, as the next list says. */
     long bootMs;
-    private final Set<Integer> listed = ConcurrentHashMap.newKeySet();
-    private final AtomicReference<Runnable> atLook = new AtomicReference<>();
-    private volatile Predicate<Thread> looks = t -> false;
-    private long ids;
-
-    UpstreamRig(int most) {
-        SettingsReader.Setup setup = new SettingsReader.Setup(null, Map.of(), Map.of(), TIME_US, 3 * TIME_US);
-        side = new UpstreamPool(table, deadlines, () -> setup, most, new RequestCounts(), new DiscoveryMetrics());
-        side.setDispatcher(new RequestDispatcher(null, side) {
+    private final Set<Integer> listedPorts = ConcurrentHashMap.newKeySet();
+    private final AtomicReference<Runnable> clockReadAction = new AtomicReference<>();
+    private volatile Predicate<Thread> isHookedThread = t -> false;
+    private long lastId;
+
+    UpstreamRig(int maxConnections) {
+        SettingsReader.Setup setup = new SettingsReader.Setup(null, Map.of(), Map.of(), ATTEMPT_TIME_US, 3 * ATTEMPT_TIME_US);
+        pool = new UpstreamPool(endpoints, deadlines, () -> setup, maxConnections, new RequestCounts(), new DiscoveryMetrics());
+        pool.setDispatcher(new RequestDispatcher(null, pool) {
             @Override
             void attemptStarted(Attempt attempt) {
                 started.add(attempt);
@@ -80,15 +80,15 @@
             void attemptEnded(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
                 Ended ended = new Ended(attempt, end, body == null ? null : new String(body, StandardCharsets.ISO_8859_1));
                 ends.add(ended);
-                atEnd.accept(ended);
+                onAttemptEnd.accept(ended);
             }
         });
     }
 
-    private long look() {
-        long time = now.get();
-        boolean his = looks.test(Thread.currentThread());
-        Runnable action = his ? atLook.getAndSet(null) : null;
+    private long readClock() {
+        long time = nowUs.get();
+        boolean isHooked = isHookedThread.test(Thread.currentThread());
+        Runnable action = isHooked ? clockReadAction.getAndSet(null) : null;
         if (action != null) {
             action.run();
         }
@@ -96,25 +96,25 @@
     }
 
     /** To be done at the next look at the clock by this thread, or, null, by one that serves a connection. */
-    void atLook(Thread by, Runnable action) {
-        atLook(by == null ? t -> t.getName().startsWith("upstream") : t -> t == by, action);
+    void onClockRead(Thread by, Runnable action) {
+        onClockRead(by == null ? t -> t.getName().startsWith("upstream") : t -> t == by, action);
     }
 
-    private void atLook(Predicate<Thread> by, Runnable action) {
-        looks = by;
-        atLook.set(action);
+    private void onClockRead(Predicate<Thread> by, Runnable action) {
+        isHookedThread = by;
+        clockReadAction.set(action);
     }
 
     /** The list: hosts s0, s1 ... at these ports. */
     void list(String state, int... ports) {
-        IntStream.of(ports).forEach(listed::add);
+        IntStream.of(ports).forEach(listedPorts::add);
         List<String> targets = new ArrayList<>();
         for (int i = 0; i < ports.length; i++) {
             targets.add("{\"uid\":\"s" + i + "\",\"endpoint\":\"127.0.0.1:" + ports[i] + "\",\"az\":\"a\","
                     + "\"boot_ms\":" + bootMs + ",\"state\":\"" + state + "\"}");
         }
         try {
-            table.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}")
+            endpoints.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}")
                     .getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -127,7 +127,7 @@
 
     /** One that is held whole, and whose write waits until the host reads. */
     Attempt largeAttempt(String host) {
-        return attempt(host, Long.MAX_VALUE, "POST /pay HTTP/1.1", false, LARGE);
+        return attempt(host, Long.MAX_VALUE, "POST /pay HTTP/1.1", false, LARGE_BODY_BYTES);
     }
 
     /** One whose body is still to come from its client. */
@@ -135,15 +135,15 @@
         return attempt(host, beginByUs, "POST /pay HTTP/1.1\r\nContent-Length: 100000", true, 0);
     }
 
-    private Attempt attempt(String host, long beginByUs, String head, boolean isLong, int held) {
+    private Attempt attempt(String host, long beginByUs, String head, boolean isLong, int heldBytes) {
         try {
             Head read = Head.parseRequest(head.getBytes(StandardCharsets.US_ASCII));
             MessageReader reader = new MessageReader(new ByteArrayInputStream(new byte[0]),
                     MessageReader.MAX_BODY_BYTES);
-            ClientRequest request = new ClientRequest(read, new byte[held], isLong ? reader.requestBody(read) : null,
-                    "pay", null, null, TIME_US);
-            return new Attempt(new Listening(++ids, request),
-                    new Decision.Send(0, host, TIME_US, beginByUs), now.get());
+            ClientRequest request = new ClientRequest(read, new byte[heldBytes], isLong ? reader.requestBody(read) : null,
+                    "pay", null, null, ATTEMPT_TIME_US);
+            return new Attempt(new ConnectionlessExchange(++lastId, request),
+                    new Decision.Send(0, host, ATTEMPT_TIME_US, beginByUs), nowUs.get());
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -158,27 +158,27 @@
     }
 
     /** Sends an attempt that is served, and lets its connection rest until it may be used again. */
-    Host.Seen served(String name, Host host) throws InterruptedException {
-        side.send(attempt(name, Long.MAX_VALUE));
+    Host.ReceivedRequest sendAndServe(String name, Host host) throws InterruptedException {
+        pool.send(attempt(name, Long.MAX_VALUE));
         Ended ended = next();
         if (ended.end() != AttemptEnd.SERVED) {
             throw new AssertionError("not served: " + ended);
         }
-        now.addAndGet(400_000);
+        nowUs.addAndGet(400_000);
         return host.next();
     }
 
     /** The threads that serve connections to hosts that were listed here. */
     private Stream<Thread> threads() {
         return Thread.getAllStackTraces().keySet().stream().filter(t -> t.getName().startsWith("upstream")
-                && listed.contains(Integer.parseInt(t.getName().substring(t.getName().lastIndexOf(':') + 1))));
+                && listedPorts.contains(Integer.parseInt(t.getName().substring(t.getName().lastIndexOf(':') + 1))));
     }
 
     /** Waits until that many attempts wait for a connection to have rested, each since it last looked at the clock. */
-    void awaitResting(int many) {
-        while (Thread.getAllStackTraces().entrySet().stream().filter(e -> WAITER.test(e.getKey())
+    void awaitSettleWaits(int count) {
+        while (Thread.getAllStackTraces().entrySet().stream().filter(e -> IS_WAITING_SENDER.test(e.getKey())
                 && e.getKey().getState() == Thread.State.TIMED_WAITING && Arrays.stream(e.getValue()).anyMatch(
-                        f -> f.getClassName().equals(Attempt.class.getName()))).count() != many) {
+                        f -> f.getClassName().equals(Attempt.class.getName()))).count() != count) {
             if (!ends.isEmpty() || Thread.interrupted()) {      // interrupted: the test's time is over
                 throw new AssertionError("did not wait: " + ends);
             }
@@ -187,20 +187,20 @@
     }
 
     /** The clock goes on; who waits for a connection to have rested has looked at it and waits on. */
-    void passWithNobodyRested(long us) {
-        CountDownLatch looks = new CountDownLatch(2);
-        atLook(WAITER, looks::countDown);
-        now.addAndGet(us);
-        while (looks.getCount() > 0) {
+    void advanceWhileSettling(long advanceUs) {
+        CountDownLatch clockReads = new CountDownLatch(2);
+        onClockRead(IS_WAITING_SENDER, clockReads::countDown);
+        nowUs.addAndGet(advanceUs);
+        while (clockReads.getCount() > 0) {
             if (!ends.isEmpty() || Thread.interrupted()) {      // interrupted: the test's time is over
                 throw new AssertionError("did not wait: " + ends);
             }
-            if (atLook.get() == null) {
-                atLook(WAITER, looks::countDown);       // and has not gone on after the first look
+            if (clockReadAction.get() == null) {
+                onClockRead(IS_WAITING_SENDER, clockReads::countDown);       // and has not gone on after the first look
             }
             Thread.onSpinWait();
         }
-        awaitResting(1);
+        awaitSettleWaits(1);
     }
 
     /** Waits until a connection's thread stands before the side's lock, which the caller holds. */
@@ -218,8 +218,8 @@
     }
 
     /** Waits until no more than so many threads serve connections. */
-    void awaitThreads(int most) {
-        while (threads().count() > most) {
+    void awaitThreads(int maxThreads) {
+        while (threads().count() > maxThreads) {
             Thread.onSpinWait();
         }
     }
--- a/sidecar/src/test/java/dapplequay/net/WriteGuardTest.java
+++ b/sidecar/src/test/java/dapplequay/net/WriteGuardTest.java
@@ -21,15 +21,15 @@
     private static final long WINDOW_US = 500_000;
 
     /** What happens meanwhile; NOTHING: the attempt is served, so that it is the change that stops it. */
-    enum Meanwhile { NOTHING, CLIENT_GONE, WINDOW_OVER, TIME_OVER, HOST_DRAINS, HOST_RESTARTED }
+    enum Change { NOTHING, CLIENT_GONE, WINDOW_OVER, TIMEOUT_OVER, HOST_DRAINS, HOST_RESTARTED }
 
     private final UpstreamRig rig = new UpstreamRig(10);
 
-    private void happen(Meanwhile what, Attempt attempt, int port) {
-        switch (what) {
+    private void apply(Change change, Attempt attempt, int port) {
+        switch (change) {
             case CLIENT_GONE -> attempt.exchange.claim();      // and its attempt has not been cut yet
-            case WINDOW_OVER -> rig.now.addAndGet(WINDOW_US);
-            case TIME_OVER -> rig.now.addAndGet(UpstreamRig.TIME_US);
+            case WINDOW_OVER -> rig.nowUs.addAndGet(WINDOW_US);
+            case TIMEOUT_OVER -> rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             case HOST_DRAINS -> rig.list("DRAINING", port);
             case HOST_RESTARTED -> {
                 rig.bootMs++;
@@ -39,84 +39,84 @@
         }
     }
 
-    private void assertStopped(Meanwhile what, Attempt attempt) throws InterruptedException {
-        assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, what == Meanwhile.NOTHING ? AttemptEnd.SERVED
-                : AttemptEnd.NOT_SENT, what == Meanwhile.NOTHING ? "done" : null));
+    private void assertNotSentUnlessUnchanged(Change change, Attempt attempt) throws InterruptedException {
+        assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, change == Change.NOTHING ? AttemptEnd.SERVED
+                : AttemptEnd.NOT_SENT, change == Change.NOTHING ? "done" : null));
         assertThat(rig.ends).as("told once").isEmpty();
     }
 
     /** The connecting thread looks at the clock before it connects: there it happens. */
     @ParameterizedTest
-    @EnumSource(Meanwhile.class)
-    void anAttemptThatWaitedForItsConnect(Meanwhile what) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    @EnumSource(Change.class)
+    void anAttemptThatWaitedForItsConnect(Change change) throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            Attempt attempt = rig.attempt("s0", rig.now.get() + WINDOW_US);
-            rig.atLook(null, () -> happen(what, attempt, host.port()));
-            rig.side.send(attempt);
-            assertStopped(what, attempt);
-            if (what != Meanwhile.NOTHING) {
+            Attempt attempt = rig.attempt("s0", rig.nowUs.get() + WINDOW_US);
+            rig.onClockRead(null, () -> apply(change, attempt, host.port()));
+            rig.pool.send(attempt);
+            assertNotSentUnlessUnchanged(change, attempt);
+            if (change != Change.NOTHING) {
                 assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-                assertThat(host.seen).isEmpty();
+                assertThat(host.received).isEmpty();
             }
         }
     }
 
     /** The sending thread looks at the clock once it knows the way and has taken the request up. */
     @ParameterizedTest
-    @EnumSource(Meanwhile.class)
-    void anAttemptForAUsedConnection(Meanwhile what) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    @EnumSource(Change.class)
+    void anAttemptForAUsedConnection(Change change) throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            Socket used = rig.served("s0", host).socket();
-            Attempt attempt = rig.attempt("s0", rig.now.get() + WINDOW_US);
-            rig.atLook(Thread.currentThread(), () -> happen(what, attempt, host.port()));
-            rig.side.send(attempt);
-            assertStopped(what, attempt);
-            if (what == Meanwhile.NOTHING) {
+            Socket used = rig.sendAndServe("s0", host).socket();
+            Attempt attempt = rig.attempt("s0", rig.nowUs.get() + WINDOW_US);
+            rig.onClockRead(Thread.currentThread(), () -> apply(change, attempt, host.port()));
+            rig.pool.send(attempt);
+            assertNotSentUnlessUnchanged(change, attempt);
+            if (change == Change.NOTHING) {
                 assertThat(host.next().socket()).isSameAs(used);
             } else {
                 assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-                assertThat(host.seen).isEmpty();
+                assertThat(host.received).isEmpty();
             }
         }
     }
 
     /** It happens while the attempt waits for the one connection to have rested; that connection stays. */
     @ParameterizedTest
-    @EnumSource(Meanwhile.class)
-    void anAttemptThatWaitedForARestingConnection(Meanwhile what) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    @EnumSource(Change.class)
+    void anAttemptThatWaitedForARestingConnection(Change change) throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             rig.next();
             Socket used = host.next().socket();
-            Attempt attempt = rig.attempt("s0", rig.now.get() + WINDOW_US);
-            rig.side.send(attempt);
-            rig.awaitResting(1);
-            happen(what, attempt, host.port());
-            rig.now.addAndGet(UpstreamPool.SETTLE_US);
-            assertStopped(what, attempt);
-            if (what == Meanwhile.NOTHING) {
+            Attempt attempt = rig.attempt("s0", rig.nowUs.get() + WINDOW_US);
+            rig.pool.send(attempt);
+            rig.awaitSettleWaits(1);
+            apply(change, attempt, host.port());
+            rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
+            assertNotSentUnlessUnchanged(change, attempt);
+            if (change == Change.NOTHING) {
                 assertThat(host.next().socket()).isSameAs(used);
             }
-            assertThat(host.seen).isEmpty();
+            assertThat(host.received).isEmpty();
             assertThat(host.closed).isEmpty();
         }
     }
 
     /** Its client's thread connects for it; its time begins only with its last byte. */
     @ParameterizedTest
-    @EnumSource(value = Meanwhile.class, names = {"CLIENT_GONE", "WINDOW_OVER", "HOST_DRAINS", "HOST_RESTARTED"})
-    void aLongRequest(Meanwhile what) throws Exception {
+    @EnumSource(value = Change.class, names = {"CLIENT_GONE", "WINDOW_OVER", "HOST_DRAINS", "HOST_RESTARTED"})
+    void aLongRequest(Change change) throws Exception {
         try (ServerSocket host = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             rig.list("SERVING", host.getLocalPort());
-            Attempt attempt = rig.longAttempt("s0", rig.now.get() + WINDOW_US);
-            UpstreamConnection connection = new UpstreamConnection(rig.side, rig.table.endpointOf("s0"), attempt);
+            Attempt attempt = rig.longAttempt("s0", rig.nowUs.get() + WINDOW_US);
+            UpstreamConnection connection = new UpstreamConnection(rig.pool, rig.endpoints.endpointOf("s0"), attempt);
             attempt.setConnection(connection, -1);
-            rig.atLook(Thread.currentThread(), () -> happen(what, attempt, host.getLocalPort()));
+            rig.onClockRead(Thread.currentThread(), () -> apply(change, attempt, host.getLocalPort()));
             assertThat(connection.connectForUpload()).isFalse();
-            assertStopped(what, attempt);
+            assertNotSentUnlessUnchanged(change, attempt);
             connection.uploadEnded(false);
             assertThat(rig.ends).as("told once").isEmpty();
             try (Socket accepted = host.accept()) {
@@ -130,13 +130,13 @@
     void aConnectIsNotWaitedForBeyondTheWindow() throws Exception {
         List<Socket> fillers = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            fill(full, fillers);
+            fillBacklog(full, fillers);
             rig.list("SERVING", full.getLocalPort());
-            Attempt attempt = rig.attempt("s0", rig.now.get() + 50_000);
+            Attempt attempt = rig.attempt("s0", rig.nowUs.get() + 50_000);
             // The clock stands still until the connecting thread has looked how long it may wait.
-            rig.atLook(null, () -> rig.now.addAndGet(50_000));
+            rig.onClockRead(null, () -> rig.nowUs.addAndGet(50_000));
             long started = System.nanoTime();
-            rig.side.send(attempt);
+            rig.pool.send(attempt);
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.NOT_SENT);
             assertThat(System.nanoTime() - started).as("and not the connect's own 10 s").isLessThan(9_000_000_000L);
         } finally {
@@ -147,7 +147,7 @@
     }
 
     /** Connects until no more come up: the system drops what goes beyond the listener's backlog. */
-    static void fill(ServerSocket listener, List<Socket> fillers) throws Exception {
+    static void fillBacklog(ServerSocket listener, List<Socket> fillers) throws Exception {
         while (true) {
             Socket filler = new Socket();
             fillers.add(filler);
