--- a/sidecar/src/test/java/dapplequay/ClosesWhatItOpened.java
+++ b/sidecar/src/test/java/dapplequay/ClosesWhatItOpened.java
@@ -4,19 +4,19 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.AfterEach;
 
-/** A test class whose tests open things, on any thread, that are closed in the same order after each of them. */
+/** Base of tests that open resources on any thread. After each test they are closed in the order of opening. */
 public abstract class ClosesWhatItOpened {
     private final List<AutoCloseable> opened = new CopyOnWriteArrayList<>();
 
-    protected final <T extends AutoCloseable> T open(T one) {
-        opened.add(one);
-        return one;
+    protected final <T extends AutoCloseable> T open(T resource) {
+        opened.add(resource);
+        return resource;
     }
 
     @AfterEach
     protected final void closeAll() throws Exception {
-        for (AutoCloseable one : opened) {
-            one.close();
+        for (AutoCloseable resource : opened) {
+            resource.close();
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An attempt is being written to a used connection, whose host does not read on, when something else happens. */
+/** Events during the write of an attempt to a reused connection, while the host reads no further. */
 @Timeout(60)
 class BlockedWriteTest {
     private final UpstreamRig rig = new UpstreamRig(10);
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Returns once the attempt's first bytes have come: its writer is in the write, and comes out by what a test does. */
+    /** Returns once the attempt's first bytes have arrived: its writer is then blocked in the write. */
     @BeforeEach
     void begin() throws Exception {
         listener.setReceiveBufferSize(4_096);
@@ -69,18 +69,18 @@
 
     private void assertEnded(AttemptEnd expected) throws Exception {
         assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, expected, null));
-        writer.join(TimeUnit.SECONDS.toMillis(Host.PATIENCE_S));
-        assertThat(writer.isAlive()).as("it comes back").isFalse();
+        writer.join(TimeUnit.SECONDS.toMillis(Host.TIMEOUT_S));
+        assertThat(writer.isAlive()).as("the writer returns").isFalse();
         rig.awaitThreads(0);
-        assertThat(rig.ends).as("told once").isEmpty();
+        assertThat(rig.ends).as("the end is reported once").isEmpty();
     }
 
     /**
-     * The reading thread has the head of an answer without a length, the host resets the connection, and the write is
-     * told of it: the read behind it finds a plain end, before the writer has closed the connection.
+     * The host sends the head of an answer without a length and resets the connection. The write gets the reset, so the
+     * next read reports an ordinary end of stream before the writer has closed the connection.
      */
     @Test
-    void anAnswerThatBreaksUnderItsRequestIsNotWhole() throws Exception {
+    void answerThatIsResetDuringTheRequestsWriteIsNotTakenAsComplete() throws Exception {
         CountDownLatch writerFailed = new CountDownLatch(1);
         rig.onClockRead(null, () -> {
             rig.onClockRead(writer, () -> {
@@ -104,17 +104,17 @@
         assertEnded(AttemptEnd.NOT_CONNECTED);
     }
 
-    /** It never ran, as it was not whole. */
+    /** The request never ran, as the host did not receive all of it. */
     @Test
-    void itsTimeEnds() throws Exception {
+    void timeoutDuringTheWriteEndsTheAttemptAsNotConnected() throws Exception {
         rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
         rig.deadlines.runExpired();
         assertEnded(AttemptEnd.NOT_CONNECTED);
     }
 
-    /** The write has just become whole, and its thread has not said so: it may have run. */
+    /** The write is complete, but its thread has not recorded it yet: the request may have run. */
     @Test
-    void itsTimeEndsInTheMomentInWhichItIsWhole() throws Exception {
+    void timeoutRightAfterTheWriteEndsTheAttemptAsTimedOut() throws Exception {
         rig.onClockRead(writer, () -> {
             rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             rig.deadlines.runExpired();
@@ -123,9 +123,9 @@
         assertEnded(AttemptEnd.TIMED_OUT);
     }
 
-    /** The head of its answer is here, and then its time is over: the cut counts, and the answer reaches nobody. */
+    /** The time-out comes after the head of the answer: the time-out counts, and the answer is dropped. */
     @Test
-    void itsTimeEndsWhileItsAnswerIsRead() throws Exception {
+    void timeoutWhileTheAnswerIsReadDropsTheAnswer() throws Exception {
         rig.onClockRead(null, () -> {
             rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             rig.deadlines.runExpired();
@@ -136,9 +136,9 @@
         assertEnded(AttemptEnd.TIMED_OUT);
     }
 
-    /** The answer is here and told, and then its time is over: the answer counts, and its connection stays. */
+    /** The time-out comes after the answer is reported: the answer counts, and its connection stays open. */
     @Test
-    void itsTimeEndsWhenItIsAnswered() throws Exception {
+    void timeoutAfterTheAnswerKeepsTheAnswerAndTheConnection() throws Exception {
         rig.onAttemptEnd = ended -> {
             rig.onAttemptEnd = next -> { };
             rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
--- a/sidecar/src/test/java/dapplequay/net/BrokenAnswersTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BrokenAnswersTest.java
@@ -30,13 +30,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A sidecar before hosts whose answers break: a reset is no end, and what may have run is repeated by the rules. */
+/** Hosts whose answers break off: a reset is not the end of an answer, and a repeat follows the rules of its class. */
 @Timeout(60)
 class BrokenAnswersTest extends ClosesWhatItOpened {
     private static final AtomicInteger CALLS = new AtomicInteger();
 
 
-    /** A sidecar of the example's settings, with hosts of one cell at these ports. */
+    /** Starts a sidecar with the example's settings, these changes to them, and hosts of one cell at these ports. */
     private Sidecar sidecar(Map<String, Integer> changes, int... ports) throws IOException {
         List<String> targets = new ArrayList<>();
         for (int port : ports) {
@@ -73,14 +73,15 @@
         socket.close();
     }
 
-    /** Short, and only the end of the connection would end it: it can still be asked for elsewhere. */
+    /** The sidecar still holds the short answer when the reset comes, so it may repeat the request elsewhere. */
     @ParameterizedTest
     @ValueSource(strings = {"", "half", "Content-Length: 9\r\n"})
-    void aShortAnswerThatIsResetIsAskedForAnew(String text) throws Exception {
+    void requestIsRepeatedAfterAResetWithinAShortAnswer(String text) throws Exception {
         AtomicInteger calls = new AtomicInteger();
         Host.Script script = (head, request) -> {
             if (calls.getAndIncrement() == 0) {
-                write(request.socket(), "HTTP/1.1 200 OK\r\n" + (text.contains(":") ? text + "\r\nhalf" : "\r\n" + text));
+                write(request.socket(), "HTTP/1.1 200 OK\r\n"
+                        + (text.contains(":") ? text + "\r\nhalf" : "\r\n" + text));
                 reset(request.socket());
                 return null;
             }
@@ -95,10 +96,10 @@
         assertThat(calls.get()).isEqualTo(2);
     }
 
-    /** It has been passed on for a while, over a read that timed out; the host resets it once the client has that. */
+    /** The host resets the connection after the client has received the head, over a read that timed out meanwhile. */
     @ParameterizedTest
     @CsvSource({"1.1,half", "1.1,''", "1.0,half"})
-    void anAnswerThatIsResetAfterAPauseIsNotWhole(String version, String text) throws Exception {
+    void answerThatIsResetAfterAPauseIsNotTakenAsComplete(String version, String text) throws Exception {
         CountDownLatch passedOn = new CountDownLatch(1);
         Host host = open(new Host((head, request) -> {
             write(request.socket(), "HTTP/1.1 200 OK\r\n\r\n" + text);
@@ -113,12 +114,12 @@
         passedOn.countDown();
         assertThatThrownBy(() -> client.reader.readResponseBody(head))
                 .isInstanceOf(version.equals("1.0") ? SocketException.class : IOException.class);
-        assertThat(host.received).as("what has begun is not asked for anew").hasSize(1);
+        assertThat(host.received).as("no repeat once an answer has begun").hasSize(1);
     }
 
-    /** The same where the connection ends in order: that is the whole answer. */
+    /** A connection that is closed in order after a pause ends a complete answer. */
     @Test
-    void anAnswerThatEndsAfterAPauseIsWhole() throws Exception {
+    void answerThatEndsInOrderAfterAPauseIsComplete() throws Exception {
         CountDownLatch passedOn = new CountDownLatch(1);
         Host host = open(new Host((head, request) -> {
             write(request.socket(), "HTTP/1.1 200 OK\r\n\r\nhalf");
@@ -135,11 +136,11 @@
     }
 
     /**
-     * A keyed request that may have run at one host; its repeat's connect takes until after the window. The system
-     * drops what goes beyond a listener's backlog, and tries again a second later.
+     * A request with an idempotency key may have run at one host, and the connect of its repeat lasts until after the
+     * window. The kernel drops a connect beyond the listener's backlog and tries it again a second later.
      */
     @Test
-    void aRepeatWhoseConnectOutlastsTheWindowIsNotWritten() throws Exception {
+    void repeatWhoseConnectOutlastsTheWindowIsNotWritten() throws Exception {
         ServerSocket[] hosts = {open(new ServerSocket(0, 1, InetAddress.getLoopbackAddress())),
             open(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()))};
         List<Socket> fillers = new CopyOnWriteArrayList<>();
@@ -160,7 +161,7 @@
                     requests.incrementAndGet();
                     fillers.add(new Socket());
                     fillers.get(0).connect(other.getLocalSocketAddress());
-                    bothAccept.await();             // the other takes no more from here on, and its backlog stays full
+                    bothAccept.await();             // the other host accepts no more; its backlog stays full
                     WriteGuardTest.fillBacklog(other, fillers);
                     reset(first);
                     broken.countDown();
--- a/sidecar/src/test/java/dapplequay/net/ClientDepartureTest.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientDepartureTest.java
@@ -28,10 +28,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A client that has gone, at moments where nobody reads its connection or something lies before its end. */
+/** Clients that disconnect while no thread reads their connection, or with unread bytes before the end of stream. */
 @Timeout(90)
 class ClientDepartureTest extends ClosesWhatItOpened {
-    /** Far less than the requests' own time, after which their attempts would end anyhow. */
+    /** Far less than the requests' budget, after which their attempts would end anyway. */
     private static final int DEPARTURE_TIMEOUT_S = 6;
 
 
@@ -39,7 +39,7 @@
         return open(new ClientRig(hooks, 100, ports));
     }
 
-    /** Holds requests with this key until their attempt is given up, and answers the others. */
+    /** Opens a host that holds requests with this key until their attempt is given up, and answers the others. */
     private Host hostHolding(String key) throws IOException {
         return open(new Host((head, request) -> {
             if (key.equals(head.get("Idempotency-Key"))) {
@@ -59,8 +59,8 @@
         return host.next().head().get("Idempotency-Key");
     }
 
-    private static String trailingBytes(String what) {
-        return switch (what) {
+    private static String trailingBytes(String kind) {
+        return switch (kind) {
             case "request" -> ClientRig.pay("behind");
             case "half" -> ClientRig.pay("behind").substring(0, 50);
             case "line" -> "\r\n";
@@ -69,18 +69,18 @@
         };
     }
 
-    /** Its thread read no further than the next request's first byte while one was out, and so never came to the end. */
+    /** While a request was out, the thread read no further than the next request's first byte: it missed the end. */
     @ParameterizedTest
     @CsvSource({"request,false", "request,true", "half,false", "half,true", "line,false", "much,false", "much,true",
         "nothing,false", "nothing,true"})
-    void departureBehindBytesIsNoticedAndNothingBehindItIsServed(String what, boolean withReset) throws Exception {
+    void departureIsNoticedBehindUnreadBytesAndTheseAreNotServed(String trailing, boolean withReset) throws Exception {
         Host host = hostHolding("held");
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
-        client.send(ClientRig.pay("held") + trailingBytes(what));
+        client.send(ClientRig.pay("held") + trailingBytes(trailing));
         assertThat(key(host)).isEqualTo("held");
         disconnect(client, withReset);
-        assertThat(host.closed.poll(DEPARTURE_TIMEOUT_S, TimeUnit.SECONDS)).as("given up").isTrue();
+        assertThat(host.closed.poll(DEPARTURE_TIMEOUT_S, TimeUnit.SECONDS)).as("the attempt is given up").isTrue();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
         Host.Client other = rig.client();
         other.send(ClientRig.pay("other"));
@@ -89,9 +89,9 @@
         assertThat(host.received).isEmpty();
     }
 
-    /** Each was answered sooner than a client that waits behind bytes is looked for, and the next one followed. */
+    /** Each answer came before the check for departed clients, and so the next pipelined request followed. */
     @Test
-    void requestsInARowAreNotServedToTheLastOneForAClientThatHasGone() throws Exception {
+    void pipelinedRequestsOfADepartedClientAreNotAllServed() throws Exception {
         int pipelined = 40;
         Host host = open(new Host((head, request) -> {
             Thread.sleep(15);
@@ -110,23 +110,23 @@
         assertThat(host.received).as("of " + pipelined).hasSizeLessThan(pipelined / 2);
     }
 
-    /** The page tells a close from nothing else; for an attempt, ending its sending is giving it up. */
+    /** A client that shuts down its output counts as departed, and its attempt is given up. */
     @Test
-    void clientThatEndsItsSendingHasGoneThoughItStillReads() throws Exception {
+    void clientThatShutsDownItsOutputHasDepartedThoughItStillReads() throws Exception {
         Host host = hostHolding("held");
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
         client.send(ClientRig.pay("held"));
         host.next();
         client.socket.shutdownOutput();
-        assertThat(host.closed.poll(DEPARTURE_TIMEOUT_S, TimeUnit.SECONDS)).as("given up").isTrue();
+        assertThat(host.closed.poll(DEPARTURE_TIMEOUT_S, TimeUnit.SECONDS)).as("the attempt is given up").isTrue();
         assertThat(client.atEnd()).as("with no answer").isTrue();
     }
 
-    /** A process that came late read a request that had been there, whole and with its end, for as long. */
+    /** A process without processor time read a request late, when the end of its connection had already arrived. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void requestWhoseClientLeftBeforeItWasReadIsNotSentOn(boolean withReset) throws Exception {
+    void requestWhoseClientLeftBeforeItWasReadIsNotForwarded(boolean withReset) throws Exception {
         Host host = open(new Host((head, request) -> Host.ok("done")));
         CountDownLatch left = new CountDownLatch(1);
         AtomicInteger connections = new AtomicInteger();
@@ -146,13 +146,13 @@
         connections.set(1);
         other.send(ClientRig.pay("before"));
         assertThat(other.answer().status()).isEqualTo(200);
-        Thread.sleep(30);           // the host's connection has rested, so that the next is written at once
+        Thread.sleep(30);           // the host's connection has settled, so that the next attempt is written at once
         rig.suspendTicks();
         connections.set(2);
         Host.Client stale = rig.client();
         stale.send(ClientRig.pay("stale"));
         disconnect(stale, withReset);
-        Thread.sleep(60);           // so long the process gets no processor time
+        Thread.sleep(60);           // the time for which the process gets no processor time
         left.countDown();
         rig.accepted();
         assertThat(rig.accepted().isClosedInTime()).isTrue();
@@ -163,10 +163,10 @@
         assertThat(host.received).isEmpty();
     }
 
-    /** The first attempt fails only once its client has gone: the next one is due then, and must not begin. */
+    /** The first attempt fails after its client has left. A second one would be due then, and must not begin. */
     @ParameterizedTest
     @ValueSource(strings = {"nothing", "half", "request"})
-    void attemptThatFailsAfterTheDepartureIsNotFollowedByAnother(String what) throws Exception {
+    void attemptThatFailsAfterTheDepartureIsNotRetried(String trailing) throws Exception {
         Host.Script script = (head, request) -> {
             if ("other".equals(head.get("Idempotency-Key"))) {
                 return Host.ok("done");
@@ -175,7 +175,7 @@
                 request.socket().setSoTimeout(3_000);
                 request.socket().getInputStream().read();
             } catch (SocketTimeoutException e) {
-                // Not given up, though the client has gone: it fails now.
+                // The attempt was not given up though its client has left: it fails now.
             }
             return "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
         };
@@ -183,7 +183,7 @@
         Host second = open(new Host(script));
         ClientRig rig = rig(new ClientRig.Hooks(), first.port(), second.port());
         Host.Client client = rig.client();
-        client.send(ClientRig.pay("held") + trailingBytes(what));
+        client.send(ClientRig.pay("held") + trailingBytes(trailing));
         while (first.received.isEmpty() && second.received.isEmpty()) {
             Thread.sleep(1);
         }
@@ -195,7 +195,7 @@
         assertThat(first.received.size() + second.received.size()).isEqualTo(2);
     }
 
-    /** A host whose queue is full, so that connects wait, until it is opened; what it gets then, key by key. */
+    /** A host whose backlog is full, so that connects wait until it accepts; records the keys of its requests. */
     private static final class BacklogFullHost implements AutoCloseable {
         final BlockingQueue<String> receivedKeys = new LinkedBlockingQueue<>();
         final BlockingQueue<Boolean> ended = new LinkedBlockingQueue<>();
@@ -257,11 +257,11 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"nothing", "half", "request"})
-    void nothingIsWrittenWhereTheClientLeftDuringTheConnect(String what) throws Exception {
+    void nothingIsWrittenIfTheClientLeavesDuringTheConnect(String trailing) throws Exception {
         BacklogFullHost host = open(new BacklogFullHost());
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
-        client.send(ClientRig.pay("held") + trailingBytes(what));
+        client.send(ClientRig.pay("held") + trailingBytes(trailing));
         ClientRig.Accepted accepted = rig.accepted();
         while (accepted.bytesRead.get() == 0) {
             Thread.sleep(1);
@@ -276,8 +276,8 @@
     }
 
     /**
-     * Its connections take in little of what is written to them. It answers each request but one that is to get stuck: of
-     * that it reads the head alone, until it breaks off.
+     * A host with small socket buffers. It answers each request but those with the key "held": of these it reads the
+     * head alone, and resets the connection when told to.
      */
     private static final class StalledHost implements AutoCloseable {
         private static final int BUFFER_BYTES = 4_096;
@@ -298,7 +298,7 @@
             });
         }
 
-        /** One that holds little of what is written to it. */
+        /** Returns a socket with a small send buffer. */
         static Socket smallBufferSocket() {
             Socket socket = new Socket();
             try {
@@ -333,23 +333,23 @@
     }
 
     /**
-     * Nobody reads the client's connection while its thread stands in the write. That ends with the host's connection,
-     * and the next attempt is due before the thread has read again.
+     * No thread reads the client's connection while the client's thread is blocked in the write. The host's reset ends
+     * the write, and a second attempt is due before the thread reads again.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void attemptThatBreaksWithinItsWriteIsNotFollowedByAnother(boolean withReset) throws Exception {
+    void attemptThatIsResetDuringItsWriteIsNotRetriedForADepartedClient(boolean withReset) throws Exception {
         BlockingQueue<String> receivedKeys = new LinkedBlockingQueue<>();
         CountDownLatch reset = new CountDownLatch(1);
         StalledHost first = open(new StalledHost(receivedKeys, reset));
         StalledHost second = open(new StalledHost(receivedKeys, reset));
         ClientRig rig = open(new ClientRig(new ClientRig.Hooks() {
-            /** The thread reads again only once a second attempt has come, or none comes for long. */
+            /** Lets the thread read again only after another attempt, or after 1 s without one. */
             @Override
             void beforeRead() throws IOException {
                 long untilNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(1);
-                while (reset.getCount() == 0 && !receivedKeys.contains("other") && Collections.frequency(receivedKeys, "held") < 2
-                        && System.nanoTime() < untilNs) {
+                while (reset.getCount() == 0 && !receivedKeys.contains("other")
+                        && Collections.frequency(receivedKeys, "held") < 2 && System.nanoTime() < untilNs) {
                     Thread.onSpinWait();
                 }
             }
@@ -357,7 +357,7 @@
         Host.Client client = rig.client();
         client.send(ClientRig.pay("before"));
         assertThat(client.answer().status()).isEqualTo(200);
-        rig.stopClock(30_000);          // the connection has rested, so that it is used again
+        rig.stopClock(30_000);          // the connection has settled, so that it is reused
         client.send(ClientRig.pay("held", 15_000, 60_000));
         while (!receivedKeys.contains("held")) {
             Thread.onSpinWait();
@@ -372,9 +372,9 @@
         assertThat(receivedKeys).containsExactly("before", "held", "other");
     }
 
-    /** The same where the connect ends long after it has left: not even the head goes out. */
+    /** The connect ends long after the client has left: not even the head is written. */
     @Test
-    void longRequestIsNotBegunForAClientThatLeftDuringItsConnect() throws Exception {
+    void longRequestIsNotBegunIfItsClientLeavesDuringTheConnect() throws Exception {
         BacklogFullHost host = open(new BacklogFullHost());
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
@@ -396,9 +396,9 @@
         assertThat(host.receivedKeys).containsExactly("other");
     }
 
-    /** The client's own thread is in the connect then, and all of the body lies in the socket when it comes back. */
+    /** The client's thread is in the connect, and the rest of the body is in the socket buffer when that returns. */
     @Test
-    void longRequestIsNotMadeWholeForAClientThatHasGone() throws Exception {
+    void longRequestIsNotCompletedForADepartedClient() throws Exception {
         BacklogFullHost host = open(new BacklogFullHost());
         ClientRig rig = rig(new ClientRig.Hooks(), host.port());
         Host.Client client = rig.client();
@@ -406,7 +406,7 @@
         int held = 80_000;
         client.send(request.substring(0, held));
         ClientRig.Accepted accepted = rig.accepted();
-        while (accepted.bytesRead.get() < 10_000) {      // more than is held of it
+        while (accepted.bytesRead.get() < 10_000) {      // more than the sidecar holds of the body
             Thread.sleep(1);
         }
         client.send(request.substring(held));
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -31,15 +31,15 @@
 import java.util.function.Supplier;
 
 /**
- * The clients' side on real sockets before scripted hosts, with a clock that a test may stop, a timekeeper that it may
- * keep from telling of its turns, and a hook where a client's connection is read and where it is ended.
+ * The {@link ClientListener} on real sockets, with scripted hosts as upstreams. A test may stop the clock, keep the
+ * timekeeper from ticking the listener, and hook the reads, writes and closes of client connections.
  */
 final class ClientRig implements AutoCloseable {
     private static final AtomicInteger CALLS = new AtomicInteger();
-    /** What the system may hold of what a client sends, bytes, on its side and on the sidecar's. */
+    /** Size of the socket buffers for what a client sends: the client's send and the sidecar's receive buffer. */
     private static final int SOCKET_BUFFER_BYTES = 64 * 1024;
 
-    /** What happens at an accepted connection, on the thread that is about to go on. */
+    /** Called on the thread that reads, writes or closes an accepted connection. */
     static class Hooks {
         void beforeRead() throws IOException { }
 
@@ -47,10 +47,10 @@
 
         void beforeClose() throws IOException { }
 
-        void beforeWrite(Accepted to) throws IOException { }
+        void beforeWrite(Accepted connection) throws IOException { }
     }
 
-    /** An accepted connection, in the order in which they came. */
+    /** A client connection that the sidecar has accepted. */
     static final class Accepted extends Socket {
         final CountDownLatch closed = new CountDownLatch(1);
         final AtomicInteger bytesRead = new AtomicInteger();
@@ -86,7 +86,7 @@
             };
         }
 
-        private void closing() throws IOException {
+        private void beginClose() throws IOException {
             synchronized (hooks) {
                 if (closing) {
                     return;
@@ -98,24 +98,25 @@
 
         @Override
         public void shutdownOutput() throws IOException {
-            closing();
+            beginClose();
             super.shutdownOutput();
         }
 
         @Override
         public void close() throws IOException {
-            closing();
+            beginClose();
             super.close();
             closed.countDown();
         }
 
         boolean isClosedInTime() throws InterruptedException {
-            return closed.await(Host.PATIENCE_S, TimeUnit.SECONDS);
+            return closed.await(Host.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
-    /** The process's own door, with hooks. */
-    private static ListeningSocket openListeningSocket(Hooks hooks, BlockingQueue<Accepted> accepted) throws IOException {
+    /** Opens the listening socket of a sidecar, with hooks on its connections. */
+    private static ListeningSocket openListeningSocket(Hooks hooks, BlockingQueue<Accepted> accepted)
+            throws IOException {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress()) {
             @Override
             public Socket accept() throws IOException {
@@ -129,6 +130,7 @@
         return new ListeningSocket.Owned(listener);
     }
 
+    /** The accepted connections, in the order of their arrival. */
     final BlockingQueue<Accepted> accepted = new LinkedBlockingQueue<>();
     final SidecarLifecycle lifecycle;
     private final List<AutoCloseable> toClose = new ArrayList<>();
@@ -139,18 +141,20 @@
     private volatile boolean ticksEnabled = true;
     private volatile boolean closed;
 
-    /** {@code maxConnections}: client connections at the bound; {@code ports}: the hosts. */
+    /** @param maxConnections limit of client connections
+     * @param ports the ports of the hosts */
     ClientRig(Hooks hooks, int maxConnections, int... ports) throws IOException {
         this(hooks, maxConnections, Socket::new, ports);
     }
 
-    /** {@code sockets}: for the connections to hosts. */
+    /** @param sockets creates the sockets for connections to hosts */
     ClientRig(Hooks hooks, int maxConnections, Supplier<Socket> sockets, int... ports) throws IOException {
         this(hooks, maxConnections, 1_000, sockets, ports);
     }
 
-    /** {@code crowd}: of so many clients. */
-    ClientRig(Hooks hooks, int maxConnections, int crowdThreshold, Supplier<Socket> sockets, int... ports) throws IOException {
+    /** @param crowdThreshold number of clients from which the listener counts them as a crowd */
+    ClientRig(Hooks hooks, int maxConnections, int crowdThreshold, Supplier<Socket> sockets, int... ports)
+            throws IOException {
         deadlines = new DeadlineQueue(() -> stoppedUs >= 0 ? stoppedUs : clock.getAsLong());
         String text = Files.readString(Path.of("example/config.json"))
                 .replaceAll("\"connect_timeout_us\": \\d+", "\"connect_timeout_us\": 8000000")
@@ -165,13 +169,13 @@
         RequestCounts counts = new RequestCounts();
         counts.addClasses(setup.classes().keySet());
         lifecycle = new SidecarLifecycle(deadlines::now);
-        UpstreamPool upstreams = new UpstreamPool(endpoints, deadlines, () -> setup, 100, counts, new DiscoveryMetrics(),
-                sockets);
+        UpstreamPool upstreams = new UpstreamPool(endpoints, deadlines, () -> setup, 100, counts,
+                new DiscoveryMetrics(), sockets);
         RequestDispatcher dispatcher = new RequestDispatcher(facade, upstreams);
         upstreams.setDispatcher(dispatcher);
         ListeningSocket listeningSocket = openListeningSocket(hooks, accepted);
-        clientListener = new ClientListener(listeningSocket, () -> setup, facade, dispatcher, deadlines, counts, lifecycle,
-                new LongBodyThrottle(1),
+        clientListener = new ClientListener(listeningSocket, () -> setup, facade, dispatcher, deadlines, counts,
+                lifecycle, new LongBodyThrottle(1),
                 maxConnections, crowdThreshold, 10, new ThreadReserve(deadlines::now));
         Host.daemon(clientListener::run);
         lifecycle.listening();
@@ -197,22 +201,22 @@
         return "{\"rev\":1,\"all\":true,\"targets\":[" + targets + "]}";
     }
 
-    /** The timekeeper's turn, by the caller. */
+    /** Does the timekeeper's tick on the calling thread. */
     void tick() {
         clientListener.tick();
     }
 
-    /** From now on the timekeeper is not heard of, as in a process that does not get the processor. */
+    /** Stops the timekeeper's ticks, as in a process that gets no processor time. */
     void suspendTicks() {
         ticksEnabled = false;
     }
 
-    /** The clock stands still, this much after the moment at which it stood or stands. */
+    /** Stops the clock at its present time plus this offset; a clock that is stopped moves by the offset. */
     void stopClock(long offsetUs) {
         stoppedUs = (stoppedUs >= 0 ? stoppedUs : clock.getAsLong()) + offsetUs;
     }
 
-    /** The last moment of an ending has come: what is held fails, and has so long to reach its clients, us. */
+    /** Ends the shutdown's waiting: requests in progress fail, and the failures have this long to reach clients, us. */
     void failHeldRequests(long marginUs) throws InterruptedException {
         clientListener.awaitEmpty(0, 0, deadlines.now() + marginUs);
     }
@@ -224,8 +228,9 @@
         return client;
     }
 
+    /** Returns the next accepted connection, and fails if none comes in time. */
     Accepted accepted() throws InterruptedException {
-        Accepted next = accepted.poll(Host.PATIENCE_S, TimeUnit.SECONDS);
+        Accepted next = accepted.poll(Host.TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("no connection was accepted");
         }
--- a/sidecar/src/test/java/dapplequay/net/DrippingHeadsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DrippingHeadsTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients whose heads drip in byte by byte, many at once, beside such that send whole requests. */
+/** Many clients that send their request head byte by byte, beside clients that send whole requests. */
 @Timeout(90)
 class DrippingHeadsTest {
     private static final int MAX_CONNECTIONS = 20;
     private static final int WHOLE_REQUESTS = 30;
     private static final long DRIP_INTERVAL_MS = 40;
     private static final long HEAD_TIMEOUT_MS = 2_000;
-    /** A head has 2.3 s, a client 1 s for its own close: twice that, and for those at the door until they are in. */
+    /** Twice the 2.3 s for a head and 1 s for the client's close, and time until queued clients are accepted. */
     private static final long END_TIMEOUT_S = 10;
 
     private static CompletableFuture<String> dripHead(Host.Client dripping) {
@@ -28,7 +28,7 @@
             try {
                 end.complete("" + dripping.answer().status());
             } catch (SocketTimeoutException e) {
-                end.complete("left alone");
+                end.complete("not ended");
             } catch (IOException e) {
                 end.complete("closed");
             }
@@ -43,17 +43,17 @@
         return end;
     }
 
-    /** Half of what may be connected, and three times as much. */
+    /** Half as many dripping clients as may be connected, and three times as many as may be. */
     @ParameterizedTest
     @ValueSource(ints = {MAX_CONNECTIONS / 2, 3 * MAX_CONNECTIONS})
-    void clientsWithWholeRequestsAreServedAndTheOthersEnd(int dripping) throws Exception {
+    void wholeRequestsAreServedAndDrippingClientsAreDisconnected(int drippingClients) throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"));
                 ClientRig rig = new ClientRig(new ClientRig.Hooks(), MAX_CONNECTIONS, host.port())) {
             Host.Client known = rig.client();
             known.send(ClientRig.pay("known"));
             assertThat(known.answer().status()).isEqualTo(200);
             List<CompletableFuture<String>> ends = new ArrayList<>();
-            for (int i = 0; i < dripping; i++) {
+            for (int i = 0; i < drippingClients; i++) {
                 ends.add(dripHead(rig.client()));
             }
             long slowestMs = 0;
@@ -67,7 +67,7 @@
                 known.send(ClientRig.pay("known"));
                 assertThat(known.answer().status()).isEqualTo(200);
             }
-            assertThat(slowestMs).as("nobody waits for a head to be too late").isLessThan(HEAD_TIMEOUT_MS);
+            assertThat(slowestMs).as("no client waits until a dripping head times out").isLessThan(HEAD_TIMEOUT_MS);
             for (CompletableFuture<String> end : ends) {
                 assertThat(end.get(END_TIMEOUT_S, TimeUnit.SECONDS)).isIn("408", "closed");
             }
--- a/sidecar/src/test/java/dapplequay/net/Host.java
+++ b/sidecar/src/test/java/dapplequay/net/Host.java
@@ -12,19 +12,21 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** The far end of a test: a scripted server, and a client's connection, both on real sockets. */
+/** A scripted HTTP server on a real socket; {@link Client} is the connection of a client. */
 public final class Host implements AutoCloseable {
-    static final int PATIENCE_S = 20;
+    /** Limit of a test's wait for something that is expected to come. */
+    static final int TIMEOUT_S = 20;
 
-    /** What a host does with a request; null: close the connection with no answer. */
+    /** Returns the response to a request, or null to close the connection without a response. */
     interface Script {
         String answer(Head head, ReceivedRequest request) throws Exception;
     }
 
-    /** One request as it came. */
+    /** A request as the host received it, and the connection on which it came. */
     record ReceivedRequest(Head head, String body, Socket socket) { }
 
     final BlockingQueue<ReceivedRequest> received = new LinkedBlockingQueue<>();
+    /** Has an element for each accepted connection that has ended. */
     final BlockingQueue<Boolean> closed = new LinkedBlockingQueue<>();
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final Script script;
@@ -48,7 +50,7 @@
             try {
                 work.run();
             } catch (Exception e) {
-                // The other end or the test has closed it.
+                // The peer or the test has closed the socket.
             }
         });
         thread.setDaemon(true);
@@ -60,8 +62,8 @@
             MessageReader reader = new MessageReader(socket.getInputStream());
             while (reader.awaitData()) {
                 Head head = reader.readRequestHead();
-                ReceivedRequest request = new ReceivedRequest(head, new String(reader.readRequestBody(head), StandardCharsets.ISO_8859_1),
-                        socket);
+                ReceivedRequest request = new ReceivedRequest(head,
+                        new String(reader.readRequestBody(head), StandardCharsets.ISO_8859_1), socket);
                 received.add(request);
                 String answer = script.answer(head, request);
                 if (answer == null) {
@@ -78,10 +80,11 @@
         return listener.getLocalPort();
     }
 
+    /** Returns the next request received, and fails if none comes in time. */
     ReceivedRequest next() throws InterruptedException {
-        ReceivedRequest next = received.poll(PATIENCE_S, TimeUnit.SECONDS);
+        ReceivedRequest next = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request was received in time");
         }
         return next;
     }
@@ -95,14 +98,14 @@
         listener.close();
     }
 
-    /** A client's connection. */
+    /** A client's connection to the sidecar. */
     static final class Client implements AutoCloseable {
         final Socket socket = new Socket();
         final MessageReader reader;
 
         Client(InetSocketAddress sidecar) throws IOException {
             socket.connect(sidecar);
-            socket.setSoTimeout(PATIENCE_S * 1000);
+            socket.setSoTimeout(TIMEOUT_S * 1000);
             reader = new MessageReader(socket.getInputStream());
         }
 
@@ -110,13 +113,14 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** Status, and the head for what else a test asks. */
+        /** Reads the next response whole. */
         Answer answer() throws IOException {
             Head head = reader.readResponseHead();
             String body = new String(reader.readResponseBody(head), StandardCharsets.ISO_8859_1);
             return new Answer(Integer.parseInt(head.startLine[1]), head, body);
         }
 
+        /** True if the connection ends, false if another byte comes first. */
         boolean atEnd() throws IOException {
             return !reader.awaitData();
         }
--- a/sidecar/src/test/java/dapplequay/net/LastFailuresTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LastFailuresTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is held when an ending's time is over fails, and each client is told. */
+/** When the time for a shutdown is over, requests in progress fail, and each client gets an answer. */
 @Timeout(60)
 class LastFailuresTest {
     private static final long MARGIN_US = 30_000_000;
@@ -17,16 +17,16 @@
     private final CountDownLatch writeBlocked = new CountDownLatch(1);
     private volatile ClientRig.Accepted stuckClient;
 
-    /** The failures were written one after the other, by the ending's thread. */
+    /** One thread wrote all failures in turn, so that a client that did not read held up the answers to all others. */
     @Test
-    void clientsBehindOneWhoseWindowIsFullAreToldWhileItIsStuck() throws Exception {
+    void clientThatDoesNotReadDoesNotHoldUpFailuresToOtherClients() throws Exception {
         ClientRig.Hooks hooks = new ClientRig.Hooks() {
             @Override
-            void beforeWrite(ClientRig.Accepted to) throws IOException {
+            void beforeWrite(ClientRig.Accepted connection) throws IOException {
                 try {
-                    if (to == stuckClient) {
+                    if (connection == stuckClient) {
                         writeBlocked.countDown();
-                        to.closed.await();
+                        connection.closed.await();
                     }
                 } catch (InterruptedException e) {
                     throw new IOException(e);
@@ -43,13 +43,13 @@
                 clients.get(i).send(ClientRig.pay("held"));
                 host.next();
             }
-            stuckClient = rig.accepted();              // the first: all others were told behind it
+            stuckClient = rig.accepted();              // the first: its failure was written before all others
             Host.daemon(() -> rig.failHeldRequests(MARGIN_US));
             writeBlocked.await();
             for (Host.Client other : clients.subList(1, clients.size())) {
                 assertThat(other.answer().status()).isEqualTo(504);
             }
-            assertThat(stuckClient.closed.getCount()).as("still stuck").isEqualTo(1);
+            assertThat(stuckClient.closed.getCount()).as("the write to the first client still blocks").isEqualTo(1);
             stuckClient.close();
         }
     }
--- a/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/LongBodiesTest.java
@@ -36,14 +36,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that pass through, on real sockets: what arrives, what a break shows, and who waits for whom. */
+/** Long bodies that are streamed through the sidecar: their content, broken transfers, and slow peers. */
 @Timeout(90)
 class LongBodiesTest {
     private static final int LONG_BODY_BYTES = 32 << 20;
     private static final int TIMEOUT_MS = 30_000;
     private static final AtomicInteger CALLS = new AtomicInteger();
 
-    /** What a host does with a connection's next request, whose head has been read. */
+    /** Serves a connection's next request, whose head has been read. */
     private interface Script {
         void serve(Head head, MessageReader reader, Socket socket) throws Exception;
     }
@@ -113,7 +113,7 @@
                 + "\r\nX-Caller: shop-a\r\nX-Budget-Ms: 15000\r\nIdempotency-Key: k\r\n" + framing + "\r\n\r\n";
     }
 
-    /** What a client of this version reads that has asked for something of the host at this port, without a body. */
+    /** Sends a request without a body in this HTTP version to the host at this port; returns the client's reader. */
     private MessageReader sendRequest(int port, String version) throws Exception {
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 0").replace("HTTP/1.1", "HTTP/" + version));
@@ -128,7 +128,7 @@
         return piece;
     }
 
-    /** Writes a body of so many bytes in odd pieces, chunked or not; its checksum. */
+    /** Writes a body of this length in pieces of uneven sizes, chunked or not, and returns its checksum. */
     private static long write(OutputStream out, int length, boolean chunked) throws IOException {
         CRC32 sum = new CRC32();
         for (int at = 0, n = 0; at < length; n++) {
@@ -143,6 +143,7 @@
         return sum.getValue();
     }
 
+    /** Reads a body to its end, with a pause after each of the first 20 pieces, and returns its checksum. */
     private static long checksum(Body body, int pauseMs) throws Exception {
         CRC32 sum = new CRC32();
         byte[] piece = new byte[50_000];
@@ -162,11 +163,12 @@
 
     @ParameterizedTest
     @CsvSource({"false,33554432", "true,8388608", "false,65537", "true,65537", "true,65536", "false,65536"})
-    void requestsPassThrough(boolean chunked, int length) throws Exception {
-        int port = host((head, reader, socket) -> respondOk(socket, Long.toString(checksum(reader.requestBody(head), 0))));
+    void requestBodiesArriveUnchanged(boolean chunked, int length) throws Exception {
+        int port = host((head, reader, socket) -> respondOk(socket,
+                Long.toString(checksum(reader.requestBody(head), 0))));
         Socket client = client(sidecar(port));
         MessageReader in = new MessageReader(client.getInputStream());
-        for (int i = 0; i < 2; i++) {           // and the connection is good for another
+        for (int i = 0; i < 2; i++) {           // the connection stays usable for a second request
             send(client, head(chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + length));
             long sum = write(client.getOutputStream(), length, chunked);
             Head answer = in.readResponseHead();
@@ -179,7 +181,7 @@
     @ParameterizedTest
     @CsvSource({"length,1.1,33554432", "chunked,1.1,8388608", "end,1.1,33554432", "length,1.0,200000",
         "chunked,1.0,8388608", "end,1.0,200000", "chunked,1.1,50", "end,1.1,50", "chunked,1.0,50"})
-    void answersPassThrough(String framing, String version, int length) throws Exception {
+    void answerBodiesArriveUnchanged(String framing, String version, int length) throws Exception {
         AtomicLong sum = new AtomicLong();
         int port = host((head, reader, socket) -> {
             checksum(reader.requestBody(head), 0);
@@ -196,14 +198,14 @@
         assertThat(answer.startLine[1]).isEqualTo("200");
         assertThat(answer.get("X-Kept")).isEqualTo("yes");
         if (version.equals("1.0")) {
-            assertThat(answer.get("Transfer-Encoding")).as("not known to HTTP/1.0").isNull();
+            assertThat(answer.get("Transfer-Encoding")).as("HTTP/1.0 has no transfer encoding").isNull();
         }
         long got = checksum(in.responseBody(answer), 0);
         assertThat(got).isEqualTo(sum.get());
     }
 
     @Test
-    void manyLongBodiesWithSlowPeersLeaveSmallRequestsInTime() throws Exception {
+    void smallRequestsAreServedBesideManyLongBodiesWithSlowPeers() throws Exception {
         int port = host((head, reader, socket) -> {
             long sum = checksum(reader.requestBody(head), head.get("Slow") == null ? 0 : 20);
             if (head.get("Down") == null) {
@@ -221,12 +223,13 @@
             Socket client = client(sidecar);
             Thread thread = new Thread(() -> {
                 try {
-                    send(client, head("Slow: 1\r\n" + (up ? "" : "Down: 1\r\n") + "Content-Length: " + (up ? LONG_BODY_BYTES : 0)));
+                    send(client, head("Slow: 1\r\n" + (up ? "" : "Down: 1\r\n")
+                            + "Content-Length: " + (up ? LONG_BODY_BYTES : 0)));
                     long sent = up ? write(client.getOutputStream(), LONG_BODY_BYTES, false) : 0;
                     MessageReader in = new MessageReader(client.getInputStream(), MessageReader.MAX_BODY_BYTES);
                     Head answer = in.readResponseHead();
                     if (answer.startLine[1].equals("503")) {
-                        completed.incrementAndGet();        // turned away by the decisions, which is an answer too
+                        completed.incrementAndGet();        // refused by the balancer, which is an answer, too
                     } else if (up) {
                         String body = new String(in.readResponseBody(answer), StandardCharsets.ISO_8859_1);
                         completed.addAndGet(body.equals("" + sent) ? 1 : 0);
@@ -256,7 +259,7 @@
     }
 
     @Test
-    void whatIsHeldGoesToAnotherHostWhereTheFirstIsGone() throws Exception {
+    void longRequestGoesToAnotherHostIfTheFirstRefusesTheConnection() throws Exception {
         ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         gone.close();
         int port = host((head, reader, socket) -> respondOk(socket, "" + checksum(reader.requestBody(head), 0)));
@@ -271,10 +274,10 @@
         }
     }
 
-    /** The host ends its connection after so many bytes; from the last one on the request may have run. */
+    /** The host closes its connection after this many bytes; once it has read all of them, the request may have run. */
     @ParameterizedTest
     @CsvSource({"200000,503", "1000000,502"})
-    void aHostThatBreaksWithinARequestIsToldApartFromOneThatHadIt(int bytesRead, int status) throws Exception {
+    void hostThatClosesWithinARequestIsToldApartFromOneThatReadAll(int bytesRead, int status) throws Exception {
         AtomicInteger requests = new AtomicInteger();
         int port = host((head, reader, socket) -> {
             requests.incrementAndGet();
@@ -296,12 +299,12 @@
         Head answer = in.readResponseHead();
         assertThat(answer.startLine[1]).isEqualTo("" + status);
         assertThat(answer.get("Retry-After") != null).isEqualTo(status == 503);
-        assertThat(requests.get()).as("never sent again").isEqualTo(1);
+        assertThat(requests.get()).as("the request is not repeated").isEqualTo(1);
     }
 
     @ParameterizedTest
     @CsvSource({"length,1.1", "chunked,1.1", "chunked,1.0"})
-    void aBreakWithinAnAnswerShows(String framing, String version) throws Exception {
+    void clientNoticesAnAnswerThatBreaksOff(String framing, String version) throws Exception {
         int port = host((head, reader, socket) -> {
             reader.requestBody(head);
             send(socket, "HTTP/1.1 200 OK\r\n" + (framing.equals("length") ? "Content-Length: 500000"
@@ -319,7 +322,7 @@
     }
 
     @Test
-    void aClientThatStopsIsToldSoAndItsHostLetGo() throws Exception {
+    void clientThatStopsSendingGets408AndItsHostConnectionIsClosed() throws Exception {
         int port = host((head, reader, socket) -> checksum(reader.requestBody(head), 0));
         Socket client = client(sidecar(port));
         send(client, head("Content-Length: 1000000"));
@@ -331,7 +334,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aClientThatLeavesTakesItsAttemptAlong(boolean whileItSends) throws Exception {
+    void departureOfTheClientEndsTheAttempt(boolean whileItSends) throws Exception {
         CountDownLatch begun = new CountDownLatch(1);
         int port = host((head, reader, socket) -> {
             begun.countDown();
@@ -351,7 +354,7 @@
     }
 
     @Test
-    void anAnswerBeforeTheRequestIsWholeEndsItsConnection() throws Exception {
+    void answerBeforeTheEndOfTheRequestClosesTheClientsConnection() throws Exception {
         int port = host((head, reader, socket) -> {
             send(socket, "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
             reader.requestBody(head).read(new byte[1000], 0, 1000);
@@ -371,7 +374,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"\r\nPOST /pay/x HTTP/1.1", "POST http://service.internal/pay/x HTTP/1.1",
         "POST /pay/x HTTP/1.1\r\nExpect: 100-continue"})
-    void formsOfARequestThatServersHaveToUnderstand(String start) throws Exception {
+    void requestFormsThatServersMustAcceptAreAccepted(String start) throws Exception {
         BlockingQueue<String> targets = new LinkedBlockingQueue<>();
         int port = host((head, reader, socket) -> {
             targets.add(head.startLine[1]);
@@ -391,7 +394,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"Transfer-Encoding: chunked\r\nContent-Length: 5", "Transfer-Encoding: gzip, chunked",
         "Content-Length: 5\r\nContent-Length: 6", "Content-Length: +5", "Transfer-Encoding : chunked"})
-    void whatTwoReadingsCouldTakeDifferentlyIsRefused(String framing) throws Exception {
+    void ambiguousFramingIsRefused(String framing) throws Exception {
         int port = host((head, reader, socket) -> ends.add("came"));
         Socket client = client(sidecar(port));
         send(client, head(framing) + "0\r\n\r\n");
--- a/sidecar/src/test/java/dapplequay/net/RequestInHandTest.java
+++ b/sidecar/src/test/java/dapplequay/net/RequestInHandTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A quiet connection is to be closed in the moment in which its thread has a request from the system. */
+/** An idle connection is to be closed just when its thread has read a request from the socket. */
 @Timeout(60)
 class RequestInHandTest extends ClosesWhatItOpened {
-    /** The request was read and dropped, as its thread had not said yet that it had it: taken, and never answered. */
+    /** The request was read and then dropped without an answer, as its thread had not recorded the read yet. */
     @Test
-    void aRequestThatHasJustBeenReadIsAnsweredThoughItsConnectionIsToBeClosed() throws Exception {
+    void requestThatHasJustBeenReadIsAnsweredThoughItsConnectionIsToBeClosed() throws Exception {
         AtomicBoolean closes = new AtomicBoolean();
         ClientRig[] rig = new ClientRig[1];
         Host host = open(new Host((head, request) -> Host.ok("done")));
@@ -28,11 +28,11 @@
         Host.Client client = rig[0].client();
         client.send(ClientRig.pay("first"));
         assertThat(client.answer().status()).isEqualTo(200);
-        Thread.sleep(50);           // its thread has gone back to its read
+        Thread.sleep(50);           // its thread is back in the read
         closes.set(true);
         client.send(ClientRig.pay("second"));
         assertThat(client.answer().status()).isEqualTo(200);
         assertThat(closes).isFalse();
-        assertThat(client.atEnd()).as("the last one").isTrue();
+        assertThat(client.atEnd()).as("the connection ends after this answer").isTrue();
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A sidecar on real sockets between scripted hosts, a scripted discovery and clients: one test a rule. */
+/** A sidecar on real sockets with scripted hosts, a scripted discovery service and clients. */
 @Timeout(60)
 class SidecarTest extends ClosesWhatItOpened {
     private static final AtomicInteger CALLS = new AtomicInteger();
@@ -58,7 +58,7 @@
         return "{\"rev\":5,\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
-    /** A sidecar that knows servers at these ports, with numbers in their order. */
+    /** Starts a sidecar that knows the servers s0, s1, ... at these ports. */
     private Sidecar sidecar(int... ports) throws IOException {
         String[] targets = new String[ports.length];
         for (int i = 0; i < ports.length; i++) {
@@ -119,7 +119,7 @@
         "X-Caller: shop-a,X-Caller: nobody,403", "/pay,/nothing,400", "POST,GET,400", "POST /pay,GET /quote,400",
         "?y=z,?obj=,400", "?y=z,?obj=1&y=z&obj=1,400",
         "Idempotency-Key: k1,A: b,400", "Content-Length: 1,Content-Length: 70000000,413", "Host: service,Ho st: s,400"})
-    void badRequestsAreAnsweredAndNothingGoesOut(String good, String bad, int status) throws Exception {
+    void badRequestsAreAnsweredAndNotForwarded(String good, String bad, int status) throws Exception {
         Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client client = client(sidecar);
@@ -132,9 +132,9 @@
         assertThat(host.received).isEmpty();
     }
 
-    /** An older list once more, as a confused agent gives it, would bring back a host that was told to be gone. */
+    /** A faulty discovery agent may repeat an older list, which would bring back a host that is draining. */
     @Test
-    void listOlderThanTheOneKnownTakesNothingBack() throws Exception {
+    void listOlderThanTheKnownOneBringsNoHostBack() throws Exception {
         isManaged = true;
         Host draining = host((head, request) -> Host.ok("old"));
         Host serving = host((head, request) -> Host.ok("new"));
@@ -145,7 +145,7 @@
         }
         lists.add(list(true, target(0, draining.port(), "SERVING"), target(1, serving.port(), "SERVING"))
                 .replace("\"rev\":5", "\"rev\":4"));
-        lists.add(list(false, target(2, 1, "DRAINING")));        // its number shows that the one before was heard
+        lists.add(list(false, target(2, 1, "DRAINING")));        // its count shows that the list before was applied
         while (metric(sidecar, "svc_registry_entries") != 3) {
             Thread.sleep(20);
         }
@@ -156,9 +156,9 @@
         }
     }
 
-    /** The module knew the idempotency key, which is another for each order, in place of what the order is about. */
+    /** The balancer got the idempotency key, which differs for each request, in place of the object of the request. */
     @Test
-    void whatARequestIsAboutDecidesWhereItGoes() throws Exception {
+    void requestsForOneObjectGoToOneHost() throws Exception {
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             hosts.add(host((head, request) -> Host.ok("done")));
@@ -166,27 +166,27 @@
         extraSettings = "\"domain\": {\"warm_keys\": true}, ";
         Host.Client client = client(sidecar(hosts.stream().mapToInt(Host::port).toArray()));
         Set<Integer> allReceivingHosts = new HashSet<>();
-        for (int about = 0; about < 12; about++) {
+        for (int object = 0; object < 12; object++) {
             Set<Integer> receivingHosts = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                client.send(pay(3 * about + i, 900, "").replace("y=z", "y=z&obj=o" + about));
+                client.send(pay(3 * object + i, 900, "").replace("y=z", "y=z&obj=o" + object));
                 assertThat(client.answer().status()).isEqualTo(200);
                 for (int h = 0; h < hosts.size(); h++) {
                     Host.ReceivedRequest request = hosts.get(h).received.poll();
                     if (request != null) {
-                        assertThat(request.head().startLine[1]).endsWith("?y=z&obj=o" + about);
+                        assertThat(request.head().startLine[1]).endsWith("?y=z&obj=o" + object);
                         receivingHosts.add(h);
                     }
                 }
             }
-            assertThat(receivingHosts).as("hosts that met " + about).hasSize(1);
+            assertThat(receivingHosts).as("hosts that received object " + object).hasSize(1);
             allReceivingHosts.addAll(receivingHosts);
         }
         assertThat(allReceivingHosts).hasSizeGreaterThan(1);
     }
 
     @Test
-    void connectionsAreUsedAgainAndPipelinedRequestsAnsweredInOrder() throws Exception {
+    void connectionsAreReusedAndPipelinedRequestsAnsweredInOrder() throws Exception {
         Host host = host((head, request) -> Host.ok(head.get("Idempotency-Key")));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, "") + pay(2, 900, "") + pay(3, 900, ""));
@@ -199,11 +199,11 @@
         for (int i = 1; i <= 4; i++) {
             used.add(host.next().socket());
         }
-        assertThat(used).as("it rests a little after each answer, and is waited for").hasSize(1);
+        assertThat(used).as("requests wait for the one connection to settle").hasSize(1);
     }
 
     @Test
-    void clientThatAsksForNothingMoreIsLetGo() throws Exception {
+    void idleClientsAreDisconnected() throws Exception {
         Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client silent = client(sidecar);
@@ -217,7 +217,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"POST /pa", "POST /pay/x HTTP/1.1\r\nA: b\r\n", "POST /pay/x HTTP/1.1\r\n"
         + "Content-Length: 9\r\n\r\nhalf"})
-    void halfARequestIsNotWaitedForForLong(String half) throws Exception {
+    void incompleteRequestTimesOutWith408(String half) throws Exception {
         Host.Client client = client(sidecar());
         client.send(half);
         assertThat(client.answer().status()).isEqualTo(408);
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void endlessBodyIsNotReadToItsEnd() throws Exception {
+    void bodyOfARejectedRequestIsNotReadToItsEnd() throws Exception {
         Host.Client client = client(sidecar());
         client.send("POST /pay/x HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
         byte[] part = new byte[100_000];
@@ -237,26 +237,26 @@
     }
 
     @Test
-    void strangersMakeRoomBeforeIdleClients() throws Exception {
+    void clientsWithoutARequestAreEvictedBeforeIdleOnes() throws Exception {
         sockets = 36;
         Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client known = client(sidecar);
         known.send(pay(1, 900, ""));
         assertThat(known.answer().status()).isEqualTo(200);
-        Host.Client stranger = client(sidecar);
-        stranger.send("POST /pay");
+        Host.Client newClient = client(sidecar);
+        newClient.send("POST /pay");
         Host.Client next = client(sidecar);
         next.send(pay(2, 900, ""));
         known.send(pay(3, 900, ""));
-        assertThat(known.answer().status()).as("still open").isEqualTo(200);
+        assertThat(known.answer().status()).as("the connection is still open").isEqualTo(200);
         assertThat(next.answer().status()).isEqualTo(200);
-        assertThat(stranger.atEnd()).isTrue();
+        assertThat(newClient.atEnd()).isTrue();
     }
 
     @Test
-    void inACrowdAnswersEndTheirConnections() throws Exception {
-        sockets = 40;               // ten make a crowd
+    void answersCloseTheirConnectionsFromTheCrowdThresholdOn() throws Exception {
+        sockets = 40;               // a crowd threshold of ten
         Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Answer answer = null;
@@ -264,9 +264,9 @@
             Host.Client once = client(sidecar);
             once.send(pay(1, 900, ""));
             answer = once.answer();
-            assertThat(answer.head().closesConnection("HTTP/1.1")).as("alone").isFalse();
+            assertThat(answer.head().closesConnection("HTTP/1.1")).as("below the crowd threshold").isFalse();
         }
-        sockets = 8;                // two do
+        sockets = 8;                // a crowd threshold of two
         Sidecar small = sidecar(host.port());
         client(small);
         Host.Client last = client(small);
@@ -274,9 +274,9 @@
         assertThat(last.answer().head().closesConnection("HTTP/1.1")).isTrue();
     }
 
-    /** A young stranger held up each new connection for as long as it takes to come of age. */
+    /** A client without a request can be evicted only after 50 ms, and held up each new connection until then. */
     @Test
-    void oneStrangerDoesNotHoldUpOthersAtTheBound() throws Exception {
+    void newClientWithoutARequestDoesNotHoldUpOthersAtTheConnectionLimit() throws Exception {
         sockets = 50;               // nine client connections
         Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
@@ -285,14 +285,14 @@
             Host.Client once = client(sidecar);
             once.send(pay(1, 900, ""));
             assertThat(once.answer().status()).isEqualTo(200);
-            client(sidecar);        // says nothing
+            client(sidecar);        // sends nothing
         }
-        // Coming of age takes 50 ms for each of two hundred.
+        // Waiting for the eviction would take 50 ms for each of the 200 clients.
         assertThat(System.nanoTime() - started).isLessThan(9_900_000_000L);
     }
 
     @Test
-    void whatAHostFindsFaultWithIsTheClientsFault() throws Exception {
+    void badRequestAnswersDoNotCountAgainstTheHost() throws Exception {
         Host host = host((head, request) -> request.body().equals("bad")
                 ? "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n" : Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
@@ -301,12 +301,12 @@
             assertThat(client.answer().status()).isEqualTo(400);
         }
         client.send(pay(2, 900, "good"));
-        assertThat(client.answer().status()).as("the host is not left out").isEqualTo(200);
-        assertThat(host.received).as("and nothing was sent again").hasSize(6);
+        assertThat(client.answer().status()).as("the host is still in use").isEqualTo(200);
+        assertThat(host.received).as("no request was repeated").hasSize(6);
     }
 
     @Test
-    void idOfAnOpenRequestIsNotBorrowed() throws Exception {
+    void idOfAnOpenRequestIsRefusedForAnotherRequest() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Host host = host((head, request) -> {
             go.await();
@@ -326,7 +326,7 @@
     }
 
     @Test
-    void reportThatCannotBeReadSpoilsNoAnswer() throws Exception {
+    void malformedLoadReportDoesNotSpoilTheAnswer() throws Exception {
         Host host = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=1\r\nX-Load-Report: ,=;\r\n"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
@@ -334,7 +334,7 @@
     }
 
     @Test
-    void noAttemptWaitsLongerThanItsClassGrants() throws Exception {
+    void budgetIsLimitedByTheDeadlineOfTheClass() throws Exception {
         Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900_000_000, ""));
@@ -343,13 +343,13 @@
 
     @ParameterizedTest
     @CsvSource({"256,128,218", "1024,192,986", "1024,86,100", "384,32,4"})
-    void connectionsFitTheLimits(int sockets, int memoryMb, int maxConnections) {
+    void connectionLimitFollowsFromSocketsAndMemory(int sockets, int memoryMb, int maxConnections) {
         assertThat(new Sidecar.Options(null, null, null, 0, 1, sockets, memoryMb, null, null,
                 false).maxConnections()).isEqualTo(maxConnections);
     }
 
     @Test
-    void connectionThatTheHostClosedIsNotWrittenTo() throws Exception {
+    void connectionThatTheHostClosesIsNotReused() throws Exception {
         Host host = host((head, request) -> Host.ok("done", "Connection: close\r\n"));
         Host.Client client = client(sidecar(host.port()));
         for (int i = 1; i <= 3; i++) {
@@ -359,17 +359,17 @@
     }
 
     @Test
-    void idleConnectionIsClosedWellBeforeTheHostWould() throws Exception {
+    void idleUpstreamConnectionIsClosedAfterTheIdleTime() throws Exception {
         connIdleUs = 200_000;
         Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().status()).isEqualTo(200);
-        assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void atTheBoundIdleConnectionsMakeRoom() throws Exception {
+    void idleConnectionsAreEvictedAtTheConnectionLimit() throws Exception {
         sockets = 36;               // two connections on each side
         Host first = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
         Host second = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
@@ -384,7 +384,7 @@
     }
 
     @Test
-    void clientThatLeavesTakesItsAttemptAlong() throws Exception {
+    void departureOfTheClientEndsTheAttempt() throws Exception {
         Host host = host((head, request) -> {
             request.socket().getInputStream().read();
             return null;
@@ -393,11 +393,11 @@
         client.send(pay(1, 60_000, ""));
         host.next();
         client.close();
-        assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void attemptWithoutAnswerFailsInTimeAndItsLateAnswerReachesNobody() throws Exception {
+    void attemptWithoutAnswerTimesOutAndItsLateAnswerIsDropped() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
         Host host = host((head, request) -> {
             if (head.get("Idempotency-Key").equals("k1")) {
@@ -414,7 +414,7 @@
         late.countDown();
         Host.Answer answer;
         int id = 2;
-        do {                        // the host is spared for a while after the time-out
+        do {                        // the host is avoided for a while after the time-out
             client.send(pay(id, 900, ""));
             answer = client.answer();
             assertThat(answer.body()).isNotEqualTo("late");
@@ -445,12 +445,12 @@
         one.send(pay(3, 200, "hang"));
         assertThat(one.answer().status()).isEqualTo(504);
         for (int i = 0; i < 2; i++) {       // the one that hung, and the idle one
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
-    void attemptAtASilentHostIsCutAndAnotherServes() throws Exception {
+    void attemptAtASilentHostIsAbortedAndAnotherHostServes() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         Host.Script script = (head, request) -> {
             if (calls.getAndIncrement() == 0) {
@@ -469,7 +469,7 @@
     }
 
     @Test
-    void whatMayHaveRunIsFailedAndNeverRefusedNorSentElsewhere() throws Exception {
+    void requestThatMayHaveRunFailsAndIsNeitherRefusedNorRetried() throws Exception {
         Host first = host((head, request) -> null);
         Host second = host((head, request) -> null);
         Host.Client client = client(sidecar(first.port(), second.port()));
@@ -479,7 +479,7 @@
     }
 
     @Test
-    void whatNeverRanGoesToAnotherHostOrIsRefusedWithAPause() throws Exception {
+    void requestThatNeverRanIsRetriedAndThenRefusedWithRetryAfter() throws Exception {
         Host busy = host((head, request) -> "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
         int nobody;
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -494,21 +494,21 @@
     }
 
     @Test
-    void hostThatDrainsGetsNothingNew() throws Exception {
+    void drainingHostGetsNoNewRequests() throws Exception {
         Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().status()).isEqualTo(200);
         lists.add(list(false, target(0, host.port(), "DRAINING")));
-        // Its idle connection is closed with the news, once these are with the module.
-        assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        // Its idle connection is closed once the balancer has got the list.
+        assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         client.send(pay(2, 900, ""));
         assertThat(client.answer().status()).isEqualTo(503);
         assertThat(host.received.size()).isEqualTo(1);
     }
 
     @Test
-    void rubbishFromDiscoveryIsAFailedCallAndTheWatchBeginsAnew() throws Exception {
+    void malformedListFailsTheDiscoveryCallAndTheNextCallSucceeds() throws Exception {
         Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar());
         lists.add("rubbish");
@@ -522,7 +522,7 @@
     }
 
     @Test
-    void endingAnswersWhatIsHeldAndWhatComesLate() throws Exception {
+    void shutdownAnswersRequestsInProgressAndLateOnes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         Host host = host((head, request) -> {
             if (head.get("Idempotency-Key").equals("k1")) {
@@ -552,7 +552,7 @@
         assertThat(answer.head().get("Connection")).isEqualTo("close");
         assertThat(held.atEnd()).isTrue();
         held.close();
-        assertThat(ended.await(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(ended.await(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
     }
 
     private String callManagement(Sidecar sidecar, String call) throws IOException {
@@ -567,9 +567,9 @@
                 .map(line -> Long.parseLong(line.substring(name.length() + 1))).orElseThrow();
     }
 
-    /** Every ending there is, by several clients at once; then each figure against what clients and hosts saw. */
+    /** Several clients provoke every outcome at once; then each metric is compared with what clients and hosts saw. */
     @Test
-    void figuresAreWhatClientsAndHostsSaw() throws Exception {
+    void metricsMatchWhatClientsAndHostsSaw() throws Exception {
         isManaged = true;
         AtomicInteger written = new AtomicInteger();
         Host.Script script = (head, request) -> {
@@ -621,7 +621,7 @@
     }
 
     @Test
-    void drainedSidecarSendsItsClientsAwayAndTakesThemAgain() throws Exception {
+    void drainedSidecarDisconnectsItsClientsAndResumes() throws Exception {
         isManaged = true;
         CountDownLatch go = new CountDownLatch(1);
         Host host = host((head, request) -> {
@@ -647,7 +647,7 @@
         assertThat(front.answer().status()).isEqualTo(503);
         Host.Client late = client(sidecar);
         late.send(pay(3, 900, ""));
-        assertThat(late.answer().status()).as("what still comes is served").isEqualTo(200);
+        assertThat(late.answer().status()).as("late requests are still served").isEqualTo(200);
         assertThat(idle.atEnd()).isTrue();
         go.countDown();
         Host.Answer last = held.answer();
@@ -663,9 +663,9 @@
         }
     }
 
-    /** A deadline of 4 s and more outlasts the platform's patience: what was held then was cut off without an answer. */
+    /** A deadline of 4 s or more outlasts the platform's limit, and such requests were cut off without an answer. */
     @Test
-    void whatIsHeldWhenTheTimeToEndIsOverFailsAndIsNotCutOff() throws Exception {
+    void requestInProgressAtTheEndOfTheShutdownGetsAFailure() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
         Host host = host((head, request) -> {
             never.await();
@@ -683,7 +683,7 @@
     }
 
     @Test
-    void classesComeAndGoWhileALegIsOut() throws Exception {
+    void reloadMayAddAndRemoveClassesDuringAnAttempt() throws Exception {
         isManaged = true;
         CountDownLatch go = new CountDownLatch(1);
         Host host = host((head, request) -> {
@@ -699,11 +699,11 @@
         assertThat(sidecar.reload(options(configuration.replace("\"name\": \"pay\"", "\"name\": \"buy\"")))).isEmpty();
         Host.Client client = client(sidecar);
         client.send(pay(2, 900, ""));
-        assertThat(client.answer().status()).as("a class that vanished").isEqualTo(400);
+        assertThat(client.answer().status()).as("a request of a removed class").isEqualTo(400);
         client.send(pay(3, 900, "").replace("/pay/", "/buy/"));
-        assertThat(client.answer().status()).as("one that appeared").isEqualTo(200);
+        assertThat(client.answer().status()).as("a request of an added class").isEqualTo(200);
         go.countDown();
-        assertThat(held.answer().status()).as("one under way").isEqualTo(200);
+        assertThat(held.answer().status()).as("a request in progress").isEqualTo(200);
         assertThat(metric(sidecar, "svc_fulfilled_total{priority=\"pay\"}")).isOne();
         assertThat(metric(sidecar, "svc_fulfilled_total{priority=\"buy\"}")).isOne();
     }
--- a/sidecar/src/test/java/dapplequay/net/SpareConnectionsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SpareConnectionsTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Attempts that follow on each other so fast that the connection to their host has not rested yet. */
+/** Attempts that follow each other before the connection to their host has settled. */
 @Timeout(60)
 class SpareConnectionsTest {
     private final UpstreamRig rig = new UpstreamRig(10);
     private volatile Attempt sent;
 
-    /** Answers once the attempt's writer has done: a connection whose answer overtakes that is not used again. */
+    /** Opens a host that answers once the attempt's write is recorded: after an earlier answer there is no reuse. */
     private Host host() throws IOException {
         return new Host((head, request) -> {
             Attempt answered = sent;
@@ -33,7 +33,7 @@
         return attempt;
     }
 
-    /** Attempts that are served one after the other, each so long after the last; their one connection. */
+    /** Serves attempts one after the other at this interval, and returns the one connection that they all used. */
     private Socket servedInARow(Host host, long gapUs) throws Exception {
         Socket used = null;
         for (int i = 0; i < SpareConnectionPolicy.WINDOW_ATTEMPTS; i++) {
@@ -41,29 +41,29 @@
             send();
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             Socket next = host.next().socket();
-            assertThat(used == null ? next : used).as("no other one").isSameAs(next);
+            assertThat(used == null ? next : used).as("all on one connection").isSameAs(next);
             used = next;
         }
         return used;
     }
 
-    /** Requests at a steady pace waited 20 ms each, as the one connection had just been answered on. */
+    /** At a steady pace each request waited 20 ms for the only connection, on which an answer had just come. */
     @Test
-    void atASteadyPaceAnAttemptTakesAConnectionThatIsOpenedMeanwhile() throws Exception {
+    void atASteadyPaceAnAttemptTakesASpareConnection() throws Exception {
         try (Host host = host()) {
             rig.list("SERVING", host.port());
             Socket first = servedInARow(host, UpstreamPool.SETTLE_US);
             for (int i = 0; i < 2; i++) {
-                Attempt attempt = send();       // and the clock stands still
+                Attempt attempt = send();       // the clock does not move
                 assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
-                assertThat(host.next().socket()).as("an answer has just come there").isNotSameAs(first);
+                assertThat(host.next().socket()).as("the first has not settled").isNotSameAs(first);
             }
         }
     }
 
-    /** A handshake for each short wait would cost hosts more than it gives. */
+    /** At a slow pace, a handshake to save a short wait would cost hosts more than it gains. */
     @Test
-    void atASlowPaceAnAttemptWaits() throws Exception {
+    void atASlowPaceAnAttemptWaitsForTheConnectionToSettle() throws Exception {
         try (Host host = host()) {
             rig.list("SERVING", host.port());
             Socket first = servedInARow(host, 2 * SpareConnectionPolicy.MAX_MEAN_GAP_US);
@@ -76,28 +76,28 @@
         }
     }
 
-    /** The drain is told while the spare connection comes up. */
+    /** The news of the drain comes while the spare connection is opened. */
     @Test
-    void aSpareConnectionToAHostThatBeginsToDrainIsClosed() throws Exception {
+    void spareConnectionToAHostThatBeginsToDrainIsClosed() throws Exception {
         try (Host host = host()) {
             rig.list("SERVING", host.port());
             servedInARow(host, UpstreamPool.SETTLE_US);
             Attempt attempt;
             synchronized (rig.pool) {
                 attempt = send();
-                rig.awaitBlocked();             // it is open, and not taken in yet
+                rig.awaitBlocked();             // it is open, but not in the pool yet
                 rig.list("DRAINING", host.port());
             }
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.NOT_SENT, null));
             assertThat(host.received).isEmpty();
         }
     }
 
-    /** The module took the wait for a connection for its host's silence, and had what had run repeated elsewhere. */
+    /** The balancer took the wait for a connection as a silent host, and repeated requests that had run. */
     @Test
-    void anAttemptCountsAsStartedWhenItsWaitIsOver() throws Exception {
+    void attemptCountsAsStartedWhenItsWaitIsOver() throws Exception {
         try (Host host = host()) {
             rig.list("SERVING", host.port());
             send();
@@ -105,7 +105,7 @@
             rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
             send();
             rig.next();
-            assertThat(rig.started).as("a new connection, and a rested one").hasSize(2);
+            assertThat(rig.started).as("on a new connection, and on a settled one").hasSize(2);
             Attempt attempt = send();
             rig.awaitSettleWaits(1);
             assertThat(rig.started).hasSize(2);
--- a/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StartAndEndTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A start that an ending crosses, and a timekeeper that can't even say what went wrong. */
+/** A shutdown that crosses the start, and a timekeeper whose own error report fails. */
 @Timeout(60)
 class StartAndEndTest {
     private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -51,9 +51,9 @@
                 + "\r\nX-Caller: shop-a\r\nX-Budget-Ms: 900\r\n\r\n";
     }
 
-    /** The system accepts clients from the moment on in which the door is bound: an ending must know of it. */
+    /** The kernel accepts clients as soon as the listening socket is bound, so a shutdown must wait for it to open. */
     @Test
-    void anEndingThatMeetsTheOpeningOfTheDoorAnswersWhomTheSystemHasLetIn() throws Exception {
+    void shutdownDuringTheOpeningOfTheListeningSocketAnswersAcceptedClients() throws Exception {
         CountDownLatch bound = new CountDownLatch(1);
         CountDownLatch openMayReturn = new CountDownLatch(1);
         InetSocketAddress[] address = new InetSocketAddress[1];
@@ -76,11 +76,11 @@
                 client.send(quote());
                 Thread shutdownThread = new Thread(() -> end(sidecar));
                 shutdownThread.start();
-                // It has looked for the door: it waits for who opens it, or has found none and is over.
+                // The shutdown waits for the thread that opens the socket, or has found no socket and returned.
                 while (shutdownThread.isAlive() && !isBlockedBy(shutdownThread, startThread)) {
                     Thread.sleep(1);
                 }
-                assertThat(shutdownThread.isAlive()).as("the process would be gone").isTrue();
+                assertThat(shutdownThread.isAlive()).as("the shutdown waits, or the process would have ended").isTrue();
                 openMayReturn.countDown();
                 assertThat(client.answer().status()).isEqualTo(200);
                 shutdownThread.join();
@@ -88,9 +88,9 @@
         }
     }
 
-    private static boolean isBlockedBy(Thread one, Thread other) {
-        ThreadInfo now = ManagementFactory.getThreadMXBean().getThreadInfo(one.getId());
-        return now != null && now.getLockOwnerId() == other.getId();
+    private static boolean isBlockedBy(Thread blocked, Thread owner) {
+        ThreadInfo now = ManagementFactory.getThreadMXBean().getThreadInfo(blocked.getId());
+        return now != null && now.getLockOwnerId() == owner.getId();
     }
 
     private static void start(Sidecar sidecar) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /** A door whose accepting thread does not get to accept before somebody shuts the door, in whatever way. */
+    /** A listening socket whose first accept begins only once the socket is told to stop, in whichever way. */
     private static final class DelayedListeningSocket implements ListeningSocket {
         private final ListeningSocket delegate = new ListeningSocket.Owned(ANY);
         private final CountDownLatch stopped = new CountDownLatch(1);
@@ -159,11 +159,12 @@
         }
     }
 
-    /** The door was shut by the clock, on whom the system had let in and the accepting thread had not come to yet. */
+    /** The socket was closed after a time, and with it clients that the kernel had accepted but the sidecar had not. */
     @Test
-    void whomTheSystemHasLetInIsAnsweredHoweverLateTheAcceptingThreadIs() throws Exception {
+    void clientsInTheBacklogAreAnsweredHoweverLateTheAcceptingThreadIs() throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
-            Sidecar sidecar = new Sidecar(options(host.port()), Sidecar.ListPersistence.NONE, DelayedListeningSocket::new);
+            Sidecar sidecar = new Sidecar(options(host.port()), Sidecar.ListPersistence.NONE,
+                    DelayedListeningSocket::new);
             sidecar.start();
             try (Host.Client first = new Host.Client(sidecar.address());
                     Host.Client second = new Host.Client(sidecar.address())) {
@@ -178,7 +179,7 @@
     }
 
     @Test
-    void anEndingThatComesBeforeTheDoorIsOpenedKeepsItShut() throws Exception {
+    void shutdownBeforeTheStartKeepsTheListeningSocketClosed() throws Exception {
         AtomicBoolean opened = new AtomicBoolean();
         Sidecar sidecar = new Sidecar(options(1), Sidecar.ListPersistence.NONE, () -> {
             opened.set(true);
@@ -190,9 +191,9 @@
         sidecar.end(SHUTDOWN);
     }
 
-    /** The one thread that all deadlines hang on ended where the telling of its fault failed as well. */
+    /** The one thread that runs all deadlines ended when the logging of its error failed, too. */
     @Test
-    void theTimekeeperOutlivesAFaultThatCanNotBeTold() throws Exception {
+    void timekeeperSurvivesAnErrorThatCannotBeLogged() throws Exception {
         CountDownLatch failed = new CountDownLatch(2);
         Handler failingHandler = new Handler() {
             @Override
@@ -212,7 +213,7 @@
         Logger log = Logger.getLogger(Sidecar.class.getName());
         log.addHandler(failingHandler);
         try {
-            // Nobody listens there: the module says that the zone is lost, in the timekeeper's turn.
+            // No host listens there: the facade logs that the zone is lost, in the timekeeper's tick.
             Sidecar sidecar = new Sidecar(options(1, 2));
             sidecar.start();
             try (Host.Client idle = new Host.Client(sidecar.address());
@@ -221,8 +222,8 @@
                     client.send(quote());
                     assertThat(client.answer().status()).isEqualTo(503);
                 }
-                assertThat(failed.await(20, TimeUnit.SECONDS)).as("line and fault were both refused").isTrue();
-                assertThat(idle.atEnd()).as("a deadline still passes").isTrue();
+                assertThat(failed.await(20, TimeUnit.SECONDS)).as("logging the line and the error failed").isTrue();
+                assertThat(idle.atEnd()).as("deadlines still expire").isTrue();
             }
             sidecar.end(SHUTDOWN);
         } finally {
--- a/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What comes on an idle connection, or ends it, in the very moment in which an attempt takes it. */
+/** Bytes that arrive on an idle connection, or its end, just when an attempt takes the connection. */
 @Timeout(60)
 class StrayBytesTest {
     /** What a host does on its idle connection. */
@@ -31,12 +31,12 @@
     }
 
     /**
-     * The reading thread is held at the client's side of the answer before, when its connection is free already: the
-     * stray bytes lie with the system, and nobody has read them when the next attempt takes the connection.
+     * The reading thread is blocked while it reports the previous answer, and its connection is idle already: the stray
+     * bytes are unread in the socket when the next attempt takes the connection.
      */
     @ParameterizedTest
     @ValueSource(strings = {"H", "HTTP/1.1 20", STRAY})
-    void whatLiesUnreadIsNotTheNextAttemptsAnswer(String stray) throws Exception {
+    void unreadBytesAreNotTakenAsTheNextAttemptsAnswer(String stray) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
@@ -51,7 +51,7 @@
             go.countDown();
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).as("the first one is closed").isTrue();
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).as("the first one is closed").isTrue();
             assertThat(rig.ends).isEmpty();
         }
     }
@@ -76,12 +76,12 @@
     }
 
     /**
-     * The reading thread has seen the end, or stray bytes, and stands before the lock of the table in which its
-     * connection still is: there an attempt takes it. It never ran there, and goes out on another one.
+     * The reading thread has seen the end, or stray bytes, and is blocked on the lock of the pool, which still holds
+     * its connection. An attempt that takes it then never runs there, and is written to another connection.
      */
     @ParameterizedTest
     @EnumSource(HostAction.class)
-    void anAttemptTakesAConnectionWhoseThreadHasJustSeenItsEnd(HostAction action) throws Exception {
+    void attemptOnAConnectionThatHasJustEndedIsWrittenToAnother(HostAction action) throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
             Socket first = rig.sendAndServe("s0", host).socket();
@@ -94,19 +94,19 @@
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
             rig.awaitThreads(1);
-            assertThat(rig.ends).as("told once").isEmpty();
+            assertThat(rig.ends).as("the end is reported once").isEmpty();
         }
     }
 
-    /** A second answer may come some milliseconds late: an attempt on that connection would be served with it. */
+    /** A second answer may come some milliseconds late, and would be taken as the answer of the next attempt. */
     @Test
-    void aConnectionIsNotUsedAgainWithinTheMillisecondsThatASecondAnswerMayBeLate() throws Exception {
+    void connectionIsNotReusedBeforeItHasSettled() throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
             Socket first = rig.sendAndServe("s0", host).socket();
             rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
-            assertThat(host.next().socket()).as("it has rested").isSameAs(first);
+            assertThat(host.next().socket()).as("it has settled").isSameAs(first);
             rig.nowUs.addAndGet(15_000);
             rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             rig.awaitSettleWaits(1);
@@ -118,9 +118,9 @@
         }
     }
 
-    /** The first to have rested is waited for by one; the next waits for the other, and only the third opens one. */
+    /** Two attempts wait for one settling connection each, and only the third opens another connection. */
     @Test
-    void aRestingConnectionIsPromisedToOneAttempt() throws Exception {
+    void settlingConnectionIsReservedForOneAttempt() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Host host = new Host((head, request) -> {
             await(go);
@@ -148,10 +148,10 @@
         }
     }
 
-    /** The second answer comes while an attempt waits, or the end: it goes out on a new one, and its time begins there. */
+    /** A second answer, or the end, comes while an attempt waits: the attempt goes to a new connection. */
     @ParameterizedTest
     @EnumSource(HostAction.class)
-    void aConnectionThatEndsWhileALegWaitsForItIsNotUsed(HostAction action) throws Exception {
+    void connectionThatEndsWhileAnAttemptWaitsForItIsNotUsed(HostAction action) throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
             rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
@@ -163,19 +163,19 @@
             rig.awaitSettleWaits(1);
             rig.advanceWhileSettling(10_000);
             perform(first, action, STRAY);
-            assertThat(rig.next()).as("before the rest is over").isEqualTo(
+            assertThat(rig.next()).as("before the first connection would have settled").isEqualTo(
                     new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
             assertThat(attempt.durationUs(AttemptEnd.NOT_CONNECTED,
-                    rig.nowUs.get())).as("what a failed connect would say").isZero();
-            assertThat(rig.ends).as("told once").isEmpty();
+                    rig.nowUs.get())).as("the attempt's time begins with the new connection").isZero();
+            assertThat(rig.ends).as("the end is reported once").isEmpty();
         }
     }
 
-    /** A cut while the attempt waits ends the wait; its host is not held against, and the connection is the next one's. */
+    /** An abort ends the wait without blame for the host, and the connection remains for the next attempt. */
     @ParameterizedTest
     @EnumSource(value = AttemptEnd.class, names = {"GIVEN_UP", "TIMED_OUT", "SILENT"})
-    void anAttemptThatIsCutWhileItWaitsNeverRan(AttemptEnd why) throws Exception {
+    void attemptThatIsAbortedWhileItWaitsIsNotSent(AttemptEnd cause) throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
             rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
@@ -184,19 +184,19 @@
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
             rig.pool.send(attempt);
             rig.awaitSettleWaits(1);
-            attempt.abort(why);
-            AttemptEnd told = why == AttemptEnd.GIVEN_UP ? why : AttemptEnd.NOT_SENT;
-            assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, told, null));
+            attempt.abort(cause);
+            AttemptEnd expected = cause == AttemptEnd.GIVEN_UP ? cause : AttemptEnd.NOT_SENT;
+            assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, expected, null));
             rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
             rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
-            assertThat(host.next().socket()).as("and nothing came before").isSameAs(first);
+            assertThat(host.next().socket()).as("the first request after the abort").isSameAs(first);
         }
     }
 
-    /** The news of a drain come between the answer and the return of its connection to the idle ones. */
+    /** The news of the drain comes between the answer and the return of its connection to the pool. */
     @Test
-    void aConnectionThatIsBeingFreedWhileItsHostBeginsToDrainIsClosed() throws Exception {
+    void connectionReturnedWhileItsHostBeginsToDrainIsClosed() throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
             Endpoints.Endpoint endpoint = rig.endpoints.endpointOf("s0");
@@ -207,13 +207,13 @@
                 rig.pool.closeIdle(List.of(endpoint));
             }
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
-    /** At a bound of one: each attempt evicts the other host's connection; none is used after that, nor counted twice. */
+    /** With a limit of one connection, each attempt evicts the other host's; the limit counts no eviction twice. */
     @Test
-    void evictedConnectionsAreCountedOnceAndNotUsedAgain() throws Exception {
+    void evictedConnectionsAreCountedOnceAndNotReused() throws Exception {
         UpstreamRig smallRig = new UpstreamRig(1);
         CountDownLatch go = new CountDownLatch(1);
         try (Host a = new Host((head, request) -> Host.ok("a")); Host b = new Host((head, request) -> Host.ok("b"));
@@ -233,7 +233,7 @@
             smallRig.pool.send(smallRig.attempt("s2", Long.MAX_VALUE));
             silent.next();
             smallRig.pool.send(smallRig.attempt("s0", Long.MAX_VALUE));
-            assertThat(smallRig.next().end()).as("there is room for one, and that is out").isEqualTo(AttemptEnd.NOT_SENT);
+            assertThat(smallRig.next().end()).as("the one allowed connection is busy").isEqualTo(AttemptEnd.NOT_SENT);
             go.countDown();
             assertThat(smallRig.next().body()).isEqualTo("late");
         }
--- a/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
@@ -76,7 +76,7 @@
             List<Socket> used = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 pool.send(attempt(pool));
-                assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
+                assertThat(ends.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
                 used.add(host.next().socket());
             }
             assertThat(receivedUs.get(1) - receivedUs.get(0)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
@@ -109,7 +109,7 @@
                 }
                 answers.release(2);
                 for (int i = 0; i < 2; i++) {
-                    assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
+                    assertThat(ends.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
                 }
             }
             assertThat(used.get(1)).isNotSameAs(used.get(0));
@@ -133,8 +133,8 @@
             });
             UpstreamPool pool = pool(table, deadlines, ends);
             pool.send(attempt(pool));
-            assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.NOT_SENT);
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(ends.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.NOT_SENT);
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
             assertThat(host.received).isEmpty();
         }
     }
--- a/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamRig.java
@@ -30,19 +30,19 @@
 import java.util.stream.Stream;
 
 /**
- * The upstream side alone before real hosts. Its clock stands still but for the test, which may do something at a
- * thread's next look at it; where attempts end, a thread may be held.
+ * An {@link UpstreamPool} alone, connected to real hosts. Its clock moves only when a test moves it. A test may run an
+ * action when a thread next reads the clock, and may block the thread that reports the end of an attempt.
  */
 final class UpstreamRig {
     static final long ATTEMPT_TIME_US = 10_000_000;
-    /** Far more than sockets hold, bytes. */
+    /** Far more than the socket buffers hold. */
     private static final int LARGE_BODY_BYTES = 16 << 20;
     private static final Predicate<Thread> IS_WAITING_SENDER = t -> t.getName().startsWith("waits");
 
-    /** One attempt's end, in the order told. */
+    /** The reported end of an attempt; the body is null where there is no answer. */
     record Ended(Attempt attempt, AttemptEnd end, String body) { }
 
-    /** An exchange without a client's connection: its client is there. */
+    /** An exchange without a client connection, whose client counts as present. */
     static final class ConnectionlessExchange extends Exchange {
         ConnectionlessExchange(long id, ClientRequest request) {
             super(id, null, request, new RequestCounts());
@@ -55,12 +55,12 @@
     final AtomicLong nowUs = new AtomicLong(1_000_000_000);
     final Endpoints endpoints = new Endpoints();
     final BlockingQueue<Ended> ends = new LinkedBlockingQueue<>();
-    /** The attempts that are held back no longer, in the order told. */
+    /** The attempts reported as started, in the order of the reports. */
     final BlockingQueue<Attempt> started = new LinkedBlockingQueue<>();
     final DeadlineQueue deadlines = new DeadlineQueue(this::readClock);
     final UpstreamPool pool;
     volatile Consumer<Ended> onAttemptEnd = ended -> { };
-    /** When the listed hosts started, as the next list says. */
+    /** The start time that the next list gives for each of its hosts, ms. */
     long bootMs;
     private final Set<Integer> listedPorts = ConcurrentHashMap.newKeySet();
     private final AtomicReference<Runnable> clockReadAction = new AtomicReference<>();
@@ -68,8 +68,10 @@
     private long lastId;
 
     UpstreamRig(int maxConnections) {
-        SettingsReader.Setup setup = new SettingsReader.Setup(null, Map.of(), Map.of(), ATTEMPT_TIME_US, 3 * ATTEMPT_TIME_US);
-        pool = new UpstreamPool(endpoints, deadlines, () -> setup, maxConnections, new RequestCounts(), new DiscoveryMetrics());
+        SettingsReader.Setup setup = new SettingsReader.Setup(null, Map.of(), Map.of(), ATTEMPT_TIME_US,
+                3 * ATTEMPT_TIME_US);
+        pool = new UpstreamPool(endpoints, deadlines, () -> setup, maxConnections, new RequestCounts(),
+                new DiscoveryMetrics());
         pool.setDispatcher(new RequestDispatcher(null, pool) {
             @Override
             void attemptStarted(Attempt attempt) {
@@ -78,7 +80,8 @@
 
             @Override
             void attemptEnded(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
-                Ended ended = new Ended(attempt, end, body == null ? null : new String(body, StandardCharsets.ISO_8859_1));
+                Ended ended = new Ended(attempt, end,
+                        body == null ? null : new String(body, StandardCharsets.ISO_8859_1));
                 ends.add(ended);
                 onAttemptEnd.accept(ended);
             }
@@ -95,17 +98,17 @@
         return time;
     }
 
-    /** To be done at the next look at the clock by this thread, or, null, by one that serves a connection. */
-    void onClockRead(Thread by, Runnable action) {
-        onClockRead(by == null ? t -> t.getName().startsWith("upstream") : t -> t == by, action);
+    /** Runs the action when this thread next reads the clock; null means any thread that serves a connection. */
+    void onClockRead(Thread reader, Runnable action) {
+        onClockRead(reader == null ? t -> t.getName().startsWith("upstream") : t -> t == reader, action);
     }
 
-    private void onClockRead(Predicate<Thread> by, Runnable action) {
-        isHookedThread = by;
+    private void onClockRead(Predicate<Thread> isReader, Runnable action) {
+        isHookedThread = isReader;
         clockReadAction.set(action);
     }
 
-    /** The list: hosts s0, s1 ... at these ports. */
+    /** Applies a list of the hosts s0, s1, ... at these ports, all in this state. */
     void list(String state, int... ports) {
         IntStream.of(ports).forEach(listedPorts::add);
         List<String> targets = new ArrayList<>();
@@ -114,7 +117,8 @@
                     + "\"boot_ms\":" + bootMs + ",\"state\":\"" + state + "\"}");
         }
         try {
-            endpoints.restore(Endpoints.parse(("{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}")
+            endpoints.restore(Endpoints.parse(
+                    ("{\"rev\":1,\"all\":true,\"targets\":[" + String.join(",", targets) + "]}")
                     .getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -125,12 +129,12 @@
         return attempt(host, beginByUs, "POST /pay HTTP/1.1", false, 0);
     }
 
-    /** One that is held whole, and whose write waits until the host reads. */
+    /** Returns an attempt whose whole body is in memory, and whose write blocks until the host reads. */
     Attempt largeAttempt(String host) {
         return attempt(host, Long.MAX_VALUE, "POST /pay HTTP/1.1", false, LARGE_BODY_BYTES);
     }
 
-    /** One whose body is still to come from its client. */
+    /** Returns an attempt whose body is still to come from its client. */
     Attempt longAttempt(String host, long beginByUs) {
         return attempt(host, beginByUs, "POST /pay HTTP/1.1\r\nContent-Length: 100000", true, 0);
     }
@@ -140,8 +144,8 @@
             Head read = Head.parseRequest(head.getBytes(StandardCharsets.US_ASCII));
             MessageReader reader = new MessageReader(new ByteArrayInputStream(new byte[0]),
                     MessageReader.MAX_BODY_BYTES);
-            ClientRequest request = new ClientRequest(read, new byte[heldBytes], isLong ? reader.requestBody(read) : null,
-                    "pay", null, null, ATTEMPT_TIME_US);
+            ClientRequest request = new ClientRequest(read, new byte[heldBytes],
+                    isLong ? reader.requestBody(read) : null, "pay", null, null, ATTEMPT_TIME_US);
             return new Attempt(new ConnectionlessExchange(++lastId, request),
                     new Decision.Send(0, host, ATTEMPT_TIME_US, beginByUs), nowUs.get());
         } catch (IOException e) {
@@ -149,15 +153,16 @@
         }
     }
 
+    /** Returns the next reported end, and fails if none is reported in time. */
     Ended next() throws InterruptedException {
-        Ended next = ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS);
+        Ended next = ends.poll(Host.TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("no attempt ended");
         }
         return next;
     }
 
-    /** Sends an attempt that is served, and lets its connection rest until it may be used again. */
+    /** Sends an attempt, asserts that it is served, and advances the clock until its connection may be reused. */
     Host.ReceivedRequest sendAndServe(String name, Host host) throws InterruptedException {
         pool.send(attempt(name, Long.MAX_VALUE));
         Ended ended = next();
@@ -168,56 +173,56 @@
         return host.next();
     }
 
-    /** The threads that serve connections to hosts that were listed here. */
+    /** Returns the threads that serve connections to hosts that this rig has listed. */
     private Stream<Thread> threads() {
         return Thread.getAllStackTraces().keySet().stream().filter(t -> t.getName().startsWith("upstream")
                 && listedPorts.contains(Integer.parseInt(t.getName().substring(t.getName().lastIndexOf(':') + 1))));
     }
 
-    /** Waits until that many attempts wait for a connection to have rested, each since it last looked at the clock. */
+    /** Waits until this many attempts wait for a connection to settle, each in its timed wait. */
     void awaitSettleWaits(int count) {
         while (Thread.getAllStackTraces().entrySet().stream().filter(e -> IS_WAITING_SENDER.test(e.getKey())
                 && e.getKey().getState() == Thread.State.TIMED_WAITING && Arrays.stream(e.getValue()).anyMatch(
                         f -> f.getClassName().equals(Attempt.class.getName()))).count() != count) {
             if (!ends.isEmpty() || Thread.interrupted()) {      // interrupted: the test's time is over
-                throw new AssertionError("did not wait: " + ends);
+                throw new AssertionError("the attempt did not wait: " + ends);
             }
             Thread.onSpinWait();
         }
     }
 
-    /** The clock goes on; who waits for a connection to have rested has looked at it and waits on. */
+    /** Advances the clock, and waits until the one waiting attempt has read it and still waits. */
     void advanceWhileSettling(long advanceUs) {
         CountDownLatch clockReads = new CountDownLatch(2);
         onClockRead(IS_WAITING_SENDER, clockReads::countDown);
         nowUs.addAndGet(advanceUs);
         while (clockReads.getCount() > 0) {
             if (!ends.isEmpty() || Thread.interrupted()) {      // interrupted: the test's time is over
-                throw new AssertionError("did not wait: " + ends);
+                throw new AssertionError("the attempt did not wait: " + ends);
             }
             if (clockReadAction.get() == null) {
-                onClockRead(IS_WAITING_SENDER, clockReads::countDown);       // and has not gone on after the first look
+                onClockRead(IS_WAITING_SENDER, clockReads::countDown);       // and it must read the clock a second time
             }
             Thread.onSpinWait();
         }
         awaitSettleWaits(1);
     }
 
-    /** Waits until a connection's thread stands before the side's lock, which the caller holds. */
+    /** Waits until a connection's thread is blocked on the pool's lock, which the caller holds. */
     void awaitBlocked() {
         while (threads().noneMatch(t -> t.getState() == Thread.State.BLOCKED)) {
             Thread.onSpinWait();
         }
     }
 
-    /** Waits until an attempt has ended, or a connection's thread waits for another one. */
+    /** Waits until an attempt has ended, or a connection's thread is waiting for another thread. */
     void awaitEndOrWaiting() {
         while (ends.isEmpty() && threads().noneMatch(t -> t.getState() == Thread.State.WAITING)) {
             Thread.onSpinWait();
         }
     }
 
-    /** Waits until no more than so many threads serve connections. */
+    /** Waits until at most this many threads serve connections. */
     void awaitThreads(int maxThreads) {
         while (threads().count() > maxThreads) {
             Thread.onSpinWait();
--- a/sidecar/src/test/java/dapplequay/net/WriteGuardTest.java
+++ b/sidecar/src/test/java/dapplequay/net/WriteGuardTest.java
@@ -15,19 +15,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What changes between the decision for an attempt and its first byte: nothing of it goes out, and it never ran. */
+/** Changes between the decision for an attempt and its first byte: nothing is written, and the request never ran. */
 @Timeout(60)
 class WriteGuardTest {
     private static final long WINDOW_US = 500_000;
 
-    /** What happens meanwhile; NOTHING: the attempt is served, so that it is the change that stops it. */
+    /** NOTHING is the control: the attempt is served, which shows that it is the change that stops the others. */
     enum Change { NOTHING, CLIENT_GONE, WINDOW_OVER, TIMEOUT_OVER, HOST_DRAINS, HOST_RESTARTED }
 
     private final UpstreamRig rig = new UpstreamRig(10);
 
     private void apply(Change change, Attempt attempt, int port) {
         switch (change) {
-            case CLIENT_GONE -> attempt.exchange.claim();      // and its attempt has not been cut yet
+            case CLIENT_GONE -> attempt.exchange.claim();      // its attempt has not been aborted yet
             case WINDOW_OVER -> rig.nowUs.addAndGet(WINDOW_US);
             case TIMEOUT_OVER -> rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             case HOST_DRAINS -> rig.list("DRAINING", port);
@@ -42,13 +42,13 @@
     private void assertNotSentUnlessUnchanged(Change change, Attempt attempt) throws InterruptedException {
         assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, change == Change.NOTHING ? AttemptEnd.SERVED
                 : AttemptEnd.NOT_SENT, change == Change.NOTHING ? "done" : null));
-        assertThat(rig.ends).as("told once").isEmpty();
+        assertThat(rig.ends).as("the end is reported once").isEmpty();
     }
 
-    /** The connecting thread looks at the clock before it connects: there it happens. */
+    /** The change comes when the connecting thread reads the clock before it connects. */
     @ParameterizedTest
     @EnumSource(Change.class)
-    void anAttemptThatWaitedForItsConnect(Change change) throws Exception {
+    void attemptIsNotWrittenAfterAChangeDuringItsConnect(Change change) throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
             Attempt attempt = rig.attempt("s0", rig.nowUs.get() + WINDOW_US);
@@ -56,16 +56,16 @@
             rig.pool.send(attempt);
             assertNotSentUnlessUnchanged(change, attempt);
             if (change != Change.NOTHING) {
-                assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+                assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
                 assertThat(host.received).isEmpty();
             }
         }
     }
 
-    /** The sending thread looks at the clock once it knows the way and has taken the request up. */
+    /** The change comes when the sending thread reads the clock, after it has chosen a connection. */
     @ParameterizedTest
     @EnumSource(Change.class)
-    void anAttemptForAUsedConnection(Change change) throws Exception {
+    void attemptIsNotWrittenToAReusedConnectionAfterAChange(Change change) throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
             Socket used = rig.sendAndServe("s0", host).socket();
@@ -76,16 +76,16 @@
             if (change == Change.NOTHING) {
                 assertThat(host.next().socket()).isSameAs(used);
             } else {
-                assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+                assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
                 assertThat(host.received).isEmpty();
             }
         }
     }
 
-    /** It happens while the attempt waits for the one connection to have rested; that connection stays. */
+    /** The change comes while the attempt waits for the only connection to settle; the connection stays open. */
     @ParameterizedTest
     @EnumSource(Change.class)
-    void anAttemptThatWaitedForARestingConnection(Change change) throws Exception {
+    void attemptIsNotWrittenAfterAChangeWhileTheConnectionSettles(Change change) throws Exception {
         try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
             rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
@@ -105,10 +105,10 @@
         }
     }
 
-    /** Its client's thread connects for it; its time begins only with its last byte. */
+    /** The client's thread connects for a long request; the attempt's timeout begins only with its last byte. */
     @ParameterizedTest
     @EnumSource(value = Change.class, names = {"CLIENT_GONE", "WINDOW_OVER", "HOST_DRAINS", "HOST_RESTARTED"})
-    void aLongRequest(Change change) throws Exception {
+    void longRequestIsNotWrittenAfterAChangeDuringItsConnect(Change change) throws Exception {
         try (ServerSocket host = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             rig.list("SERVING", host.getLocalPort());
             Attempt attempt = rig.longAttempt("s0", rig.nowUs.get() + WINDOW_US);
@@ -118,27 +118,27 @@
             assertThat(connection.connectForUpload()).isFalse();
             assertNotSentUnlessUnchanged(change, attempt);
             connection.uploadEnded(false);
-            assertThat(rig.ends).as("told once").isEmpty();
+            assertThat(rig.ends).as("the end is reported once").isEmpty();
             try (Socket accepted = host.accept()) {
-                assertThat(accepted.getInputStream().read()).as("not one byte").isEqualTo(-1);
+                assertThat(accepted.getInputStream().read()).as("no byte was written").isEqualTo(-1);
             }
         }
     }
 
-    /** A connect that never comes up would else be waited for until long after the window. */
+    /** Without a limit, a connect that is never answered would be waited for until long after the window. */
     @Test
-    void aConnectIsNotWaitedForBeyondTheWindow() throws Exception {
+    void connectIsNotWaitedForBeyondTheWindow() throws Exception {
         List<Socket> fillers = new ArrayList<>();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             fillBacklog(full, fillers);
             rig.list("SERVING", full.getLocalPort());
             Attempt attempt = rig.attempt("s0", rig.nowUs.get() + 50_000);
-            // The clock stands still until the connecting thread has looked how long it may wait.
+            // The clock moves only after the connecting thread has computed how long it may wait.
             rig.onClockRead(null, () -> rig.nowUs.addAndGet(50_000));
             long started = System.nanoTime();
             rig.pool.send(attempt);
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.NOT_SENT);
-            assertThat(System.nanoTime() - started).as("and not the connect's own 10 s").isLessThan(9_000_000_000L);
+            assertThat(System.nanoTime() - started).as("within the 10 s of a connect").isLessThan(9_000_000_000L);
         } finally {
             for (Socket filler : fillers) {
                 filler.close();
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Connects until no more come up: the system drops what goes beyond the listener's backlog. */
+    /** Connects until a connect times out: the kernel drops connects beyond the listener's backlog. */
     static void fillBacklog(ServerSocket listener, List<Socket> fillers) throws Exception {
         while (true) {
             Socket filler = new Socket();
