--- a/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
+++ b/sidecar/src/test/java/dapplequay/net/BlockedWriteTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** An attempt is being written to a used connection, whose host does not read on, when something else happens. */
+/** Events during the write of an attempt to a reused connection, while the host reads no further. */
 @Timeout(60)
 class BlockedWriteTest {
     private final UpstreamRig rig = new UpstreamRig(10);
-    private final CountDownLatch go = new CountDownLatch(1);
+    private final CountDownLatch mayGoOn = new CountDownLatch(1);
     private final ServerSocket listener = new ServerSocket();
     private Socket host;
     private Attempt attempt;
@@ -41,22 +41,20 @@
         }
     }
 
-    /**
-     * Returns once the attempt's first bytes have come: its writer is in the write, and comes out by what a test does.
-     */
+    /** Returns once the attempt's first bytes have arrived: its writer is then blocked in the write. */
     @BeforeEach
     void begin() throws Exception {
         listener.setReceiveBufferSize(4_096);
         listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         rig.list("SERVING", listener.getLocalPort());
-        rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+        rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
         host = listener.accept();
         host.getInputStream().read(new byte[4_096]);
         write(host, Host.ok("first"));
         assertThat(rig.next().body()).isEqualTo("first");
-        rig.now.addAndGet(400_000);
+        rig.nowUs.addAndGet(400_000);
         attempt = rig.largeAttempt("s0");
-        writer = new Thread(() -> rig.side.send(attempt));
+        writer = new Thread(() -> rig.pool.send(attempt));
         writer.setDaemon(true);
         writer.start();
         assertThat(host.getInputStream().read(new byte[100])).isPositive();
@@ -64,30 +62,30 @@
 
     @AfterEach
     void end() throws IOException {
-        go.countDown();
+        mayGoOn.countDown();
         host.close();
         listener.close();
     }
 
-    private void assertEnded(AttemptEnd how) throws Exception {
-        assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, how, null));
-        writer.join(TimeUnit.SECONDS.toMillis(Host.PATIENCE_S));
-        assertThat(writer.isAlive()).as("it comes back").isFalse();
+    private void assertEnded(AttemptEnd expected) throws Exception {
+        assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, expected, null));
+        writer.join(TimeUnit.SECONDS.toMillis(Host.TIMEOUT_S));
+        assertThat(writer.isAlive()).as("the writer returns").isFalse();
         rig.awaitThreads(0);
-        assertThat(rig.ends).as("told once").isEmpty();
+        assertThat(rig.ends).as("the end is reported once").isEmpty();
     }
 
     /**
-     * The reading thread has the head of an answer without a length, the host resets the connection, and the write is
-     * told of it: the read behind it finds a plain end, before the writer has closed the connection.
+     * The host sends the head of an answer without a length and resets the connection. The write gets the reset, so the
+     * next read reports an ordinary end of stream before the writer has closed the connection.
      */
     @Test
-    void anAnswerThatBreaksUnderItsRequestIsNotWhole() throws Exception {
-        CountDownLatch met = new CountDownLatch(1);
-        rig.atLook(null, () -> {
-            rig.atLook(writer, () -> {
-                met.countDown();
-                await(go);
+    void answerThatIsResetDuringTheRequestsWriteIsNotTakenAsComplete() throws Exception {
+        CountDownLatch writerFailed = new CountDownLatch(1);
+        rig.onClockRead(null, () -> {
+            rig.onClockRead(writer, () -> {
+                writerFailed.countDown();
+                await(mayGoOn);
             });
             try {
                 host.setSoLinger(true, 0);
@@ -95,41 +93,41 @@
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
-            while (met.getCount() > 0) {
+            while (writerFailed.getCount() > 0) {
                 Thread.onSpinWait();
             }
         });
         write(host, "HTTP/1.1 200 OK\r\n\r\nhalf");
-        await(met);
+        await(writerFailed);
         rig.awaitEndOrWaiting();
-        go.countDown();
+        mayGoOn.countDown();
         assertEnded(AttemptEnd.NOT_CONNECTED);
     }
 
-    /** It never ran, as it was not whole. */
+    /** The request never ran, as the host did not receive all of it. */
     @Test
-    void itsTimeEnds() throws Exception {
-        rig.now.addAndGet(UpstreamRig.TIME_US);
+    void timeoutDuringTheWriteEndsTheAttemptAsNotConnected() throws Exception {
+        rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
         rig.deadlines.runExpired();
         assertEnded(AttemptEnd.NOT_CONNECTED);
     }
 
-    /** The write has just become whole, and its thread has not said so: it may have run. */
+    /** The write is complete, but its thread has not recorded it yet: the request may have run. */
     @Test
-    void itsTimeEndsInTheMomentInWhichItIsWhole() throws Exception {
-        rig.atLook(writer, () -> {
-            rig.now.addAndGet(UpstreamRig.TIME_US);
+    void timeoutRightAfterTheWriteEndsTheAttemptAsTimedOut() throws Exception {
+        rig.onClockRead(writer, () -> {
+            rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             rig.deadlines.runExpired();
         });
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
         assertEnded(AttemptEnd.TIMED_OUT);
     }
 
-    /** The head of its answer is here, and then its time is over: the cut counts, and the answer reaches nobody. */
+    /** The time-out comes after the head of the answer: the time-out counts, and the answer is dropped. */
     @Test
-    void itsTimeEndsWhileItsAnswerIsRead() throws Exception {
-        rig.atLook(null, () -> {
-            rig.now.addAndGet(UpstreamRig.TIME_US);
+    void timeoutWhileTheAnswerIsReadDropsTheAnswer() throws Exception {
+        rig.onClockRead(null, () -> {
+            rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             rig.deadlines.runExpired();
         });
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
@@ -138,22 +136,22 @@
         assertEnded(AttemptEnd.TIMED_OUT);
     }
 
-    /** The answer is here and told, and then its time is over: the answer counts, and its connection stays. */
+    /** The time-out comes after the answer is reported: the answer counts, and its connection stays open. */
     @Test
-    void itsTimeEndsWhenItIsAnswered() throws Exception {
-        rig.atEnd = ended -> {
-            rig.atEnd = next -> { };
-            rig.now.addAndGet(UpstreamRig.TIME_US);
+    void timeoutAfterTheAnswerKeepsTheAnswerAndTheConnection() throws Exception {
+        rig.onAttemptEnd = ended -> {
+            rig.onAttemptEnd = next -> { };
+            rig.nowUs.addAndGet(UpstreamRig.ATTEMPT_TIME_US);
             rig.deadlines.runExpired();
             attempt.abort(AttemptEnd.TIMED_OUT);
-            go.countDown();
+            mayGoOn.countDown();
         };
         Host.daemon(() -> host.getInputStream().transferTo(OutputStream.nullOutputStream()));
         writer.join();
         write(host, Host.ok("in time"));
         assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "in time"));
-        await(go);
-        rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+        await(mayGoOn);
+        rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
         write(host, Host.ok("next"));
         assertThat(rig.next().body()).as("on the same connection").isEqualTo("next");
     }
--- a/sidecar/src/test/java/dapplequay/net/SidecarTest.java
+++ b/sidecar/src/test/java/dapplequay/net/SidecarTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A sidecar on real sockets between scripted hosts, a scripted discovery and clients: one test a rule. */
+/** A sidecar on real sockets with scripted hosts, a scripted discovery service and clients. */
 @Timeout(60)
 class SidecarTest extends ClosesWhatItOpened {
     private static final AtomicInteger CALLS = new AtomicInteger();
@@ -42,7 +42,7 @@
     private boolean isManaged;
     private String configuration;
     private String known;
-    private InetSocketAddress discoveryAt;
+    private InetSocketAddress discoveryAddress;
     private long connIdleUs = 30_000_000;
 
     private Host host(Host.Script script) throws IOException {
@@ -58,29 +58,29 @@
         return "{\"rev\":5,\"all\":" + all + ",\"targets\":[" + String.join(",", targets) + "]}";
     }
 
-    /** A sidecar that knows servers at these ports, with numbers in their order. */
+    /** Starts a sidecar that knows the servers s0, s1, ... at these ports. */
     private Sidecar sidecar(int... ports) throws IOException {
         String[] targets = new String[ports.length];
         for (int i = 0; i < ports.length; i++) {
             targets[i] = target(i, ports[i], "SERVING");
         }
-        Host discovery = host((head, seen) -> Host.ok(lists.take()));
+        Host discovery = host((head, request) -> Host.ok(lists.take()));
         String text = Files.readString(Path.of("example/config.json"))
                 .replaceAll("\"conn_idle_us\": \\d+", "\"conn_idle_us\": " + connIdleUs)
                 .replaceAll("\"deadline_us\": \\d+", "\"deadline_us\": 20000000")
                 .replace("\"balancers\":", extraSettings + "\"balancers\":");
         configuration = text;
         known = list(true, targets);
-        discoveryAt = new InetSocketAddress(InetAddress.getLoopbackAddress(), discovery.port());
-        Sidecar sidecar = new Sidecar(plan(text));
+        discoveryAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), discovery.port());
+        Sidecar sidecar = new Sidecar(options(text));
         sidecar.start();
         return sidecar;
     }
 
-    private Sidecar.Options plan(String text) throws IOException {
+    private Sidecar.Options options(String text) throws IOException {
         Map<?, ?> example = (Map<?, ?>) Json.parse(text.getBytes());
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        return new Sidecar.Options(any, isManaged ? any : null, discoveryAt, 7, 1, sockets, 192,
+        return new Sidecar.Options(any, isManaged ? any : null, discoveryAddress, 7, 1, sockets, 192,
                 Json.parse(known.getBytes()), SettingsReader.of(example.get("settings"), "example"), false);
     }
 
@@ -96,18 +96,18 @@
 
     @Test
     void requestAndAnswerPassUnchanged() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done", "X-Load-Report: inflight=1,queue=0\r\n"));
+        Host host = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=1,queue=0\r\n"));
         Host.Client client = client(sidecar(host.port()));
         client.send("GET /healthz HTTP/1.1\r\n\r\n");
         assertThat(client.answer().status()).isEqualTo(200);
         String call = pay(1, 900, "abc");
         client.send(call);
-        Host.Seen seen = host.next();
-        assertThat(seen.head().startLine).containsExactly("POST", "/pay/x?y=z", "HTTP/1.1");
-        assertThat(call).contains("X-Call-Id: " + seen.head().get("X-Call-Id") + "\r\n");
-        assertThat(seen.head().get("Idempotency-Key")).isEqualTo("k1");
-        assertThat(Integer.parseInt(seen.head().get("X-Budget-Ms"))).isBetween(1, 900);
-        assertThat(seen.body()).isEqualTo("abc");
+        Host.ReceivedRequest request = host.next();
+        assertThat(request.head().startLine).containsExactly("POST", "/pay/x?y=z", "HTTP/1.1");
+        assertThat(call).contains("X-Call-Id: " + request.head().get("X-Call-Id") + "\r\n");
+        assertThat(request.head().get("Idempotency-Key")).isEqualTo("k1");
+        assertThat(Integer.parseInt(request.head().get("X-Budget-Ms"))).isBetween(1, 900);
+        assertThat(request.body()).isEqualTo("abc");
         Host.Answer answer = client.answer();
         assertThat(answer.status()).isEqualTo(200);
         assertThat(answer.body()).isEqualTo("done");
@@ -119,8 +119,8 @@
         "X-Caller: shop-a,X-Caller: nobody,403", "/pay,/nothing,400", "POST,GET,400", "POST /pay,GET /quote,400",
         "?y=z,?obj=,400", "?y=z,?obj=1&y=z&obj=1,400",
         "Idempotency-Key: k1,A: b,400", "Content-Length: 1,Content-Length: 70000000,413", "Host: service,Ho st: s,400"})
-    void badRequestsAreAnsweredAndNothingGoesOut(String good, String bad, int status) throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+    void badRequestsAreAnsweredAndNotForwarded(String good, String bad, int status) throws Exception {
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client client = client(sidecar);
         client.send(pay(1, 900, "a").replace(good, bad));
@@ -129,24 +129,24 @@
         next.send(pay(2, 900, ""));
         assertThat(next.answer().status()).isEqualTo(200);
         assertThat(host.next().head().get("X-Call-Id")).endsWith("02");
-        assertThat(host.seen).isEmpty();
+        assertThat(host.received).isEmpty();
     }
 
-    /** An older list once more, as a confused agent gives it, would bring back a host that was told to be gone. */
+    /** A faulty discovery agent may repeat an older list, which would bring back a host that is draining. */
     @Test
-    void listOlderThanTheOneKnownTakesNothingBack() throws Exception {
+    void listOlderThanTheKnownOneBringsNoHostBack() throws Exception {
         isManaged = true;
-        Host draining = host((head, seen) -> Host.ok("old"));
-        Host serving = host((head, seen) -> Host.ok("new"));
+        Host draining = host((head, request) -> Host.ok("old"));
+        Host serving = host((head, request) -> Host.ok("new"));
         Sidecar sidecar = sidecar(draining.port(), serving.port());
         lists.add(list(false, target(0, draining.port(), "DRAINING")));
-        while (figure(sidecar, "svc_out_of_rotation") < 1) {
+        while (metric(sidecar, "svc_out_of_rotation") < 1) {
             Thread.sleep(20);
         }
         lists.add(list(true, target(0, draining.port(), "SERVING"), target(1, serving.port(), "SERVING"))
                 .replace("\"rev\":5", "\"rev\":4"));
-        lists.add(list(false, target(2, 1, "DRAINING")));        // its number shows that the one before was heard
-        while (figure(sidecar, "svc_registry_entries") != 3) {
+        lists.add(list(false, target(2, 1, "DRAINING")));        // its count shows that the list before was applied
+        while (metric(sidecar, "svc_registry_entries") != 3) {
             Thread.sleep(20);
         }
         Host.Client client = client(sidecar);
@@ -156,38 +156,38 @@
         }
     }
 
-    /** The module knew the idempotency key, which is another for each order, in place of what the order is about. */
+    /** The balancer got the idempotency key, which differs for each request, in place of the object of the request. */
     @Test
-    void whatARequestIsAboutDecidesWhereItGoes() throws Exception {
+    void requestsForOneObjectGoToOneHost() throws Exception {
         List<Host> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            hosts.add(host((head, seen) -> Host.ok("done")));
+            hosts.add(host((head, request) -> Host.ok("done")));
         }
         extraSettings = "\"domain\": {\"warm_keys\": true}, ";
         Host.Client client = client(sidecar(hosts.stream().mapToInt(Host::port).toArray()));
-        Set<Integer> homes = new HashSet<>();
-        for (int about = 0; about < 12; about++) {
-            Set<Integer> met = new HashSet<>();
+        Set<Integer> allReceivingHosts = new HashSet<>();
+        for (int object = 0; object < 12; object++) {
+            Set<Integer> receivingHosts = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                client.send(pay(3 * about + i, 900, "").replace("y=z", "y=z&obj=o" + about));
+                client.send(pay(3 * object + i, 900, "").replace("y=z", "y=z&obj=o" + object));
                 assertThat(client.answer().status()).isEqualTo(200);
                 for (int h = 0; h < hosts.size(); h++) {
-                    Host.Seen seen = hosts.get(h).seen.poll();
-                    if (seen != null) {
-                        assertThat(seen.head().startLine[1]).endsWith("?y=z&obj=o" + about);
-                        met.add(h);
+                    Host.ReceivedRequest request = hosts.get(h).received.poll();
+                    if (request != null) {
+                        assertThat(request.head().startLine[1]).endsWith("?y=z&obj=o" + object);
+                        receivingHosts.add(h);
                     }
                 }
             }
-            assertThat(met).as("hosts that met " + about).hasSize(1);
-            homes.addAll(met);
+            assertThat(receivingHosts).as("hosts that received object " + object).hasSize(1);
+            allReceivingHosts.addAll(receivingHosts);
         }
-        assertThat(homes).hasSizeGreaterThan(1);
+        assertThat(allReceivingHosts).hasSizeGreaterThan(1);
     }
 
     @Test
-    void connectionsAreUsedAgainAndPipelinedRequestsAnsweredInOrder() throws Exception {
-        Host host = host((head, seen) -> Host.ok(head.get("Idempotency-Key")));
+    void connectionsAreReusedAndPipelinedRequestsAnsweredInOrder() throws Exception {
+        Host host = host((head, request) -> Host.ok(head.get("Idempotency-Key")));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, "") + pay(2, 900, "") + pay(3, 900, ""));
         for (int i = 1; i <= 3; i++) {
@@ -199,12 +199,12 @@
         for (int i = 1; i <= 4; i++) {
             used.add(host.next().socket());
         }
-        assertThat(used).as("it rests a little after each answer, and is waited for").hasSize(1);
+        assertThat(used).as("requests wait for the one connection to settle").hasSize(1);
     }
 
     @Test
-    void clientThatAsksForNothingMoreIsLetGo() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+    void idleClientsAreDisconnected() throws Exception {
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client silent = client(sidecar);
         Host.Client once = client(sidecar);
@@ -217,7 +217,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"POST /pa", "POST /pay/x HTTP/1.1\r\nA: b\r\n", "POST /pay/x HTTP/1.1\r\n"
         + "Content-Length: 9\r\n\r\nhalf"})
-    void halfARequestIsNotWaitedForForLong(String half) throws Exception {
+    void incompleteRequestTimesOutWith408(String half) throws Exception {
         Host.Client client = client(sidecar());
         client.send(half);
         assertThat(client.answer().status()).isEqualTo(408);
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void endlessBodyIsNotReadToItsEnd() throws Exception {
+    void bodyOfARejectedRequestIsNotReadToItsEnd() throws Exception {
         Host.Client client = client(sidecar());
         client.send("POST /pay/x HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
         byte[] part = new byte[100_000];
@@ -237,36 +237,36 @@
     }
 
     @Test
-    void strangersMakeRoomBeforeIdleClients() throws Exception {
+    void clientsWithoutARequestAreEvictedBeforeIdleOnes() throws Exception {
         sockets = 36;
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Client known = client(sidecar);
         known.send(pay(1, 900, ""));
         assertThat(known.answer().status()).isEqualTo(200);
-        Host.Client stranger = client(sidecar);
-        stranger.send("POST /pay");
+        Host.Client newClient = client(sidecar);
+        newClient.send("POST /pay");
         Host.Client next = client(sidecar);
         next.send(pay(2, 900, ""));
         known.send(pay(3, 900, ""));
-        assertThat(known.answer().status()).as("still open").isEqualTo(200);
+        assertThat(known.answer().status()).as("the connection is still open").isEqualTo(200);
         assertThat(next.answer().status()).isEqualTo(200);
-        assertThat(stranger.atEnd()).isTrue();
+        assertThat(newClient.atEnd()).isTrue();
     }
 
     @Test
-    void inACrowdAnswersEndTheirConnections() throws Exception {
-        sockets = 40;               // ten make a crowd
-        Host host = host((head, seen) -> Host.ok("done"));
+    void answersCloseTheirConnectionsFromTheCrowdThresholdOn() throws Exception {
+        sockets = 40;               // a crowd threshold of ten
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         Host.Answer answer = null;
         for (int i = 0; i < 4; i++) {
             Host.Client once = client(sidecar);
             once.send(pay(1, 900, ""));
             answer = once.answer();
-            assertThat(answer.head().closesConnection("HTTP/1.1")).as("alone").isFalse();
+            assertThat(answer.head().closesConnection("HTTP/1.1")).as("below the crowd threshold").isFalse();
         }
-        sockets = 8;                // two do
+        sockets = 8;                // a crowd threshold of two
         Sidecar small = sidecar(host.port());
         client(small);
         Host.Client last = client(small);
@@ -274,26 +274,26 @@
         assertThat(last.answer().head().closesConnection("HTTP/1.1")).isTrue();
     }
 
-    /** A young stranger held up each new connection for as long as it takes to come of age. */
+    /** A client without a request can be evicted only after 50 ms, and held up each new connection until then. */
     @Test
-    void oneStrangerDoesNotHoldUpOthersAtTheBound() throws Exception {
+    void newClientWithoutARequestDoesNotHoldUpOthersAtTheConnectionLimit() throws Exception {
         sockets = 50;               // nine client connections
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Sidecar sidecar = sidecar(host.port());
         long started = System.nanoTime();
         for (int i = 0; i < 200; i++) {
             Host.Client once = client(sidecar);
             once.send(pay(1, 900, ""));
             assertThat(once.answer().status()).isEqualTo(200);
-            client(sidecar);        // says nothing
+            client(sidecar);        // sends nothing
         }
-        // Coming of age takes 50 ms for each of two hundred.
+        // Waiting for the eviction would take 50 ms for each of the 200 clients.
         assertThat(System.nanoTime() - started).isLessThan(9_900_000_000L);
     }
 
     @Test
-    void whatAHostFindsFaultWithIsTheClientsFault() throws Exception {
-        Host host = host((head, seen) -> seen.body().equals("bad")
+    void badRequestAnswersDoNotCountAgainstTheHost() throws Exception {
+        Host host = host((head, request) -> request.body().equals("bad")
                 ? "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n" : Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         for (int i = 0; i < 5; i++) {
@@ -301,16 +301,16 @@
             assertThat(client.answer().status()).isEqualTo(400);
         }
         client.send(pay(2, 900, "good"));
-        assertThat(client.answer().status()).as("the host is not left out").isEqualTo(200);
-        assertThat(host.seen).as("and nothing was sent again").hasSize(6);
+        assertThat(client.answer().status()).as("the host is still in use").isEqualTo(200);
+        assertThat(host.received).as("no request was repeated").hasSize(6);
     }
 
     @Test
-    void idOfAnOpenRequestIsNotBorrowed() throws Exception {
+    void idOfAnOpenRequestIsRefusedForAnotherRequest() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             go.await();
-            return Host.ok(seen.body());
+            return Host.ok(request.body());
         });
         Sidecar sidecar = sidecar(host.port());
         Host.Client first = client(sidecar);
@@ -322,20 +322,20 @@
         assertThat(second.answer().status()).isEqualTo(409);
         go.countDown();
         assertThat(first.answer().body()).isEqualTo("mine");
-        assertThat(host.seen).isEmpty();
+        assertThat(host.received).isEmpty();
     }
 
     @Test
-    void reportThatCannotBeReadSpoilsNoAnswer() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done", "X-Load-Report: inflight=1\r\nX-Load-Report: ,=;\r\n"));
+    void malformedLoadReportDoesNotSpoilTheAnswer() throws Exception {
+        Host host = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=1\r\nX-Load-Report: ,=;\r\n"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().body()).isEqualTo("done");
     }
 
     @Test
-    void noAttemptWaitsLongerThanItsClassGrants() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+    void budgetIsLimitedByTheDeadlineOfTheClass() throws Exception {
+        Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900_000_000, ""));
         assertThat(Integer.parseInt(host.next().head().get("X-Budget-Ms"))).isLessThanOrEqualTo(20_000);
@@ -343,14 +343,14 @@
 
     @ParameterizedTest
     @CsvSource({"256,128,218", "1024,192,986", "1024,86,100", "384,32,4"})
-    void connectionsFitTheLimits(int sockets, int memoryMb, int most) {
+    void connectionLimitFollowsFromSocketsAndMemory(int sockets, int memoryMb, int maxConnections) {
         assertThat(new Sidecar.Options(null, null, null, 0, 1, sockets, memoryMb, null, null,
-                false).maxConnections()).isEqualTo(most);
+                false).maxConnections()).isEqualTo(maxConnections);
     }
 
     @Test
-    void connectionThatTheHostClosedIsNotWrittenTo() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done", "Connection: close\r\n"));
+    void connectionThatTheHostClosesIsNotReused() throws Exception {
+        Host host = host((head, request) -> Host.ok("done", "Connection: close\r\n"));
         Host.Client client = client(sidecar(host.port()));
         for (int i = 1; i <= 3; i++) {
             client.send(pay(i, 900, ""));
@@ -359,20 +359,20 @@
     }
 
     @Test
-    void idleConnectionIsClosedWellBeforeTheHostWould() throws Exception {
+    void idleUpstreamConnectionIsClosedAfterTheIdleTime() throws Exception {
         connIdleUs = 200_000;
-        Host host = host((head, seen) -> Host.ok("done"));
+        Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().status()).isEqualTo(200);
-        assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void atTheBoundIdleConnectionsMakeRoom() throws Exception {
+    void idleConnectionsAreEvictedAtTheConnectionLimit() throws Exception {
         sockets = 36;               // two connections on each side
-        Host first = host((head, seen) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
-        Host second = host((head, seen) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
+        Host first = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
+        Host second = host((head, request) -> Host.ok("done", "X-Load-Report: inflight=900\r\n"));
         Sidecar sidecar = sidecar(first.port(), second.port());
         Host.Client oldest = client(sidecar);
         for (int i = 1; i <= 5; i++) {
@@ -384,22 +384,22 @@
     }
 
     @Test
-    void clientThatLeavesTakesItsAttemptAlong() throws Exception {
-        Host host = host((head, seen) -> {
-            seen.socket().getInputStream().read();
+    void departureOfTheClientEndsTheAttempt() throws Exception {
+        Host host = host((head, request) -> {
+            request.socket().getInputStream().read();
             return null;
         });
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 60_000, ""));
         host.next();
         client.close();
-        assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-    void attemptWithoutAnswerFailsInTimeAndItsLateAnswerReachesNobody() throws Exception {
+    void attemptWithoutAnswerTimesOutAndItsLateAnswerIsDropped() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             if (head.get("Idempotency-Key").equals("k1")) {
                 late.await();
                 return Host.ok("late");
@@ -414,7 +414,7 @@
         late.countDown();
         Host.Answer answer;
         int id = 2;
-        do {                        // the host is spared for a while after the time-out
+        do {                        // the host is avoided for a while after the time-out
             client.send(pay(id, 900, ""));
             answer = client.answer();
             assertThat(answer.body()).isNotEqualTo("late");
@@ -426,9 +426,9 @@
     @Test
     void timeOutClosesTheIdleConnectionsToItsHost() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
-        Host host = host((head, seen) -> {
-            if (seen.body().equals("hang")) {
-                seen.socket().getInputStream().read();
+        Host host = host((head, request) -> {
+            if (request.body().equals("hang")) {
+                request.socket().getInputStream().read();
                 return null;
             }
             both.countDown();
@@ -445,16 +445,16 @@
         one.send(pay(3, 200, "hang"));
         assertThat(one.answer().status()).isEqualTo(504);
         for (int i = 0; i < 2; i++) {       // the one that hung, and the idle one
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     @Test
-    void attemptAtASilentHostIsCutAndAnotherServes() throws Exception {
+    void attemptAtASilentHostIsAbortedAndAnotherHostServes() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        Host.Script script = (head, seen) -> {
+        Host.Script script = (head, request) -> {
             if (calls.getAndIncrement() == 0) {
-                seen.socket().getInputStream().read();
+                request.socket().getInputStream().read();
                 return null;
             }
             return Host.ok("done");
@@ -465,22 +465,22 @@
         Host.Client client = client(sidecar(first.port(), second.port()));
         client.send(pay(1, 15_000, ""));
         assertThat(client.answer().status()).isEqualTo(200);
-        assertThat(List.of(first.seen.size(), second.seen.size())).containsExactly(1, 1);
+        assertThat(List.of(first.received.size(), second.received.size())).containsExactly(1, 1);
     }
 
     @Test
-    void whatMayHaveRunIsFailedAndNeverRefusedNorSentElsewhere() throws Exception {
-        Host first = host((head, seen) -> null);
-        Host second = host((head, seen) -> null);
+    void requestThatMayHaveRunFailsAndIsNeitherRefusedNorRetried() throws Exception {
+        Host first = host((head, request) -> null);
+        Host second = host((head, request) -> null);
         Host.Client client = client(sidecar(first.port(), second.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().status()).isEqualTo(502);
-        assertThat(first.seen.size() + second.seen.size()).isEqualTo(1);
+        assertThat(first.received.size() + second.received.size()).isEqualTo(1);
     }
 
     @Test
-    void whatNeverRanGoesToAnotherHostOrIsRefusedWithAPause() throws Exception {
-        Host busy = host((head, seen) -> "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
+    void requestThatNeverRanIsRetriedAndThenRefusedWithRetryAfter() throws Exception {
+        Host busy = host((head, request) -> "HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
         int nobody;
         try (ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             nobody = gone.getLocalPort();
@@ -490,26 +490,26 @@
         Host.Answer answer = client.answer();
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.head().get("Retry-After")).isEqualTo("0.25");
-        assertThat(busy.seen.size()).isEqualTo(1);
+        assertThat(busy.received.size()).isEqualTo(1);
     }
 
     @Test
-    void hostThatDrainsGetsNothingNew() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+    void drainingHostGetsNoNewRequests() throws Exception {
+        Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar(host.port()));
         client.send(pay(1, 900, ""));
         assertThat(client.answer().status()).isEqualTo(200);
         lists.add(list(false, target(0, host.port(), "DRAINING")));
-        // Its idle connection is closed with the news, once these are with the module.
-        assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        // Its idle connection is closed once the balancer has got the list.
+        assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         client.send(pay(2, 900, ""));
         assertThat(client.answer().status()).isEqualTo(503);
-        assertThat(host.seen.size()).isEqualTo(1);
+        assertThat(host.received.size()).isEqualTo(1);
     }
 
     @Test
-    void rubbishFromDiscoveryIsAFailedCallAndTheWatchBeginsAnew() throws Exception {
-        Host host = host((head, seen) -> Host.ok("done"));
+    void malformedListFailsTheDiscoveryCallAndTheNextCallSucceeds() throws Exception {
+        Host host = host((head, request) -> Host.ok("done"));
         Host.Client client = client(sidecar());
         lists.add("rubbish");
         lists.add(list(true, target(0, host.port(), "SERVING")));
@@ -522,9 +522,9 @@
     }
 
     @Test
-    void endingAnswersWhatIsHeldAndWhatComesLate() throws Exception {
+    void shutdownAnswersRequestsInProgressAndLateOnes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             if (head.get("Idempotency-Key").equals("k1")) {
                 go.await();
             }
@@ -552,29 +552,29 @@
         assertThat(answer.head().get("Connection")).isEqualTo("close");
         assertThat(held.atEnd()).isTrue();
         held.close();
-        assertThat(ended.await(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(ended.await(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
     }
 
-    private String managed(Sidecar sidecar, String call) throws IOException {
+    private String callManagement(Sidecar sidecar, String call) throws IOException {
         Host.Client caller = open(new Host.Client(sidecar.managementAddress()));
         caller.send(call + " HTTP/1.1\r\nHost: x\r\n\r\n");
         Host.Answer answer = caller.answer();
         return answer.status() + " " + answer.body();
     }
 
-    private long figure(Sidecar sidecar, String name) throws IOException {
-        return managed(sidecar, "GET /-/metrics").lines().filter(line -> line.startsWith(name + " ")).findFirst()
+    private long metric(Sidecar sidecar, String name) throws IOException {
+        return callManagement(sidecar, "GET /-/metrics").lines().filter(line -> line.startsWith(name + " ")).findFirst()
                 .map(line -> Long.parseLong(line.substring(name.length() + 1))).orElseThrow();
     }
 
-    /** Every ending there is, by several clients at once; then each figure against what clients and hosts saw. */
+    /** Several clients provoke every outcome at once; then each metric is compared with what clients and hosts saw. */
     @Test
-    void figuresAreWhatClientsAndHostsSaw() throws Exception {
+    void metricsMatchWhatClientsAndHostsSaw() throws Exception {
         isManaged = true;
         AtomicInteger written = new AtomicInteger();
-        Host.Script script = (head, seen) -> {
+        Host.Script script = (head, request) -> {
             written.incrementAndGet();
-            return switch (seen.body()) {
+            return switch (request.body()) {
                 case "error" -> "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
                 case "full" -> "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
                 case "reset" -> null;
@@ -584,7 +584,7 @@
         };
         Sidecar sidecar = sidecar(host(script).port(), host(script).port(), host(script).port());
         String[] bodies = {"good", "good", "good", "error", "full", "reset", "bad", "good"};
-        AtomicInteger[] told = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger()};
+        AtomicInteger[] answersByKind = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger()};
         List<Thread> threads = new ArrayList<>();
         for (int c = 0; c < 6; c++) {
             Thread thread = new Thread(() -> {
@@ -593,7 +593,7 @@
                     for (int i = 0; i < 400; i++) {
                         client.send(pay(i % 200, 5_000, bodies[i % bodies.length]));
                         int status = client.answer().status();
-                        told[status == 200 ? 0 : status == 503 ? 1 : 2].incrementAndGet();
+                        answersByKind[status == 200 ? 0 : status == 503 ? 1 : 2].incrementAndGet();
                     }
                     client.close();
                 } catch (IOException e) {
@@ -606,32 +606,32 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        assertThat(told[0].get() + told[1].get() + told[2].get()).isEqualTo(2_400);
+        assertThat(answersByKind[0].get() + answersByKind[1].get() + answersByKind[2].get()).isEqualTo(2_400);
         String label = "{priority=\"pay\"}";
-        assertThat(figure(sidecar, "svc_fulfilled_total" + label)).isEqualTo(told[0].get());
-        assertThat(figure(sidecar, "svc_throttled_total" + label)).isEqualTo(told[1].get());
-        assertThat(figure(sidecar, "svc_faulted_total" + label)).isEqualTo(told[2].get());
-        assertThat(figure(sidecar, "svc_relayed_total")).isEqualTo(written.get());
-        assertThat(figure(sidecar, "svc_open_requests")).isZero();
-        assertThat(figure(sidecar, "svc_registry_entries")).isEqualTo(3);
+        assertThat(metric(sidecar, "svc_fulfilled_total" + label)).isEqualTo(answersByKind[0].get());
+        assertThat(metric(sidecar, "svc_throttled_total" + label)).isEqualTo(answersByKind[1].get());
+        assertThat(metric(sidecar, "svc_faulted_total" + label)).isEqualTo(answersByKind[2].get());
+        assertThat(metric(sidecar, "svc_relayed_total")).isEqualTo(written.get());
+        assertThat(metric(sidecar, "svc_open_requests")).isZero();
+        assertThat(metric(sidecar, "svc_registry_entries")).isEqualTo(3);
         lists.add(list(false, target(0, 1, "DRAINING"), target(1, 1, "DELETED")));
-        while (figure(sidecar, "svc_registry_entries") != 2 || figure(sidecar, "svc_out_of_rotation") < 1) {
+        while (metric(sidecar, "svc_registry_entries") != 2 || metric(sidecar, "svc_out_of_rotation") < 1) {
             Thread.sleep(20);
         }
     }
 
     @Test
-    void drainedSidecarSendsItsClientsAwayAndTakesThemAgain() throws Exception {
+    void drainedSidecarDisconnectsItsClientsAndResumes() throws Exception {
         isManaged = true;
         CountDownLatch go = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             if (head.get("Idempotency-Key").equals("k1")) {
                 go.await();
             }
             return Host.ok("done");
         });
         Sidecar sidecar = sidecar(host.port());
-        assertThat(managed(sidecar, "GET /-/ready")).startsWith("200");
+        assertThat(callManagement(sidecar, "GET /-/ready")).startsWith("200");
         Host.Client idle = client(sidecar);
         idle.send(pay(2, 900, ""));
         assertThat(idle.answer().status()).isEqualTo(200);
@@ -639,23 +639,23 @@
         held.send(pay(1, 10_000, ""));
         assertThat(host.next().head().get("Idempotency-Key")).isEqualTo("k2");
         assertThat(host.next().head().get("Idempotency-Key")).isEqualTo("k1");
-        assertThat(figure(sidecar, "svc_open_requests")).isEqualTo(1);
-        assertThat(managed(sidecar, "PUT /-/drain")).startsWith("200");
-        assertThat(managed(sidecar, "GET /-/ready")).startsWith("503");
+        assertThat(metric(sidecar, "svc_open_requests")).isEqualTo(1);
+        assertThat(callManagement(sidecar, "PUT /-/drain")).startsWith("200");
+        assertThat(callManagement(sidecar, "GET /-/ready")).startsWith("503");
         Host.Client front = client(sidecar);
         front.send("GET /healthz HTTP/1.1\r\n\r\n");
         assertThat(front.answer().status()).isEqualTo(503);
         Host.Client late = client(sidecar);
         late.send(pay(3, 900, ""));
-        assertThat(late.answer().status()).as("what still comes is served").isEqualTo(200);
+        assertThat(late.answer().status()).as("late requests are still served").isEqualTo(200);
         assertThat(idle.atEnd()).isTrue();
         go.countDown();
         Host.Answer last = held.answer();
         assertThat(last.status()).isEqualTo(200);
         assertThat(last.head().get("Connection")).isEqualTo("close");
         assertThat(held.atEnd()).isTrue();
-        assertThat(managed(sidecar, "PUT /-/resume")).startsWith("200");
-        assertThat(managed(sidecar, "GET /-/ready")).startsWith("200");
+        assertThat(callManagement(sidecar, "PUT /-/resume")).startsWith("200");
+        assertThat(callManagement(sidecar, "GET /-/ready")).startsWith("200");
         Host.Client again = client(sidecar);
         for (int i = 4; i < 6; i++) {
             again.send(pay(i, 900, ""));
@@ -663,13 +663,11 @@
         }
     }
 
-    /**
-     * A deadline of 4 s and more outlasts the platform's patience: what was held then was cut off without an answer.
-     */
+    /** A deadline of 4 s or more outlasts the platform's limit, and such requests were cut off without an answer. */
     @Test
-    void whatIsHeldWhenTheTimeToEndIsOverFailsAndIsNotCutOff() throws Exception {
+    void requestInProgressAtTheEndOfTheShutdownGetsAFailure() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             never.await();
             return Host.ok("late");
         });
@@ -685,10 +683,10 @@
     }
 
     @Test
-    void classesComeAndGoWhileALegIsOut() throws Exception {
+    void reloadMayAddAndRemoveClassesDuringAnAttempt() throws Exception {
         isManaged = true;
         CountDownLatch go = new CountDownLatch(1);
-        Host host = host((head, seen) -> {
+        Host host = host((head, request) -> {
             if ("k1".equals(head.get("Idempotency-Key"))) {
                 go.await();
             }
@@ -698,15 +696,15 @@
         Host.Client held = client(sidecar);
         held.send(pay(1, 10_000, ""));
         host.next();
-        assertThat(sidecar.reload(plan(configuration.replace("\"name\": \"pay\"", "\"name\": \"buy\"")))).isEmpty();
+        assertThat(sidecar.reload(options(configuration.replace("\"name\": \"pay\"", "\"name\": \"buy\"")))).isEmpty();
         Host.Client client = client(sidecar);
         client.send(pay(2, 900, ""));
-        assertThat(client.answer().status()).as("a class that vanished").isEqualTo(400);
+        assertThat(client.answer().status()).as("a request of a removed class").isEqualTo(400);
         client.send(pay(3, 900, "").replace("/pay/", "/buy/"));
-        assertThat(client.answer().status()).as("one that appeared").isEqualTo(200);
+        assertThat(client.answer().status()).as("a request of an added class").isEqualTo(200);
         go.countDown();
-        assertThat(held.answer().status()).as("one under way").isEqualTo(200);
-        assertThat(figure(sidecar, "svc_fulfilled_total{priority=\"pay\"}")).isOne();
-        assertThat(figure(sidecar, "svc_fulfilled_total{priority=\"buy\"}")).isOne();
+        assertThat(held.answer().status()).as("a request in progress").isEqualTo(200);
+        assertThat(metric(sidecar, "svc_fulfilled_total{priority=\"pay\"}")).isOne();
+        assertThat(metric(sidecar, "svc_fulfilled_total{priority=\"buy\"}")).isOne();
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
+++ b/sidecar/src/test/java/dapplequay/net/StrayBytesTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What comes on an idle connection, or ends it, in the very moment in which an attempt takes it. */
+/** Bytes that arrive on an idle connection, or its end, just when an attempt takes the connection. */
 @Timeout(60)
 class StrayBytesTest {
     /** What a host does on its idle connection. */
-    enum Does { CLOSES, RESETS, SENDS }
+    enum HostAction { CLOSES, RESETS, SENDS }
 
     private static final String STRAY = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
 
@@ -31,33 +31,33 @@
     }
 
     /**
-     * The reading thread is held at the client's side of the answer before, when its connection is free already: the
-     * stray bytes lie with the system, and nobody has read them when the next attempt takes the connection.
+     * The reading thread is blocked while it reports the previous answer, and its connection is idle already: the stray
+     * bytes are unread in the socket when the next attempt takes the connection.
      */
     @ParameterizedTest
     @ValueSource(strings = {"H", "HTTP/1.1 20", STRAY})
-    void whatLiesUnreadIsNotTheNextAttemptsAnswer(String stray) throws Exception {
+    void unreadBytesAreNotTakenAsTheNextAttemptsAnswer(String stray) throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            rig.atEnd = ended -> {
-                rig.atEnd = next -> { };
+            rig.onAttemptEnd = ended -> {
+                rig.onAttemptEnd = next -> { };
                 await(go);
             };
-            Socket first = rig.served("s0", host).socket();
+            Socket first = rig.sendAndServe("s0", host).socket();
             write(first, stray);
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
-            rig.side.send(attempt);
+            rig.pool.send(attempt);
             go.countDown();
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).as("the first one is closed").isTrue();
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).as("the first one is closed").isTrue();
             assertThat(rig.ends).isEmpty();
         }
     }
 
-    private static void end(Socket socket, Does what, String stray) throws IOException {
-        switch (what) {
+    private static void perform(Socket socket, HostAction action, String stray) throws IOException {
+        switch (action) {
             case SENDS -> write(socket, stray);
             case RESETS -> {
                 socket.setSoLinger(true, 0);
@@ -76,172 +76,166 @@
     }
 
     /**
-     * The reading thread has seen the end, or stray bytes, and stands before the lock of the table in which its
-     * connection still is: there an attempt takes it. It never ran there, and goes out on another one.
+     * The reading thread has seen the end, or stray bytes, and is blocked on the lock of the pool, which still holds
+     * its connection. An attempt that takes it then never runs there, and is written to another connection.
      */
     @ParameterizedTest
-    @EnumSource(Does.class)
-    void anAttemptTakesAConnectionWhoseThreadHasJustSeenItsEnd(Does what) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    @EnumSource(HostAction.class)
+    void attemptOnAConnectionThatHasJustEndedIsWrittenToAnother(HostAction action) throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            Socket first = rig.served("s0", host).socket();
+            Socket first = rig.sendAndServe("s0", host).socket();
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
-            synchronized (rig.side) {
-                end(first, what, "HTTP/1.1 2");
+            synchronized (rig.pool) {
+                perform(first, action, "HTTP/1.1 2");
                 rig.awaitBlocked();
-                rig.side.send(attempt);
+                rig.pool.send(attempt);
             }
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
             rig.awaitThreads(1);
-            assertThat(rig.ends).as("told once").isEmpty();
+            assertThat(rig.ends).as("the end is reported once").isEmpty();
         }
     }
 
-    /** A second answer may come some milliseconds late: an attempt on that connection would be served with it. */
+    /** A second answer may come some milliseconds late, and would be taken as the answer of the next attempt. */
     @Test
-    void aConnectionIsNotUsedAgainWithinTheMillisecondsThatASecondAnswerMayBeLate() throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    void connectionIsNotReusedBeforeItHasSettled() throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            Socket first = rig.served("s0", host).socket();
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            Socket first = rig.sendAndServe("s0", host).socket();
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
-            assertThat(host.next().socket()).as("it has rested").isSameAs(first);
-            rig.now.addAndGet(15_000);
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
-            rig.awaitResting(1);
-            rig.passWithNobodyRested(4_999);
-            assertThat(host.seen).as("19.999 ms after its last answer").isEmpty();
-            rig.now.addAndGet(1);
+            assertThat(host.next().socket()).as("it has settled").isSameAs(first);
+            rig.nowUs.addAndGet(15_000);
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.awaitSettleWaits(1);
+            rig.advanceWhileSettling(4_999);
+            assertThat(host.received).as("19.999 ms after its last answer").isEmpty();
+            rig.nowUs.addAndGet(1);
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
             assertThat(host.next().socket()).as("20 ms after it, and no new one").isSameAs(first);
         }
     }
 
-    /** The first to have rested is waited for by one; the next waits for the other, and only the third opens one. */
+    /** Two attempts wait for one settling connection each, and only the third opens another connection. */
     @Test
-    void aRestingConnectionIsPromisedToOneAttempt() throws Exception {
+    void settlingConnectionIsReservedForOneAttempt() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        try (Host host = new Host((head, seen) -> {
+        try (Host host = new Host((head, request) -> {
             await(go);
             return Host.ok("done");
         })) {
             rig.list("SERVING", host.port());
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             List<Socket> used = List.of(host.next().socket(), host.next().socket());
             go.countDown();
             rig.next();
             rig.next();
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
-            rig.awaitResting(2);
-            rig.now.addAndGet(5_000);
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.awaitSettleWaits(2);
+            rig.nowUs.addAndGet(5_000);
             Attempt third = rig.attempt("s0", Long.MAX_VALUE);
-            rig.side.send(third);
+            rig.pool.send(third);
             assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(third, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotIn(used);
-            rig.now.addAndGet(UpstreamPool.SETTLE_US - 5_000);
+            rig.nowUs.addAndGet(UpstreamPool.SETTLE_US - 5_000);
             rig.next();
             rig.next();
             assertThat(List.of(host.next().socket(), host.next().socket())).containsExactlyInAnyOrderElementsOf(used);
         }
     }
 
-    /**
-     * The second answer comes while an attempt waits, or the end: it goes out on a new one, and its time begins there.
-     */
+    /** A second answer, or the end, comes while an attempt waits: the attempt goes to a new connection. */
     @ParameterizedTest
-    @EnumSource(Does.class)
-    void aConnectionThatEndsWhileALegWaitsForItIsNotUsed(Does what) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    @EnumSource(HostAction.class)
+    void connectionThatEndsWhileAnAttemptWaitsForItIsNotUsed(HostAction action) throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             rig.next();
             Socket first = host.next().socket();
-            rig.now.addAndGet(5_000);
+            rig.nowUs.addAndGet(5_000);
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
-            rig.side.send(attempt);
-            rig.awaitResting(1);
-            rig.passWithNobodyRested(10_000);
-            end(first, what, STRAY);
-            assertThat(rig.next()).as("before the rest is over").isEqualTo(
+            rig.pool.send(attempt);
+            rig.awaitSettleWaits(1);
+            rig.advanceWhileSettling(10_000);
+            perform(first, action, STRAY);
+            assertThat(rig.next()).as("before the first connection would have settled").isEqualTo(
                     new UpstreamRig.Ended(attempt, AttemptEnd.SERVED, "done"));
             assertThat(host.next().socket()).isNotSameAs(first);
             assertThat(attempt.durationUs(AttemptEnd.NOT_CONNECTED,
-                    rig.now.get())).as("what a failed connect would say").isZero();
-            assertThat(rig.ends).as("told once").isEmpty();
+                    rig.nowUs.get())).as("the attempt's time begins with the new connection").isZero();
+            assertThat(rig.ends).as("the end is reported once").isEmpty();
         }
     }
 
-    /**
-     * A cut while the attempt waits ends the wait; its host is not held against, and the connection is the next one's.
-     */
+    /** An abort ends the wait without blame for the host, and the connection remains for the next attempt. */
     @ParameterizedTest
     @EnumSource(value = AttemptEnd.class, names = {"GIVEN_UP", "TIMED_OUT", "SILENT"})
-    void anAttemptThatIsCutWhileItWaitsNeverRan(AttemptEnd why) throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    void attemptThatIsAbortedWhileItWaitsIsNotSent(AttemptEnd cause) throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             rig.next();
             Socket first = host.next().socket();
             Attempt attempt = rig.attempt("s0", Long.MAX_VALUE);
-            rig.side.send(attempt);
-            rig.awaitResting(1);
-            attempt.abort(why);
-            AttemptEnd told = why == AttemptEnd.GIVEN_UP ? why : AttemptEnd.NOT_SENT;
-            assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, told, null));
-            rig.now.addAndGet(UpstreamPool.SETTLE_US);
-            rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            rig.pool.send(attempt);
+            rig.awaitSettleWaits(1);
+            attempt.abort(cause);
+            AttemptEnd expected = cause == AttemptEnd.GIVEN_UP ? cause : AttemptEnd.NOT_SENT;
+            assertThat(rig.next()).isEqualTo(new UpstreamRig.Ended(attempt, expected, null));
+            rig.nowUs.addAndGet(UpstreamPool.SETTLE_US);
+            rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
-            assertThat(host.next().socket()).as("and nothing came before").isSameAs(first);
+            assertThat(host.next().socket()).as("the first request after the abort").isSameAs(first);
         }
     }
 
-    /** The news of a drain come between the answer and the return of its connection to the idle ones. */
+    /** The news of the drain comes between the answer and the return of its connection to the pool. */
     @Test
-    void aConnectionThatIsBeingFreedWhileItsHostBeginsToDrainIsClosed() throws Exception {
-        try (Host host = new Host((head, seen) -> Host.ok("done"))) {
+    void connectionReturnedWhileItsHostBeginsToDrainIsClosed() throws Exception {
+        try (Host host = new Host((head, request) -> Host.ok("done"))) {
             rig.list("SERVING", host.port());
-            Endpoints.Endpoint endpoint = rig.table.endpointOf("s0");
-            synchronized (rig.side) {
-                rig.side.send(rig.attempt("s0", Long.MAX_VALUE));
+            Endpoints.Endpoint endpoint = rig.endpoints.endpointOf("s0");
+            synchronized (rig.pool) {
+                rig.pool.send(rig.attempt("s0", Long.MAX_VALUE));
                 rig.awaitBlocked();
                 rig.list("DRAINING", host.port());
-                rig.side.closeIdle(List.of(endpoint));
+                rig.pool.closeIdle(List.of(endpoint));
             }
             assertThat(rig.next().end()).isEqualTo(AttemptEnd.SERVED);
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         }
     }
 
-    /**
-     * At a bound of one: each attempt evicts the other host's connection; none is used after that, nor counted twice.
-     */
+    /** With a limit of one connection, each attempt evicts the other host's; the limit counts no eviction twice. */
     @Test
-    void evictedConnectionsAreCountedOnceAndNotUsedAgain() throws Exception {
-        UpstreamRig one = new UpstreamRig(1);
+    void evictedConnectionsAreCountedOnceAndNotReused() throws Exception {
+        UpstreamRig smallRig = new UpstreamRig(1);
         CountDownLatch go = new CountDownLatch(1);
-        try (Host a = new Host((head, seen) -> Host.ok("a")); Host b = new Host((head, seen) -> Host.ok("b"));
-             Host silent = new Host((head, seen) -> {
+        try (Host a = new Host((head, request) -> Host.ok("a")); Host b = new Host((head, request) -> Host.ok("b"));
+             Host silent = new Host((head, request) -> {
                  go.await();
                  return Host.ok("late");
              })) {
-            one.list("SERVING", a.port(), b.port(), silent.port());
+            smallRig.list("SERVING", a.port(), b.port(), silent.port());
             for (int i : IntStream.range(0, 20).toArray()) {
-                one.side.send(one.attempt("s" + i % 2, Long.MAX_VALUE));
-                assertThat(one.next().body()).isEqualTo(i % 2 == 0 ? "a" : "b");
-                one.now.addAndGet(400_000);
+                smallRig.pool.send(smallRig.attempt("s" + i % 2, Long.MAX_VALUE));
+                assertThat(smallRig.next().body()).isEqualTo(i % 2 == 0 ? "a" : "b");
+                smallRig.nowUs.addAndGet(400_000);
             }
-            assertThat(List.of(a.seen.size(), b.seen.size())).containsExactly(10, 10);
-            one.side.closeAllIdle();
-            one.awaitThreads(0);
-            one.side.send(one.attempt("s2", Long.MAX_VALUE));
+            assertThat(List.of(a.received.size(), b.received.size())).containsExactly(10, 10);
+            smallRig.pool.closeAllIdle();
+            smallRig.awaitThreads(0);
+            smallRig.pool.send(smallRig.attempt("s2", Long.MAX_VALUE));
             silent.next();
-            one.side.send(one.attempt("s0", Long.MAX_VALUE));
-            assertThat(one.next().end()).as("there is room for one, and that is out").isEqualTo(AttemptEnd.NOT_SENT);
+            smallRig.pool.send(smallRig.attempt("s0", Long.MAX_VALUE));
+            assertThat(smallRig.next().end()).as("the one allowed connection is busy").isEqualTo(AttemptEnd.NOT_SENT);
             go.countDown();
-            assertThat(one.next().body()).isEqualTo("late");
+            assertThat(smallRig.next().body()).isEqualTo("late");
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
+++ b/sidecar/src/test/java/dapplequay/net/UpstreamPoolTest.java
@@ -57,7 +57,8 @@
     private static Attempt attempt(UpstreamPool pool) throws IOException {
         Head head = Head.parseRequest("POST /pay HTTP/1.1".getBytes(StandardCharsets.US_ASCII));
         ClientRequest request = new ClientRequest(head, new byte[0], null, "pay", null, null, 10_000_000);
-        return new Attempt(new UpstreamRig.Listening(1, request), new Decision.Send(0, "s1", 10_000_000), pool.now());
+        return new Attempt(new UpstreamRig.ConnectionlessExchange(1, request),
+                new Decision.Send(0, "s1", 10_000_000), pool.now());
     }
 
     /** Else bytes after a response would count as the next response; a new connection would cost the host time. */
@@ -75,7 +76,7 @@
             List<Socket> used = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 pool.send(attempt(pool));
-                assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
+                assertThat(ends.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
                 used.add(host.next().socket());
             }
             assertThat(receivedUs.get(1) - receivedUs.get(0)).isGreaterThanOrEqualTo(UpstreamPool.SETTLE_US);
@@ -108,7 +109,7 @@
                 }
                 answers.release(2);
                 for (int i = 0; i < 2; i++) {
-                    assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
+                    assertThat(ends.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.SERVED);
                 }
             }
             assertThat(used.get(1)).isNotSameAs(used.get(0));
@@ -132,9 +133,9 @@
             });
             UpstreamPool pool = pool(table, deadlines, ends);
             pool.send(attempt(pool));
-            assertThat(ends.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.NOT_SENT);
-            assertThat(host.closed.poll(Host.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-            assertThat(host.seen).isEmpty();
+            assertThat(ends.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isEqualTo(AttemptEnd.NOT_SENT);
+            assertThat(host.closed.poll(Host.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+            assertThat(host.received).isEmpty();
         }
     }
 }
