--- a/sidecar/src/test/java/dapplequay/cli/DescriptorsTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/DescriptorsTest.java
@@ -40,22 +40,24 @@
 class DescriptorsTest {
     private static final int DESCRIPTORS = 160;
     private static final int HOSTS = 4;
-    private static final int CROWD = 240;
-    private static final int CALLERS = 24;
-    private static final int ASKING = 8;
-    private static final long MS = 1_000_000;
-    private static final long BOUND_MS = 6_000 + 250;
-    private static final long WATCHED_MS = 1_000;
+    private static final int IDLE_CLIENTS = 240;
+    private static final int MANAGEMENT_CLIENTS = 24;
+    private static final int REQUESTING_CLIENTS = 8;
+    private static final long NS_PER_MS = 1_000_000;
+    private static final long DRAIN_BOUND_MS = 6_000 + 250;
+    private static final long LATE_REQUEST_WATCH_MS = 1_000;
     private static final long REFUSED_MS = 3_000;
     private static final long OVERLAP_MS = 3_000;
     /** From SIGTERM to SIGKILL: the longest deadline, and 0.7 s. */
-    private static final long KILLED_MS = 2_000 + 700;
+    private static final long SIGKILL_AFTER_MS = 2_000 + 700;
 
     @TempDir
     private Path folder;
     private final Queue<Socket> crowd = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger[] used = Stream.generate(AtomicInteger::new).limit(HOSTS).toArray(AtomicInteger[]::new);
-    private final AtomicInteger[] held = Stream.generate(AtomicInteger::new).limit(HOSTS).toArray(AtomicInteger[]::new);
+    private final AtomicInteger[] requestCounts = Stream.generate(AtomicInteger::new).limit(HOSTS)
+            .toArray(AtomicInteger[]::new);
+    private final AtomicInteger[] inflight = Stream.generate(AtomicInteger::new).limit(HOSTS)
+            .toArray(AtomicInteger[]::new);
     private final AtomicLong[] lastNs = Stream.generate(AtomicLong::new).limit(HOSTS).toArray(AtomicLong[]::new);
     private final AtomicInteger served = new AtomicInteger();
     private final Queue<String> unserved = new ConcurrentLinkedQueue<>();
@@ -65,23 +67,23 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final List<Program> programs = new ArrayList<>();
+    private final List<SidecarProcess> programs = new ArrayList<>();
     private volatile boolean stopped;
     private Load load;
-    private Hosts hosts;
+    private ScriptedServers hosts;
     private ScriptedDiscovery discovery;
-    private Program program;
+    private SidecarProcess program;
     private Path config;
     private String text;
-    private int listen;
-    private volatile int management;
-    private int most;
+    private int listenPort;
+    private volatile int managementPort;
+    private int mostDescriptors;
 
     @AfterEach
     void stopAll() throws IOException {
         stopped = true;
         threads.shutdownNow();
-        programs.forEach(Program::close);
+        programs.forEach(SidecarProcess::close);
         if (discovery != null) {
             discovery.close();
         }
@@ -93,12 +95,12 @@
 
     /** Counts, takes 20 ms so that several are out at once, each on a connection, and tells its load where it does. */
     private String answer(int host) throws InterruptedException {
-        used[host].incrementAndGet();
+        requestCounts[host].incrementAndGet();
         lastNs[host].set(System.nanoTime());
-        int inside = held[host].incrementAndGet();
+        int inside = inflight[host].incrementAndGet();
         Thread.sleep(20);
-        held[host].decrementAndGet();
-        return load.hostsTell ? "X-Load-Report: inflight=" + inside + "\r\n" : "";
+        inflight[host].decrementAndGet();
+        return load.hostsReportLoad ? "X-Load-Report: inflight=" + inside + "\r\n" : "";
     }
 
     private String quote(String more) {
@@ -116,20 +118,20 @@
     }
 
     /** Keeps its share of the crowd open: whom the sidecar closes comes again. */
-    private Void crowd(int share, IntSupplier port, List<Supplier<String>> texts) throws Exception {
-        List<Socket> mine = new ArrayList<>();
+    private Void keepClientsOpen(int share, IntSupplier port, List<Supplier<String>> texts) throws Exception {
+        List<Socket> ownSockets = new ArrayList<>();
         byte[] answer = new byte[4096];
-        int came = 0;
+        int connectionsMade = 0;
         while (!stopped) {
             for (int i = 0; i < share && !stopped; i++) {
                 try {
-                    if (i >= mine.size()) {
-                        Socket socket = connected(port.getAsInt(), texts.get(came++ % texts.size()).get());
-                        mine.add(socket);
+                    if (i >= ownSockets.size()) {
+                        Socket socket = connected(port.getAsInt(), texts.get(connectionsMade++ % texts.size()).get());
+                        ownSockets.add(socket);
                         crowd.add(socket);
                         continue;
                     }
-                    Socket socket = mine.get(i);
+                    Socket socket = ownSockets.get(i);
                     socket.setSoTimeout(1);
                     if (socket.getInputStream().read(answer) < 0) {
                         socket.close();
@@ -137,23 +139,23 @@
                 } catch (java.net.SocketTimeoutException e) {
                     continue;           // still open
                 } catch (IOException e) {
-                    if (i < mine.size()) {
-                        mine.get(i).close();
+                    if (i < ownSockets.size()) {
+                        ownSockets.get(i).close();
                     }
                 }
-                if (i < mine.size() && mine.get(i).isClosed()) {
-                    crowd.remove(mine.remove(i));
+                if (i < ownSockets.size() && ownSockets.get(i).isClosed()) {
+                    crowd.remove(ownSockets.remove(i));
                 }
             }
-            Thread.sleep(load.comesAgainMs);
+            Thread.sleep(load.reconnectAfterMs);
         }
         return null;
     }
 
     /** A client that asks, each time on a connection of its own. */
-    private Void ask() throws Exception {
+    private Void requestUntilStopped() throws Exception {
         while (!stopped) {
-            try (Socket socket = connected(listen, quote("Connection: close\r\n"))) {
+            try (Socket socket = connected(listenPort, quote("Connection: close\r\n"))) {
                 String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
                 if (answer.startsWith("HTTP/1.1 200")) {
                     served.incrementAndGet();
@@ -169,9 +171,9 @@
     }
 
     /** Of all processes together. */
-    private int descriptors() throws IOException {
+    private int openDescriptors() throws IOException {
         int sum = 0;
-        for (Program one : programs) {
+        for (SidecarProcess one : programs) {
             try (Stream<Path> open = Files.list(Path.of("/proc/" + one.process.pid() + "/fd"))) {
                 sum += (int) open.count();
             } catch (NoSuchFileException | UncheckedIOException e) {
@@ -182,135 +184,138 @@
     }
 
     /** Counts them until then, ns. */
-    private void look(long until) throws Exception {
+    private void trackDescriptors(long until) throws Exception {
         while (System.nanoTime() < until) {
-            most = Math.max(most, descriptors());
+            mostDescriptors = Math.max(mostDescriptors, openDescriptors());
             Thread.sleep(5);
         }
     }
 
-    private int shown(String path) throws IOException {
-        return program.call("GET " + path);
+    private int managementStatus(String path) throws IOException {
+        return program.managementStatus("GET " + path);
     }
 
     private void configure() throws IOException {
-        hosts = new Hosts(HOSTS, (host, head) -> answer(host));
+        hosts = new ScriptedServers(HOSTS, (host, head) -> answer(host));
         discovery = new ScriptedDiscovery(hosts.ports(), false);
         text = Files.readString(Path.of("example/config.json"))
-                .replace("127.0.0.1:7070", "127.0.0.1:" + listen)
+                .replace("127.0.0.1:7070", "127.0.0.1:" + listenPort)
                 .replace("127.0.0.1:8500", discovery.address())
                 .replace("\"sockets\": 1024", "\"sockets\": " + DESCRIPTORS)
                 .replaceAll("\"quota_per_s\": [0-9.]+", "\"quota_per_s\": 2000.0")
                 .replace("\"ask_within_us\": 10000000", "\"drain_grace_us\": 250000, \"ask_within_us\": 30000000")
-                .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + discovery.whole() + ",");
+                .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + discovery.wholeList() + ",");
         config = Files.writeString(folder.resolve("config.json"), text);
     }
 
     /** The process that the figures are of from now on. */
-    private Program start(ServerSocketChannel door) throws Exception {
-        management = Program.freePort();
-        program = new Program(config, door, management, false,
+    private SidecarProcess start(ServerSocketChannel listeningSocket) throws Exception {
+        managementPort = SidecarProcess.freePort();
+        program = new SidecarProcess(config, listeningSocket, managementPort, false,
                 List.of("sh", "-c", "ulimit -n " + DESCRIPTORS + "; exec \"$@\"", "sh"));
         programs.add(program);
         return program.awaitReady();
     }
 
-    private void fill(int open) throws Exception {
-        Program.await("watches", discovery::isWatched);
+    private void fillDescriptors(int open) throws Exception {
+        SidecarProcess.await("watches", discovery::isWatched);
         List<Supplier<String>> texts = List.of(() -> "", () -> "GET /quote/1 HTTP/1.1\r\nX-Caller: sh",
                 () -> quote(""));
         for (int i = 0; i < 4; i++) {
-            threads.submit(() -> crowd(CROWD / 4, () -> listen, texts));
+            threads.submit(() -> keepClientsOpen(IDLE_CLIENTS / 4, () -> listenPort, texts));
         }
-        threads.submit(() -> crowd(CALLERS, () -> management, List.of(() -> "", () -> "GET /-/rea")));
-        for (int i = 0; i < ASKING; i++) {
-            threads.submit(this::ask);
+        threads.submit(() -> keepClientsOpen(MANAGEMENT_CLIENTS, () -> managementPort,
+                List.of(() -> "", () -> "GET /-/rea")));
+        for (int i = 0; i < REQUESTING_CLIENTS; i++) {
+            threads.submit(this::requestUntilStopped);
         }
-        Program.await("full", () -> crowd.size() >= (CROWD + CALLERS) * 3 / 4 && descriptors() > open);
+        SidecarProcess.await("full", () -> crowd.size() >= (IDLE_CLIENTS + MANAGEMENT_CLIENTS) * 3 / 4
+                && openDescriptors() > open);
     }
 
     /** Discovery comes back with the drain of the host that was used most. */
-    private void comeBack() throws Exception {
+    private void returnAndCheckDrain() throws Exception {
         int drained = 0;
         for (int i = 0; i < HOSTS; i++) {
-            drained = used[i].get() > used[drained].get() ? i : drained;
+            drained = requestCounts[i].get() > requestCounts[drained].get() ? i : drained;
         }
         int servedBefore = served.get();
-        long returnedNs = discovery.returnWith(drained);
-        look(returnedNs + (BOUND_MS + WATCHED_MS) * MS);
-        assertThat((discovery.toldNs() - returnedNs) / MS).as("told, ms after the return").isLessThan(6_000);
-        assertThat((lastNs[drained].get() - returnedNs) / MS).as("last request to the drained host, ms")
-                .isLessThan(BOUND_MS);
+        long returnedNs = discovery.restoreWithDraining(drained);
+        trackDescriptors(returnedNs + (DRAIN_BOUND_MS + LATE_REQUEST_WATCH_MS) * NS_PER_MS);
+        assertThat((discovery.informedNs() - returnedNs) / NS_PER_MS).as("told, ms after the return").isLessThan(6_000);
+        assertThat((lastNs[drained].get() - returnedNs) / NS_PER_MS).as("last request to the drained host, ms")
+                .isLessThan(DRAIN_BOUND_MS);
         if (load == Load.RESTING && programs.size() == 1) {
             assertThat(served.get() - servedBefore).as("served since the return").isGreaterThan(100);
         }
         // Behind those who come again at once, or two processes' crowds, it is a matter of the machine how soon.
-        Program.await("100 served since the return", () -> served.get() - servedBefore > 100);
+        SidecarProcess.await("100 served since the return", () -> served.get() - servedBefore > 100);
         assertThat(unserved.size()).as("not served: %s", unserved).isLessThanOrEqualTo(served.get() / 10);
-        assertThat(shown("/-/ready")).isEqualTo(200);
-        assertThat(most).as("descriptors at the most, of %s", DESCRIPTORS).isLessThan(DESCRIPTORS);
+        assertThat(managementStatus("/-/ready")).isEqualTo(200);
+        assertThat(mostDescriptors).as("descriptors at the most, of %s", DESCRIPTORS).isLessThan(DESCRIPTORS);
         assertThat(programs).flatExtracting(one -> one.log).noneMatch(line -> line.contains("Too many open files")
                 || line.contains("could not be accepted"));
     }
 
     private enum Load {
-        RESTING(250, false, false), AT_ONCE(0, false, false), AT_ONCE_HOSTS_TELL(0, true, true);
+        RESTING(250, false, false), AT_ONCE(0, false, false), AT_ONCE_WITH_REPORTS(0, true, true);
 
-        private final long comesAgainMs;
+        private final long reconnectAfterMs;
         private final boolean oneTenant;
-        private final boolean hostsTell;
+        private final boolean hostsReportLoad;
 
-        Load(long comesAgainMs, boolean oneTenant, boolean hostsTell) {
-            this.comesAgainMs = comesAgainMs;
+        Load(long reconnectAfterMs, boolean oneTenant, boolean hostsReportLoad) {
+            this.reconnectAfterMs = reconnectAfterMs;
             this.oneTenant = oneTenant;
-            this.hostsTell = hostsTell;
+            this.hostsReportLoad = hostsReportLoad;
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void whatTheProcessNeedsIsThereThoughClientsTakeAllElse(Load of) throws Exception {
+    void theProcessKeepsTheDescriptorsItNeedsUnderACrowdOfClients(Load of) throws Exception {
         load = of;
-        listen = Program.freePort();
+        listenPort = SidecarProcess.freePort();
         configure();
         start(null);
-        fill(DESCRIPTORS / 2);
+        fillDescriptors(DESCRIPTORS / 2);
         discovery.refuse();
-        look(System.nanoTime() + REFUSED_MS * MS);
-        assertThat(shown("/-/metrics")).isEqualTo(200);
+        trackDescriptors(System.nanoTime() + REFUSED_MS * NS_PER_MS);
+        assertThat(managementStatus("/-/metrics")).isEqualTo(200);
         Files.writeString(config, text.replace("\"send_cap\": 3", "\"send_cap\": 4"));
         program.signal("HUP");
         program.awaitLog("read again");
-        comeBack();
+        returnAndCheckDrain();
     }
 
     /** To limits both processes are one. */
     @Test
-    void aSuccessorFindsWhatItNeedsThoughClientsHoldAllElseOfBoth() throws Exception {
+    void aSuccessorHasTheDescriptorsItNeedsUnderACrowdOfClients() throws Exception {
         load = Load.RESTING;
-        try (ServerSocketChannel door = Program.platformSocket()) {
-            listen = ((InetSocketAddress) door.getLocalAddress()).getPort();
+        try (ServerSocketChannel listeningSocket = SidecarProcess.platformSocket()) {
+            listenPort = ((InetSocketAddress) listeningSocket.getLocalAddress()).getPort();
             configure();
-            Program old = start(door);
-            fill(DESCRIPTORS * 3 / 8);      // of its half
+            SidecarProcess old = start(listeningSocket);
+            fillDescriptors(DESCRIPTORS * 3 / 8);      // of its half
             discovery.refuse();
             int servedBefore = served.get();
             long begunNs = System.nanoTime();
-            start(door);
-            assertThat((System.nanoTime() - begunNs) / MS).as("ready, ms after its start").isLessThan(10_000);
-            assertThat(old.call("GET /-/ready")).isEqualTo(200);
-            look(System.nanoTime() + OVERLAP_MS * MS);
-            assertThat(shown("/-/metrics")).isEqualTo(200);
-            Program.await("100 served with both", () -> served.get() - servedBefore > 100);
+            start(listeningSocket);
+            assertThat((System.nanoTime() - begunNs) / NS_PER_MS).as("ready, ms after its start").isLessThan(10_000);
+            assertThat(old.managementStatus("GET /-/ready")).isEqualTo(200);
+            trackDescriptors(System.nanoTime() + OVERLAP_MS * NS_PER_MS);
+            assertThat(managementStatus("/-/metrics")).isEqualTo(200);
+            SidecarProcess.await("100 served with both", () -> served.get() - servedBefore > 100);
             old.signal("TERM");
-            long toldNs = System.nanoTime();
+            long sigtermNs = System.nanoTime();
             while (old.process.isAlive()) {
-                look(System.nanoTime() + 10 * MS);
-                assertThat((System.nanoTime() - toldNs) / MS).as("still there, ms after SIGTERM").isLessThan(KILLED_MS);
+                trackDescriptors(System.nanoTime() + 10 * NS_PER_MS);
+                assertThat((System.nanoTime() - sigtermNs) / NS_PER_MS).as("still there, ms after SIGTERM")
+                        .isLessThan(SIGKILL_AFTER_MS);
             }
-            look(toldNs + REFUSED_MS * MS);
-            comeBack();
-            assertThat(program.ask("GET /-/metrics")).containsPattern("svc_relayed_total [1-9]");
+            trackDescriptors(sigtermNs + REFUSED_MS * NS_PER_MS);
+            returnAndCheckDrain();
+            assertThat(program.managementResponse("GET /-/metrics")).containsPattern("svc_relayed_total [1-9]");
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/DiscoveryClockTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/DiscoveryClockTest.java
@@ -33,22 +33,22 @@
 @Timeout(120)
 class DiscoveryClockTest {
     private static final int HOSTS = 4;
-    private static final long MS = 1_000_000;
+    private static final long NS_PER_MS = 1_000_000;
     /** What a sidecar has beyond the drain's grace. */
-    private static final long BEYOND_GRACE_MS = 50;
+    private static final long ALLOWANCE_MS = 50;
     /** For a busy machine; less than a call that waits on, or a back-off, takes. */
     private static final long SLACK_MS = 300;
     /** For so long after that a request that comes too late would be seen. */
-    private static final long WATCHED_MS = 1_200;
-    private static final long MOVED_MS = 4_000;
-    private static final int ENOUGH = 40;
+    private static final long LATE_REQUEST_WATCH_MS = 1_200;
+    private static final long INFORMED_AFTER_MOVE_MS = 4_000;
+    private static final int MIN_REQUESTS = 40;
 
     @TempDir
     private static Path folder;
     private static final List<HttpServer> hosts = new ArrayList<>();
     private static final List<Integer> ports = new ArrayList<>();
     private static final List<ScriptedDiscovery> discoveries = new ArrayList<>();
-    private static final List<Unit> units = new ArrayList<>();
+    private static final List<SidecarCase> cases = new ArrayList<>();
     private static final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
@@ -63,20 +63,20 @@
     private record Arrival(int host, long ns) { }
 
     /** One sidecar with its discovery and its load. */
-    private static final class Unit {
+    private static final class SidecarCase {
         private final String name;
         private final boolean pushed;
         private final long graceMs;
         private final Path config;
-        private final ServerSocketChannel door = Program.platformSocket();
+        private final ServerSocketChannel listeningSocket = SidecarProcess.platformSocket();
         private final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
         private final QuoteLoad load;
-        private final Program program;
+        private final SidecarProcess program;
         private ScriptedDiscovery discovery;
         private int host;
         private long drainedNs;
 
-        Unit(int number, boolean pushed, long graceMs, long askWithinMs) throws Exception {
+        SidecarCase(int number, boolean pushed, long graceMs, long askWithinMs) throws Exception {
             this.pushed = pushed;
             this.graceMs = graceMs;
             name = "sidecar " + number + (pushed ? ", pushed" : ", on request");
@@ -89,11 +89,11 @@
                     .replace("\"on_request\"", pushed ? "\"pushed\"" : "\"on_request\"")
                     .replace("\"ask_within_us\": 10000000",
                             "\"drain_grace_us\": " + graceMs + "000, \"ask_within_us\": " + askWithinMs + "000")
-                    .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + discovery.whole() + ",");
+                    .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + discovery.wholeList() + ",");
             config = Files.writeString(folder.resolve("config" + number + ".json"), text);
-            program = new Program(config, door, Program.freePort());
-            load = new QuoteLoad(door, units.size(), 10);
-            units.add(this);
+            program = new SidecarProcess(config, listeningSocket, SidecarProcess.freePort());
+            load = new QuoteLoad(listeningSocket, cases.size(), 10);
+            cases.add(this);
         }
 
         private ScriptedDiscovery discovery() throws IOException {
@@ -102,10 +102,10 @@
         }
 
         /** Waits for a watch and for load on hosts that serve; the one with most of it is the host to drain. */
-        void choose() throws Exception {
-            Program.await(name + " watches", () -> discovery.isWatched());
+        void selectHostToDrain() throws Exception {
+            SidecarProcess.await(name + " watches", () -> discovery.isWatched());
             arrivals.clear();
-            Program.await(name + " serves", () -> arrivals.size() >= ENOUGH);
+            SidecarProcess.await(name + " serves", () -> arrivals.size() >= MIN_REQUESTS);
             int[] counts = new int[HOSTS];
             arrivals.forEach(arrival -> counts[arrival.host]++);
             for (int i = 0; i < HOSTS; i++) {
@@ -118,52 +118,56 @@
 
         void drain() {
             drainedNs = System.nanoTime();
-            discovery.tell(host, "DRAINING");
+            discovery.setState(host, "DRAINING");
         }
 
         /** Another discovery, whose first call stays silent; what it has counts this long after the signal. */
-        void move() throws Exception {
+        void moveDiscovery() throws Exception {
             ScriptedDiscovery next = discovery();
             next.silenceNext(1);
             Files.writeString(config, Files.readString(config).replace(discovery.address(), next.address()));
             discovery = next;
             drain();
-            next.countsFrom(drainedNs + MOVED_MS * MS);
+            next.informedNoLaterThan(drainedNs + INFORMED_AFTER_MOVE_MS * NS_PER_MS);
             program.signal("HUP");
         }
 
         long allowedMs() {
-            return graceMs + BEYOND_GRACE_MS + SLACK_MS;
+            return graceMs + ALLOWANCE_MS + SLACK_MS;
         }
 
         boolean isOver() {
-            long toldNs = discovery.toldNs();
-            return toldNs != Long.MAX_VALUE && System.nanoTime() - toldNs > (allowedMs() + WATCHED_MS) * MS;
+            long informedNs = discovery.informedNs();
+            return informedNs != Long.MAX_VALUE
+                    && System.nanoTime() - informedNs > (allowedMs() + LATE_REQUEST_WATCH_MS) * NS_PER_MS;
         }
 
-        private LongStream drained() {
+        private LongStream arrivalsAfterDrain() {
             return arrivals.stream().filter(a -> a.host == host && a.ns > drainedNs).mapToLong(Arrival::ns);
         }
 
         void check(SoftAssertions softly) {
-            long toldNs = discovery.toldNs();
-            String about = name + ", told after " + (toldNs - drainedNs) / MS + " ms";
-            softly.assertThat(drained().filter(ns -> ns < toldNs).count()).as("%s: used untold", about).isPositive();
-            softly.assertThat((drained().max().orElse(toldNs) - toldNs) / MS).as("%s: last request, ms later", about)
+            long informedNs = discovery.informedNs();
+            String description = name + ", told after " + (informedNs - drainedNs) / NS_PER_MS + " ms";
+            softly.assertThat(arrivalsAfterDrain().filter(ns -> ns < informedNs).count())
+                    .as("%s: used untold", description).isPositive();
+            softly.assertThat((arrivalsAfterDrain().max().orElse(informedNs) - informedNs) / NS_PER_MS)
+                    .as("%s: last request, ms later", description)
                     .isLessThanOrEqualTo(allowedMs());
-            softly.assertThat(load.served).as("%s: served", about).hasSizeGreaterThan(ENOUGH);
-            softly.assertThat(load.unserved).as("%s: not served", about).hasSizeLessThanOrEqualTo(load.served.size() / 50);
+            softly.assertThat(load.served).as("%s: served", description).hasSizeGreaterThan(MIN_REQUESTS);
+            softly.assertThat(load.unserved).as("%s: not served", description)
+                    .hasSizeLessThanOrEqualTo(load.served.size() / 50);
         }
 
-        void settle() throws Exception {
-            discovery.tell(host, "SERVING");
-            discovery.settle();
+        void restoreDiscovery() throws Exception {
+            discovery.setState(host, "SERVING");
+            discovery.clearFaults();
         }
 
         void close() throws IOException {
             load.stop();
             program.close();
-            door.close();
+            listeningSocket.close();
         }
     }
 
@@ -174,7 +178,7 @@
             HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
             server.createContext("/quote/", exchange -> {
                 String path = exchange.getRequestURI().getPath();
-                units.get(path.charAt(path.length() - 1) - '0').arrivals.add(new Arrival(host, System.nanoTime()));
+                cases.get(path.charAt(path.length() - 1) - '0').arrivals.add(new Arrival(host, System.nanoTime()));
                 exchange.sendResponseHeaders(200, 4);
                 exchange.getResponseBody().write(new byte[] {'d', 'o', 'n', 'e'});
                 exchange.close();
@@ -184,20 +188,20 @@
             hosts.add(server);
             ports.add(server.getAddress().getPort());
         }
-        new Unit(0, false, 100, 3_000);
-        new Unit(1, true, 300, 10_000);
-        new Unit(2, false, 120, 4_000);
-        new Unit(3, true, 400, 3_000);
-        for (Unit unit : units) {
-            unit.program.awaitReady();
-            threads.submit(unit.load::run);
+        new SidecarCase(0, false, 100, 3_000);
+        new SidecarCase(1, true, 300, 10_000);
+        new SidecarCase(2, false, 120, 4_000);
+        new SidecarCase(3, true, 400, 3_000);
+        for (SidecarCase sidecarCase : cases) {
+            sidecarCase.program.awaitReady();
+            threads.submit(sidecarCase.load::run);
         }
     }
 
     @AfterAll
     static void stopAll() throws IOException {
-        for (Unit unit : units) {
-            unit.close();
+        for (SidecarCase sidecarCase : cases) {
+            sidecarCase.close();
         }
         for (ScriptedDiscovery discovery : discoveries) {
             discovery.close();
@@ -207,56 +211,56 @@
 
     @ParameterizedTest
     @EnumSource
-    void aDrainHoldsByTheClockThoughTheWatchIsBroken(Fault fault) throws Exception {
-        for (Unit unit : units) {
-            unit.choose();
+    void aDrainTakesEffectInTimeThoughTheWatchIsBroken(Fault fault) throws Exception {
+        for (SidecarCase sidecarCase : cases) {
+            sidecarCase.selectHostToDrain();
         }
         try {
             breakAndDrain(fault);
-            Program.await("the clock has run out", () -> units.stream().allMatch(Unit::isOver));
+            SidecarProcess.await("the clock has run out", () -> cases.stream().allMatch(SidecarCase::isOver));
             SoftAssertions softly = new SoftAssertions();
-            units.forEach(unit -> unit.check(softly));
+            cases.forEach(sidecarCase -> sidecarCase.check(softly));
             softly.assertAll();
         } finally {
-            for (Unit unit : units) {
-                unit.settle();
+            for (SidecarCase sidecarCase : cases) {
+                sidecarCase.restoreDiscovery();
             }
         }
     }
 
     private void breakAndDrain(Fault fault) throws Exception {
         switch (fault) {
-            case SILENT_WATCH -> behave(Mode.SILENT, Mode.ANSWER);
+            case SILENT_WATCH -> setModes(Mode.SILENT, Mode.ANSWER);
             case SILENT_TWICE -> {
-                units.forEach(unit -> unit.discovery.silenceNext(1));
-                behave(Mode.SILENT, Mode.ANSWER);
+                cases.forEach(sidecarCase -> sidecarCase.discovery.silenceNext(1));
+                setModes(Mode.SILENT, Mode.ANSWER);
             }
-            case DRIPPING_ANSWER -> behave(Mode.DRIP, Mode.ANSWER);
-            case HALF_AN_ANSWER -> behave(Mode.HALF, Mode.ANSWER);
-            case DOWN_FOR_A_WHILE -> behave(Mode.SILENT, Mode.SILENT);
+            case DRIPPING_ANSWER -> setModes(Mode.DRIP, Mode.ANSWER);
+            case HALF_AN_ANSWER -> setModes(Mode.HALF, Mode.ANSWER);
+            case DOWN_FOR_A_WHILE -> setModes(Mode.SILENT, Mode.SILENT);
             case RESET_THEN_REFUSED -> {
-                for (Unit unit : units) {
-                    unit.discovery.refuse();
+                for (SidecarCase sidecarCase : cases) {
+                    sidecarCase.discovery.refuse();
                 }
             }
             case MOVED_TO_A_SILENT_ONE -> {
-                for (Unit unit : units) {
-                    unit.move();
+                for (SidecarCase sidecarCase : cases) {
+                    sidecarCase.moveDiscovery();
                 }
                 return;
             }
             default -> throw new IllegalArgumentException(fault.name());
         }
-        units.forEach(Unit::drain);
+        cases.forEach(SidecarCase::drain);
         if (fault == Fault.RESET_THEN_REFUSED || fault == Fault.DOWN_FOR_A_WHILE) {
             Thread.sleep(2_500);        // longer than a call of an agent's or a back-off lasts
-            for (Unit unit : units) {
-                unit.discovery.back();
+            for (SidecarCase sidecarCase : cases) {
+                sidecarCase.discovery.restore();
             }
         }
     }
 
-    private static void behave(Mode open, Mode fresh) {
-        units.forEach(unit -> unit.discovery.behave(open, fresh));
+    private static void setModes(Mode openConnections, Mode newConnections) {
+        cases.forEach(sidecarCase -> sidecarCase.discovery.setModes(openConnections, newConnections));
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/DiscoveryReturnTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/DiscoveryReturnTest.java
@@ -29,22 +29,22 @@
 @Timeout(120)
 class DiscoveryReturnTest {
     private static final int HOSTS = 4;
-    private static final long MS = 1_000_000;
-    private static final long COUNTS_MS = 6_000;
+    private static final long NS_PER_MS = 1_000_000;
+    private static final long INFORMED_WITHIN_MS = 6_000;
     /** What a sidecar has beyond any limit, and the noise of a busy machine. */
     private static final long SLACK_MS = 50 + 200;
     /** For so long after that a request that comes too late would be seen. */
-    private static final long WATCHED_MS = 1_000;
-    private static final int ENOUGH = 40;
+    private static final long LATE_REQUEST_WATCH_MS = 1_000;
+    private static final int MIN_REQUESTS = 40;
     /** Back-off that doubles from a second is over 6 s then. */
-    private static final int MANY = 5;
+    private static final int MANY_FAILURES = 5;
     private static final long REFUSED_MS = 9_000;
 
     @TempDir
     private static Path folder;
     private static final List<HttpServer> hosts = new ArrayList<>();
     private static final List<Integer> ports = new ArrayList<>();
-    private static final List<Unit> units = new ArrayList<>();
+    private static final List<SidecarCase> cases = new ArrayList<>();
     private static final ExecutorService threads = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
@@ -56,18 +56,18 @@
     private record Arrival(int host, long ns) { }
 
     /** One sidecar with its discovery, its load and its fault. */
-    private static final class Unit {
+    private static final class SidecarCase {
         private final Fault fault;
         private final String name;
-        private final ServerSocketChannel door = Program.platformSocket();
+        private final ServerSocketChannel listeningSocket = SidecarProcess.platformSocket();
         private final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
         private final QuoteLoad load;
         private final ScriptedDiscovery discovery;
-        private final Program program;
+        private final SidecarProcess program;
         private int host;
         private long returnedNs;
 
-        Unit(Fault fault, boolean pushed) throws Exception {
+        SidecarCase(Fault fault, boolean pushed) throws Exception {
             this.fault = fault;
             name = fault + (pushed ? " of an agent" : "");
             discovery = new ScriptedDiscovery(ports, pushed);
@@ -76,23 +76,24 @@
                     .replace("\"quota_per_s\": 20.0", "\"quota_per_s\": 2000.0")
                     .replace("\"on_request\"", pushed ? "\"pushed\"" : "\"on_request\"")
                     .replace("\"ask_within_us\": 10000000", "\"drain_grace_us\": 250000, \"ask_within_us\": 30000000")
-                    .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + discovery.whole() + ",");
-            program = new Program(Files.writeString(folder.resolve(units.size() + ".json"), text), door,
-                    Program.freePort());
-            load = new QuoteLoad(door, units.size(), 15);
-            units.add(this);
+                    .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + discovery.wholeList() + ",");
+            program = new SidecarProcess(Files.writeString(folder.resolve(cases.size() + ".json"), text),
+                    listeningSocket,
+                    SidecarProcess.freePort());
+            load = new QuoteLoad(listeningSocket, cases.size(), 15);
+            cases.add(this);
         }
 
         /** Waits for a watch and for load; the host that has most of it will drain. */
-        Void play() throws Exception {
+        Void playFault() throws Exception {
             program.awaitReady();
             threads.submit(load::run);
-            for (int i = 0; i < MANY; i++) {        // versions that a discovery without its count falls behind
-                discovery.tell(0, "SERVING");
+            for (int i = 0; i < MANY_FAILURES; i++) {        // versions that a discovery without its count falls behind
+                discovery.setState(0, "SERVING");
             }
-            Program.await(name + " watches", discovery::isWatched);
+            SidecarProcess.await(name + " watches", discovery::isWatched);
             arrivals.clear();
-            Program.await(name + " serves", () -> arrivals.size() >= ENOUGH);
+            SidecarProcess.await(name + " serves", () -> arrivals.size() >= MIN_REQUESTS);
             int[] counts = new int[HOSTS];
             arrivals.forEach(arrival -> counts[arrival.host]++);
             for (int i = 0; i < HOSTS; i++) {
@@ -100,55 +101,58 @@
             }
             load.served.clear();
             load.unserved.clear();
-            fail();
-            returnedNs = discovery.returnWith(host);
-            Program.await(name + " is over",
-                    () -> System.nanoTime() - returnedNs > (COUNTS_MS + SLACK_MS + WATCHED_MS) * MS);
+            injectFault();
+            returnedNs = discovery.restoreWithDraining(host);
+            SidecarProcess.await(name + " is over",
+                    () -> System.nanoTime() - returnedNs > (INFORMED_WITHIN_MS + SLACK_MS
+                            + LATE_REQUEST_WATCH_MS) * NS_PER_MS);
             return null;
         }
 
-        private void fail() throws Exception {
+        private void injectFault() throws Exception {
             switch (fault) {
                 case REFUSED -> {
                     discovery.refuse();
                     Thread.sleep(REFUSED_MS);       // nobody sees a call that is refused
                 }
-                case SILENT -> failing(Mode.SILENT, 2);
+                case SILENT -> awaitFailures(Mode.SILENT, 2);
                 case RESET_THEN_SILENT -> {
-                    failing(Mode.RESET, MANY);
-                    failing(Mode.SILENT, 1);
+                    awaitFailures(Mode.RESET, MANY_FAILURES);
+                    awaitFailures(Mode.SILENT, 1);
                 }
                 case LOST_COUNT -> {
-                    failing(Mode.RESET, 1);
-                    discovery.loseCount();
+                    awaitFailures(Mode.RESET, 1);
+                    discovery.restartVersions();
                 }
-                default -> failing(Mode.valueOf(fault.name()), MANY);
+                default -> awaitFailures(Mode.valueOf(fault.name()), MANY_FAILURES);
             }
         }
 
         /** Until so many more calls have failed; the open one is reset where the next ones are to hang. */
-        private void failing(Mode mode, int calls) throws Exception {
+        private void awaitFailures(Mode mode, int calls) throws Exception {
             int before = discovery.failures();
-            discovery.behave(mode == Mode.SILENT ? Mode.RESET : mode, mode);
-            int open = mode == Mode.SILENT && before == 0 ? 1 : 0;
-            Program.await(name + " has failed", () -> discovery.failures() >= before + open + calls
+            discovery.setModes(mode == Mode.SILENT ? Mode.RESET : mode, mode);
+            int openConnections = mode == Mode.SILENT && before == 0 ? 1 : 0;
+            SidecarProcess.await(name + " has failed", () -> discovery.failures() >= before + openConnections + calls
                     && (mode != Mode.SILENT || discovery.isHanging()));
         }
 
         void check(SoftAssertions softly) {
-            long last = arrivals.stream().filter(a -> a.host == host).mapToLong(Arrival::ns).max().orElse(0);
-            softly.assertThat((discovery.toldNs() - returnedNs) / MS).as("%s: told, ms after the return", name)
-                    .isLessThan(COUNTS_MS);
-            softly.assertThat((last - returnedNs) / MS).as("%s: last request, ms after the return", name)
-                    .isLessThan(COUNTS_MS + SLACK_MS);
-            softly.assertThat(load.served).as("%s: served", name).hasSizeGreaterThan(ENOUGH);
-            softly.assertThat(load.unserved).as("%s: not served", name).hasSizeLessThanOrEqualTo(load.served.size() / 50);
+            long lastNs = arrivals.stream().filter(a -> a.host == host).mapToLong(Arrival::ns).max().orElse(0);
+            softly.assertThat((discovery.informedNs() - returnedNs) / NS_PER_MS)
+                    .as("%s: told, ms after the return", name)
+                    .isLessThan(INFORMED_WITHIN_MS);
+            softly.assertThat((lastNs - returnedNs) / NS_PER_MS).as("%s: last request, ms after the return", name)
+                    .isLessThan(INFORMED_WITHIN_MS + SLACK_MS);
+            softly.assertThat(load.served).as("%s: served", name).hasSizeGreaterThan(MIN_REQUESTS);
+            softly.assertThat(load.unserved).as("%s: not served", name)
+                    .hasSizeLessThanOrEqualTo(load.served.size() / 50);
         }
 
         void close() throws IOException {
             load.stop();
             program.close();
-            door.close();
+            listeningSocket.close();
             discovery.close();
         }
     }
@@ -159,7 +163,7 @@
             HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 50);
             server.createContext("/quote/", exchange -> {
                 String path = exchange.getRequestURI().getPath();
-                units.get(Integer.parseInt(path.substring("/quote/".length()))).arrivals
+                cases.get(Integer.parseInt(path.substring("/quote/".length()))).arrivals
                         .add(new Arrival(host, System.nanoTime()));
                 exchange.sendResponseHeaders(200, 4);
                 exchange.getResponseBody().write(new byte[] {'d', 'o', 'n', 'e'});
@@ -174,29 +178,29 @@
 
     @AfterAll
     static void stopAll() throws IOException {
-        for (Unit unit : units) {
-            unit.close();
+        for (SidecarCase sidecarCase : cases) {
+            sidecarCase.close();
         }
         hosts.forEach(host -> host.stop(0));
     }
 
     @Test
-    void aDrainHoldsWithinTheBoundOnceDiscoveryIsBack() throws Exception {
+    void aDrainTakesEffectInTimeOnceDiscoveryIsReachable() throws Exception {
         startHosts();
         for (Fault fault : Fault.values()) {
-            new Unit(fault, false);
+            new SidecarCase(fault, false);
         }
-        new Unit(Fault.SILENT, true);
-        new Unit(Fault.RESET, true);
+        new SidecarCase(Fault.SILENT, true);
+        new SidecarCase(Fault.RESET, true);
         List<Future<Void>> plays = new ArrayList<>();
-        for (Unit unit : units) {
-            plays.add(threads.submit(unit::play));
+        for (SidecarCase sidecarCase : cases) {
+            plays.add(threads.submit(sidecarCase::playFault));
         }
-        for (Future<Void> play : plays) {
-            play.get();
+        for (Future<Void> playFault : plays) {
+            playFault.get();
         }
         SoftAssertions softly = new SoftAssertions();
-        units.forEach(unit -> unit.check(softly));
+        cases.forEach(sidecarCase -> sidecarCase.check(softly));
         softly.assertAll();
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/DrainFleet.java
+++ b/sidecar/src/test/java/dapplequay/cli/DrainFleet.java
@@ -19,13 +19,13 @@
 final class DrainFleet implements AutoCloseable {
     static final int SIDECARS = 4;
     static final int SERVERS = 8;
-    private static final long MS = 1_000_000;
+    private static final long NS_PER_MS = 1_000_000;
     private static final long GRACE_MS = 250;
     /** The protocol's allowance on sockets, beyond each of its times. */
     private static final long ALLOWANCE_MS = 50;
     /** For so long after the last moment allowed, a request that comes too late is looked for. */
-    private static final long WATCHED_MS = 1_500;
-    private static final int ENOUGH = 40;
+    private static final long LATE_REQUEST_WATCH_MS = 1_500;
+    private static final int MIN_REQUESTS = 40;
     private static final long LOAD_PAUSE_MS = 5;
 
     private record Arrival(int sidecar, int server, long ns) { }
@@ -33,7 +33,7 @@
     final List<Sidecar> sidecars = new ArrayList<>();
     final SharedDiscovery discovery;
     private final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
-    private final Hosts servers = new Hosts(SERVERS, (server, head) -> {
+    private final ScriptedServers servers = new ScriptedServers(SERVERS, (server, head) -> {
         String path = head.startLine[1];
         arrivals.add(new Arrival(path.charAt(path.length() - 1) - '0', server, System.nanoTime()));
         return "";
@@ -54,9 +54,9 @@
     /** One process with its load. */
     final class Sidecar {
         final int number;
-        final Program program;
+        final SidecarProcess program;
         private final Path config;
-        private final ServerSocketChannel door = Program.platformSocket();
+        private final ServerSocketChannel listeningSocket = SidecarProcess.platformSocket();
         private final QuoteLoad load;
         private String address;
 
@@ -70,15 +70,15 @@
                     .replace("\"quota_per_s\": 20.0", "\"quota_per_s\": 2000.0")
                     .replace("\"ask_within_us\": 10000000", "\"drain_grace_us\": " + GRACE_MS
                             + "000, \"ask_within_us\": " + askWithinMs + "000")
-                    .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + discovery.whole() + ",");
+                    .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + discovery.wholeList() + ",");
             config = Files.writeString(folder.resolve(number + ".json"), text);
-            program = new Program(config, door, Program.freePort());
-            load = new QuoteLoad(door, number, LOAD_PAUSE_MS);
+            program = new SidecarProcess(config, listeningSocket, SidecarProcess.freePort());
+            load = new QuoteLoad(listeningSocket, number, LOAD_PAUSE_MS);
         }
 
 
         /** Discovery is at a further address for it from now on. */
-        void move() throws Exception {
+        void moveDiscovery() throws Exception {
             String next = discovery.address(number);
             Files.writeString(config, Files.readString(config).replace(address, next));
             address = next;
@@ -87,30 +87,32 @@
 
         /** The last moment at which a request may begin at that server; {@link Long#MAX_VALUE}: it is in. */
         private long lastMomentNs(int server) {
-            long told = discovery.toldNs(number, server);
-            return told == Long.MAX_VALUE ? told : told + (GRACE_MS + ALLOWANCE_MS) * MS;
+            long informedNs = discovery.informedNs(number, server);
+            return informedNs == Long.MAX_VALUE ? informedNs : informedNs + (GRACE_MS + ALLOWANCE_MS) * NS_PER_MS;
         }
 
         private boolean isPast(int server) {
-            long last = lastMomentNs(server);
-            return last == Long.MAX_VALUE || System.nanoTime() - last > WATCHED_MS * MS;
+            long lastNs = lastMomentNs(server);
+            return lastNs == Long.MAX_VALUE || System.nanoTime() - lastNs > LATE_REQUEST_WATCH_MS * NS_PER_MS;
         }
 
         /** What discovery wrote to it, and what it said, for whoever looks for the cause of late requests. */
-        private String story(int server) {
+        private String diagnostics(int server) {
             return "last moment " + Instant.now().minusNanos(System.nanoTime() - lastMomentNs(server)) + "\n"
-                    + String.join("\n", discovery.story(number)) + "\n" + String.join("\n", program.log) + "\n";
+                    + String.join("\n", discovery.writtenAnswers(number)) + "\n" + String.join("\n", program.log)
+                    + "\n";
         }
 
         private void check(SoftAssertions softly) {
             for (int server = 0; server < SERVERS; server++) {
-                int its = server;
-                List<Long> late = arrivals.stream().filter(a -> a.sidecar == number && a.server == its)
-                        .filter(a -> a.ns > lastMomentNs(its)).map(a -> (a.ns - lastMomentNs(its)) / MS).toList();
+                int serverNumber = server;
+                List<Long> late = arrivals.stream().filter(a -> a.sidecar == number && a.server == serverNumber)
+                        .filter(a -> a.ns > lastMomentNs(serverNumber))
+                        .map(a -> (a.ns - lastMomentNs(serverNumber)) / NS_PER_MS).toList();
                 softly.assertThat(late).as("sidecar %d, server %d: late requests, ms; %s", number, server,
-                        late.isEmpty() ? "" : story(server)).isEmpty();
+                        late.isEmpty() ? "" : diagnostics(server)).isEmpty();
             }
-            softly.assertThat(load.served).as("sidecar %d: served", number).hasSizeGreaterThan(ENOUGH);
+            softly.assertThat(load.served).as("sidecar %d: served", number).hasSizeGreaterThan(MIN_REQUESTS);
             softly.assertThat(load.unserved).as("sidecar %d: not served", number)
                     .hasSizeLessThanOrEqualTo(load.served.size() / 50);
         }
@@ -118,23 +120,24 @@
 
     /** Until all wait for changes, and send. */
     void awaitWatches() throws Exception {
-        Program.await("all watch", discovery::isWatched);
+        SidecarProcess.await("all watch", discovery::isWatched);
         arrivals.clear();
-        Program.await("all serve", () -> sidecars.stream().allMatch(sidecar ->
-                arrivals.stream().filter(arrival -> arrival.sidecar == sidecar.number).count() >= ENOUGH));
+        SidecarProcess.await("all serve", () -> sidecars.stream().allMatch(sidecar ->
+                arrivals.stream().filter(arrival -> arrival.sidecar == sidecar.number).count() >= MIN_REQUESTS));
     }
 
-    void moveAll() throws Exception {
+    void moveDiscoveryOfAll() throws Exception {
         for (Sidecar sidecar : sidecars) {
-            sidecar.move();
+            sidecar.moveDiscovery();
         }
     }
 
     /** Waits until late requests would have been seen, and fails where there were any, or too few were served. */
     void judge() throws Exception {
         for (int server = 0; server < SERVERS; server++) {
-            int its = server;
-            Program.await("every last moment is past", () -> sidecars.stream().allMatch(s -> s.isPast(its)));
+            int serverNumber = server;
+            SidecarProcess.await("every last moment is past",
+                    () -> sidecars.stream().allMatch(s -> s.isPast(serverNumber)));
         }
         SoftAssertions softly = new SoftAssertions();
         sidecars.forEach(sidecar -> sidecar.check(softly));
@@ -142,7 +145,7 @@
     }
 
     /** How many requests have come to servers. */
-    int arrivals() {
+    int arrivalCount() {
         return arrivals.size();
     }
 
@@ -151,7 +154,7 @@
         for (Sidecar sidecar : sidecars) {
             sidecar.load.stop();
             sidecar.program.close();
-            sidecar.door.close();
+            sidecar.listeningSocket.close();
         }
         discovery.close();
         servers.close();
--- a/sidecar/src/test/java/dapplequay/cli/DrainSoakTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/DrainSoakTest.java
@@ -27,11 +27,11 @@
     private static final int FIRST = Integer.getInteger("drain.first", 1);
     private static final int STEPS = 12;
     /** As long as a process may be held up, less what the signals take. */
-    private static final int HELD_MS = 140;
+    private static final int STOPPED_MS = 140;
     /** Between two hold-ups of a process: the rule covers one. */
-    private static final int BETWEEN_MS = 600;
-    private static final int MOST_OUT = 6;
-    private static final List<Integer> MOST_OF_ALL = List.of(0, 1, 2, 3, 4);
+    private static final int BETWEEN_STOPS_MS = 600;
+    private static final int MAX_TAKEN_OUT = 6;
+    private static final List<Integer> MAJORITY = List.of(0, 1, 2, 3, 4);
 
     private enum Fault { DRAIN, LEAVE_OUT, MOVE, MOVE_ONE, MOVES, RESET, LOSE_COUNT, SLOW, HOLD_UP, LOSE_MOST }
 
@@ -39,65 +39,65 @@
     private Path folder;
     private final Map<Fault, Integer> injected = new EnumMap<>(Fault.class);
     private final List<Integer> servers = new ArrayList<>();
-    private int out;
+    private int takenOut;
 
     static LongStream seeds() {
         return LongStream.range(FIRST, FIRST + SEEDS);
     }
 
-    private List<Integer> next(int count) {
-        int most = Math.min(count, MOST_OUT - out);
-        List<Integer> taken = servers.subList(out, out + Math.max(0, most));
-        out += taken.size();
+    private List<Integer> nextServers(int count) {
+        int most = Math.min(count, MAX_TAKEN_OUT - takenOut);
+        List<Integer> taken = servers.subList(takenOut, takenOut + Math.max(0, most));
+        takenOut += taken.size();
         return taken;
     }
 
-    private static UnknownVersion either(Random random) {
+    private static UnknownVersion randomAnswer(Random random) {
         return random.nextBoolean() ? UnknownVersion.WHOLE_LIST : UnknownVersion.NO_CHANGES;
     }
 
     private void inject(Fault fault, DrainFleet fleet, Random random) throws Exception {
         SharedDiscovery discovery = fleet.discovery;
         switch (fault) {
-            case DRAIN -> discovery.takeOut(next(1 + random.nextInt(2)), false);
-            case LEAVE_OUT -> discovery.takeOut(next(1 + random.nextInt(2)), true);
-            case MOVE -> fleet.moveAll();
-            case MOVE_ONE -> fleet.sidecars.get(random.nextInt(DrainFleet.SIDECARS)).move();
+            case DRAIN -> discovery.takeOut(nextServers(1 + random.nextInt(2)), false);
+            case LEAVE_OUT -> discovery.takeOut(nextServers(1 + random.nextInt(2)), true);
+            case MOVE -> fleet.moveDiscoveryOfAll();
+            case MOVE_ONE -> fleet.sidecars.get(random.nextInt(DrainFleet.SIDECARS)).moveDiscovery();
             case MOVES -> {
                 for (int i = 0; i < 3; i++) {
-                    fleet.moveAll();
+                    fleet.moveDiscoveryOfAll();
                     Thread.sleep(random.nextInt(120));
                 }
             }
             case RESET -> {
-                discovery.reset(true);
+                discovery.setResetting(true);
                 Thread.sleep(100 + random.nextInt(500));
-                discovery.reset(false);
+                discovery.setResetting(false);
             }
             case LOSE_COUNT -> {
-                discovery.reset(true);
+                discovery.setResetting(true);
                 Thread.sleep(random.nextInt(300));
-                discovery.loseCount(either(random));
-                discovery.reset(false);
+                discovery.restartVersions(randomAnswer(random));
+                discovery.setResetting(false);
             }
-            case SLOW -> discovery.take(random.nextInt(200), random.nextInt(60));
+            case SLOW -> discovery.setDelays(random.nextInt(200), random.nextInt(60));
             case HOLD_UP -> {
                 for (DrainFleet.Sidecar sidecar : fleet.sidecars) {
                     sidecar.program.signal("STOP");
                 }
-                Thread.sleep(HELD_MS - 40);
+                Thread.sleep(STOPPED_MS - 40);
                 for (DrainFleet.Sidecar sidecar : fleet.sidecars) {
                     sidecar.program.signal("CONT");
                 }
-                Thread.sleep(BETWEEN_MS);
+                Thread.sleep(BETWEEN_STOPS_MS);
             }
             default -> {
-                discovery.loseCount(either(random));
-                if (out == 0) {
-                    out = MOST_OUT;
-                    discovery.takeOut(MOST_OF_ALL, true);
+                discovery.restartVersions(randomAnswer(random));
+                if (takenOut == 0) {
+                    takenOut = MAX_TAKEN_OUT;
+                    discovery.takeOut(MAJORITY, true);
                 }
-                fleet.moveAll();
+                fleet.moveDiscoveryOfAll();
             }
         }
     }
@@ -119,10 +119,10 @@
                 injected.merge(fault, 1, Integer::sum);
                 Thread.sleep(random.nextInt(400));
             }
-            fleet.discovery.take(0, 0);
+            fleet.discovery.setDelays(0, 0);
             fleet.judge();
-            assertThat(fleet.arrivals()).isPositive();
-            System.out.println("seed " + seed + ": " + fleet.arrivals() + " requests, " + injected);
+            assertThat(fleet.arrivalCount()).isPositive();
+            System.out.println("seed " + seed + ": " + fleet.arrivalCount() + " requests, " + injected);
         }
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/LastMomentTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/LastMomentTest.java
@@ -24,37 +24,38 @@
 /** The last moments before the platform ends a process by force: what is held then fails, and the process goes. */
 @Timeout(60)
 class LastMomentTest extends ClosesWhatItOpened {
-    private static final int PATIENCE_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
     /** The fewest ms between SIGTERM and SIGKILL where the longest deadline is over 3 s. */
-    private static final long KILLED_MS = 3_700;
-    private static final String LONG = "x".repeat(60_000);
+    private static final long SIGKILL_AFTER_MS = 3_700;
+    private static final String LONG_BODY = "x".repeat(60_000);
 
     @TempDir
     private Path folder;
-    private Upstream upstream;
-    private Program program;
+    private ManualServer upstream;
+    private SidecarProcess program;
     private int port;
     private int calls;
-    private CompletableFuture<Long> gone;
+    private CompletableFuture<Long> exitTookMs;
 
     @BeforeEach
     void start() throws Exception {
-        upstream = open(new Upstream());
+        upstream = open(new ManualServer());
         ServerSocket silent = open(new ServerSocket(0, 200, InetAddress.getLoopbackAddress()));
-        port = Program.freePort();
+        port = SidecarProcess.freePort();
         Path config = Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("example/config.json"))
                 .replace("127.0.0.1:7070", "127.0.0.1:" + port)
                 .replace("127.0.0.1:8500", "127.0.0.1:" + silent.getLocalPort()).replace("\"on_request\"", "\"pushed\"")
                 .replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + upstream.port())
-                .replaceAll("\"aim_us\": \\d+", "\"aim_us\": 1000000").replace("\"late_worth\": 0.0", "\"late_worth\": 0.5")
+                .replaceAll("\"aim_us\": \\d+", "\"aim_us\": 1000000")
+                .replace("\"late_worth\": 0.0", "\"late_worth\": 0.5")
                 .replaceAll("\"deadline_us\": \\d+", "\"deadline_us\": 20000000"));
-        program = open(new Program(config, null, Program.freePort()));
+        program = open(new SidecarProcess(config, null, SidecarProcess.freePort()));
         program.awaitReady();
     }
 
     private Socket client() throws IOException {
         Socket socket = open(new Socket(InetAddress.getLoopbackAddress(), port));
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         return socket;
     }
 
@@ -75,72 +76,72 @@
         return reader.readResponseHead().startLine[1];
     }
 
-    private void tellToEnd() {
-        long from = System.nanoTime();
-        gone = program.process.onExit().thenApply(any -> (System.nanoTime() - from) / 1_000_000);
+    private void sendSigterm() {
+        long startNs = System.nanoTime();
+        exitTookMs = program.process.onExit().thenApply(any -> (System.nanoTime() - startNs) / 1_000_000);
         program.process.toHandle().destroy();
     }
 
-    private void isGoneInTime() throws Exception {
-        long tookMs = gone.get(30, TimeUnit.SECONDS);
+    private void assertExitsBeforeSigkill() throws Exception {
+        long tookMs = exitTookMs.get(30, TimeUnit.SECONDS);
         assertThat(program.process.exitValue()).isEqualTo(128 + 15);
-        assertThat(tookMs).isLessThan(KILLED_MS);
+        assertThat(tookMs).isLessThan(SIGKILL_AFTER_MS);
     }
 
     /** Discovery is silent all the while. */
     @Test
-    void idleClientsThatNeverCloseDoNotKeepTheProcess() throws Exception {
+    void idleClientsThatNeverCloseDoNotDelayTheExit() throws Exception {
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             idle.add(client());
             if (i % 2 == 0) {
                 write(idle.get(i), quote());
-                upstream.next().serve();
+                upstream.nextAttempt().serve();
                 assertThat(status(idle.get(i))).isEqualTo("200");
             }
         }
-        tellToEnd();
-        isGoneInTime();
+        sendSigterm();
+        assertExitsBeforeSigkill();
     }
 
     /** Its request is held when the time is over; it has its failure, and stays. */
     @Test
-    void aClientThatStaysAfterItsLastAnswerDoesNotKeepTheProcess() throws Exception {
+    void aClientThatStaysAfterItsLastAnswerDoesNotDelayTheExit() throws Exception {
         Socket held = client();
         write(held, quote());
-        upstream.next();
-        tellToEnd();
+        upstream.nextAttempt();
+        sendSigterm();
         assertThat(status(held)).isEqualTo("504");
-        isGoneInTime();
+        assertExitsBeforeSigkill();
     }
 
     @Test
-    void aClientThatReadsNothingDoesNotKeepTheProcess() throws Exception {
-        Socket deaf = client();
+    void aClientThatReadsNothingDoesNotDelayTheExit() throws Exception {
+        Socket nonReader = client();
         for (int i = 0; i < 200; i++) {
-            write(deaf, quote());
+            write(nonReader, quote());
         }
-        CompletableFuture<Void> over = new CompletableFuture<>();
+        CompletableFuture<Void> twentyAnswered = new CompletableFuture<>();
         Host.daemon(() -> {
             for (int i = 0; i < 200; i++) {
-                upstream.next().write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + LONG);
+                upstream.nextAttempt().write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + LONG_BODY);
                 if (i == 20) {
-                    over.complete(null);
+                    twentyAnswered.complete(null);
                 }
             }
         });
-        over.get(20, TimeUnit.SECONDS);
-        tellToEnd();
-        isGoneInTime();
+        twentyAnswered.get(20, TimeUnit.SECONDS);
+        sendSigterm();
+        assertExitsBeforeSigkill();
     }
 
     /** Its last byte comes when all that is held has failed, and the process is there still. */
     @Test
-    void aRequestThatIsWholeInTheVeryLastMomentIsAnswered() throws Exception {
+    void aRequestCompletedJustBeforeTheExitIsAnswered() throws Exception {
         Socket idle = client();
         write(client(), quote());
-        upstream.next();
-        tellToEnd();
+        upstream.nextAttempt();
+        sendSigterm();
         // Idle ones go shortly before the end: a head that begins then is not too late for its own time.
         assertThat(idle.getInputStream().read()).isEqualTo(-1);
         Socket late = client();
@@ -149,10 +150,10 @@
         // The last one that came: once it has failed, all that is held has.
         Socket held = client();
         write(held, quote());
-        upstream.next();
+        upstream.nextAttempt();
         assertThat(status(held)).isEqualTo("504");
         write(late, text.substring(40));
         assertThat(status(late)).isIn("200", "503", "504");
-        isGoneInTime();
+        assertExitsBeforeSigkill();
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/LateDrainTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/LateDrainTest.java
@@ -21,10 +21,10 @@
  */
 @Timeout(120)
 class LateDrainTest {
-    private static final int MOVES = 6;
+    private static final int MOVE_COUNT = 6;
     private static final long SEED = 8131;
-    private static final List<Integer> MOST = List.of(0, 1, 2, 3, 4);
-    private static final List<Integer> SOME = List.of(0, 1, 2);
+    private static final List<Integer> MAJORITY = List.of(0, 1, 2, 3, 4);
+    private static final List<Integer> MINORITY = List.of(0, 1, 2);
 
     @TempDir
     private Path folder;
@@ -46,61 +46,61 @@
         MOVED_BEFORE_THE_FIRST_CALL
     }
 
-    private void play(Case situation) throws Exception {
-        switch (situation) {
+    private void runCase(Case testCase) throws Exception {
+        switch (testCase) {
             case ANSWER_CROSSES_A_MOVE -> {
-                discovery.take(0, 100);
-                discovery.takeOut(SOME, false);
-                Program.await("the drain is written",
-                        () -> fleet.sidecars.stream().allMatch(s -> discovery.isTold(s.number, SOME.get(0))));
-                discovery.take(2_000, 0);
-                fleet.moveAll();
+                discovery.setDelays(0, 100);
+                discovery.takeOut(MINORITY, false);
+                SidecarProcess.await("the drain is written",
+                        () -> fleet.sidecars.stream().allMatch(s -> discovery.isInformed(s.number, MINORITY.get(0))));
+                discovery.setDelays(2_000, 0);
+                fleet.moveDiscoveryOfAll();
             }
             case MOVES_FILL_THE_QUEUE -> {
                 Random random = new Random(SEED);
-                discovery.take(250, 0);
-                for (int i = 0; i < MOVES; i++) {
-                    fleet.moveAll();
+                discovery.setDelays(250, 0);
+                for (int i = 0; i < MOVE_COUNT; i++) {
+                    fleet.moveDiscoveryOfAll();
                     if (i == 0) {
-                        discovery.takeOut(SOME, false);
+                        discovery.takeOut(MINORITY, false);
                     }
                     Thread.sleep(200 + random.nextInt(200));
                 }
             }
             case LOWER_VERSION_AFTER_A_MOVE -> {
-                discovery.loseCount(UnknownVersion.WHOLE_LIST);
-                discovery.takeOut(MOST, true);
-                fleet.moveAll();
+                discovery.restartVersions(UnknownVersion.WHOLE_LIST);
+                discovery.takeOut(MAJORITY, true);
+                fleet.moveDiscoveryOfAll();
             }
-            case LOWER_VERSION_AFTER_RESETS -> loseCountWhileAway(UnknownVersion.WHOLE_LIST, MOST, true);
-            case NO_CHANGES_OF_A_LOWER_VERSION -> loseCountWhileAway(UnknownVersion.NO_CHANGES, SOME, false);
+            case LOWER_VERSION_AFTER_RESETS -> loseCountWhileAway(UnknownVersion.WHOLE_LIST, MAJORITY, true);
+            case NO_CHANGES_OF_A_LOWER_VERSION -> loseCountWhileAway(UnknownVersion.NO_CHANGES, MINORITY, false);
             default -> {
-                discovery.loseCount(UnknownVersion.NO_CHANGES);
-                discovery.takeOut(SOME, false);
-                fleet.moveAll();
+                discovery.restartVersions(UnknownVersion.NO_CHANGES);
+                discovery.takeOut(MINORITY, false);
+                fleet.moveDiscoveryOfAll();
             }
         }
     }
 
     private void loseCountWhileAway(UnknownVersion answer, List<Integer> servers, boolean gone) throws Exception {
-        discovery.reset(true);
+        discovery.setResetting(true);
         Thread.sleep(500);
-        discovery.loseCount(answer);
+        discovery.restartVersions(answer);
         discovery.takeOut(servers, gone);
-        discovery.reset(false);
+        discovery.setResetting(false);
     }
 
     @ParameterizedTest
     @EnumSource
-    void noRequestBeginsAtADrainingServerAfterTheGrace(Case situation) throws Exception {
-        boolean beforeTheFirstCall = situation == Case.MOVED_BEFORE_THE_FIRST_CALL;
+    void noRequestBeginsAtADrainingServerAfterTheGrace(Case testCase) throws Exception {
+        boolean beforeTheFirstCall = testCase == Case.MOVED_BEFORE_THE_FIRST_CALL;
         try (DrainFleet started = new DrainFleet(folder, beforeTheFirstCall ? 10_000 : 4_000)) {
             fleet = started;
             discovery = started.discovery;
             if (!beforeTheFirstCall) {
                 fleet.awaitWatches();
             }
-            play(situation);
+            runCase(testCase);
             fleet.judge();
         }
     }
--- a/sidecar/src/test/java/dapplequay/cli/LogWriterTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/LogWriterTest.java
@@ -15,10 +15,10 @@
 /** A log whose reader is stuck, until the test lets it go on. */
 @Timeout(30)
 class LogWriterTest {
-    private static final int MOST = 1_000;
+    private static final int MAX_QUEUED_CHARS = 1_000;
 
-    private final CountDownLatch stuck = new CountDownLatch(1);
-    private final CountDownLatch goesOn = new CountDownLatch(1);
+    private final CountDownLatch readerBlocked = new CountDownLatch(1);
+    private final CountDownLatch readerReleased = new CountDownLatch(1);
     private final ByteArrayOutputStream read = new ByteArrayOutputStream();
     private final LogWriter log = new LogWriter(new OutputStream() {
         @Override
@@ -28,15 +28,15 @@
 
         @Override
         public void write(byte[] bytes, int from, int length) {
-            stuck.countDown();
+            readerBlocked.countDown();
             try {
-                goesOn.await();
+                readerReleased.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
             read.write(bytes, from, length);
         }
-    }, MOST, new SimpleFormatter() {
+    }, MAX_QUEUED_CHARS, new SimpleFormatter() {
         @Override
         public String format(LogRecord line) {
             if (line.getMessage().isEmpty()) {
@@ -46,35 +46,35 @@
         }
     });
 
-    private void say(String line) {
+    private void publish(String line) {
         log.publish(new LogRecord(Level.INFO, line));
     }
 
     @Test
-    void nobodyWaitsForAReaderThatIsStuckAndWhatIsDroppedIsTold() throws Exception {
+    void loggingDoesNotWaitForAStuckReaderAndDroppedLinesAreCounted() throws Exception {
         log.start();
-        say("first");
-        stuck.await();
-        for (int i = 0; i < MOST; i++) {
-            say("line " + i);
+        publish("first");
+        readerBlocked.await();
+        for (int i = 0; i < MAX_QUEUED_CHARS; i++) {
+            publish("line " + i);
         }
-        say("");
+        publish("");
         assertThat(log.awaitWritten(1)).isFalse();
-        goesOn.countDown();
+        readerReleased.countDown();
         assertThat(log.awaitWritten(20_000)).isTrue();
         String text = read.toString(StandardCharsets.UTF_8);
-        assertThat(text).startsWith("first\nline 0\nline 1\n").hasSizeLessThan(2 * MOST);
+        assertThat(text).startsWith("first\nline 0\nline 1\n").hasSizeLessThan(2 * MAX_QUEUED_CHARS);
         int kept = (int) text.lines().filter(line -> line.startsWith("line ")).count();
         assertThat(kept).isGreaterThan(50);
-        assertThat(text).endsWith(MOST - kept + 1 + " log lines were dropped, as nobody read the log\n");
+        assertThat(text).endsWith(MAX_QUEUED_CHARS - kept + 1 + " log lines were dropped, as nobody read the log\n");
     }
 
     @Test
-    void aLineThatCanNotBeFormedEndsNothing() throws Exception {
+    void aLineThatFailsToFormatDoesNotStopTheLog() throws Exception {
         log.start();
-        goesOn.countDown();
-        say("");
-        say("next");
+        readerReleased.countDown();
+        publish("");
+        publish("next");
         assertThat(log.awaitWritten(20_000)).isTrue();
         assertThat(read.toString(StandardCharsets.UTF_8)).contains("could not be formed", "nothing to say", "next\n");
     }
--- a/sidecar/src/test/java/dapplequay/cli/Upstream.java
+++ b/sidecar/src/test/java/dapplequay/cli/ManualServer.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /** A server whose attempts the test answers one by one, as it likes. */
-final class Upstream implements AutoCloseable {
-    private static final int PATIENCE_S = 20;
+final class ManualServer implements AutoCloseable {
+    private static final int TIMEOUT_S = 20;
 
     private final BlockingQueue<Attempt> attempts = new LinkedBlockingQueue<>();
     private final ServerSocket listener = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
@@ -37,7 +37,7 @@
         }
     }
 
-    Upstream() throws IOException {
+    ManualServer() throws IOException {
         Host.daemon(() -> {
             while (true) {
                 Socket socket = listener.accept();
@@ -61,8 +61,8 @@
     }
 
     /** The next attempt that nobody has asked for yet. */
-    Attempt next() throws InterruptedException {
-        Attempt next = attempts.poll(PATIENCE_S, TimeUnit.SECONDS);
+    Attempt nextAttempt() throws InterruptedException {
+        Attempt next = attempts.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("no attempt came");
         }
@@ -70,8 +70,8 @@
     }
 
     /** The same, of this request and served at once. */
-    void serve(String id) throws Exception {
-        Attempt next = next();
+    void serveNext(String id) throws Exception {
+        Attempt next = nextAttempt();
         if (!next.id().equals(id)) {
             throw new AssertionError("another came: " + next.id() + ", not " + id);
         }
--- a/sidecar/src/test/java/dapplequay/cli/MissedHangupTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/MissedHangupTest.java
@@ -19,56 +19,56 @@
     private Path file;
     private final AtomicLong nowMs = new AtomicLong(1_000);
     private final AtomicLong shortageMs = new AtomicLong(NEVER);
-    private final AtomicInteger read = new AtomicInteger();
-    private MissedHangup missed;
+    private final AtomicInteger reloads = new AtomicInteger();
+    private MissedHangup missedHangup;
 
     @BeforeEach
-    void begin() throws IOException {
+    void setUp() throws IOException {
         file = Files.writeString(folder.resolve("config.json"), "1");
-        missed = new MissedHangup(new WatchedFile(file), nowMs::get,
-                () -> shortageMs.get() == NEVER ? NEVER : nowMs.get() - shortageMs.get(), read::incrementAndGet);
+        missedHangup = new MissedHangup(new WatchedFile(file), nowMs::get,
+                () -> shortageMs.get() == NEVER ? NEVER : nowMs.get() - shortageMs.get(), reloads::incrementAndGet);
     }
 
-    private void lookFor(long ms) {
+    private void pollFor(long ms) {
         for (long untilMs = nowMs.get() + ms; nowMs.get() < untilMs; nowMs.addAndGet(MissedHangup.POLL_INTERVAL_MS)) {
-            missed.poll();
+            missedHangup.poll();
         }
     }
 
     /** The page has it count 4 s after the signal. */
     @Test
-    void aChangeBesideAShortageIsReadWithinTheTimeInWhichItCounts() throws IOException {
+    void aChangeNearAThreadShortageIsReadInTime() throws IOException {
         Files.writeString(file, "22");
-        lookFor(1_000);
+        pollFor(1_000);
         shortageMs.set(nowMs.get());
-        lookFor(2_000);
-        assertThat(read).hasValue(1);
-        lookFor(60_000);
-        assertThat(read).as("once").hasValue(1);
+        pollFor(2_000);
+        assertThat(reloads).hasValue(1);
+        pollFor(60_000);
+        assertThat(reloads).as("once").hasValue(1);
     }
 
     @Test
     void aChangeWhoseSignalCameIsNotReadAgain() throws IOException {
         shortageMs.set(nowMs.get());
         Files.writeString(file, "22");
-        missed.signalReceived();
-        lookFor(4_000);
+        missedHangup.signalReceived();
+        pollFor(4_000);
         Files.writeString(file, "333");
-        lookFor(600);
-        missed.signalReceived();
-        lookFor(20_000);
-        assertThat(read).hasValue(0);
+        pollFor(600);
+        missedHangup.signalReceived();
+        pollFor(20_000);
+        assertThat(reloads).hasValue(0);
     }
 
     /** Who edits the file and sends no signal does not want it read yet. */
     @Test
-    void withoutAShortageNearItNoChangeIsRead() throws IOException {
+    void aChangeWithoutAShortageNearItIsNotRead() throws IOException {
         Files.writeString(file, "22");
-        lookFor(2 * MissedHangup.SHORTAGE_WINDOW_MS);
+        pollFor(2 * MissedHangup.SHORTAGE_WINDOW_MS);
         shortageMs.set(nowMs.get());
-        lookFor(20_000);
+        pollFor(20_000);
         Files.writeString(file, "333");
-        lookFor(20_000);
-        assertThat(read).hasValue(0);
+        pollFor(20_000);
+        assertThat(reloads).hasValue(0);
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/OperatorsTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/OperatorsTest.java
@@ -19,17 +19,17 @@
     }
 
     @Test
-    void theFileUnderDeployIsGoodAndChoosesNothing() {
+    void theDeployedFileIsValidAndSetsNothing() {
         assertThat(Operators.read(Path.of("deploy/sidecar.toml"))).isEqualTo(Operators.NONE);
     }
 
     @Test
-    void theFolderIsTaken() throws IOException {
+    void theStateFolderIsRead() throws IOException {
         assertThat(Operators.read(file("[state]\nfolder = \"" + folder + "\"\n")).stateFolder()).isEqualTo(folder);
     }
 
     @Test
-    void allFaultsAreToldWithTheirLines() throws IOException {
+    void everyErrorIsReportedWithItsLine() throws IOException {
         Path file = file("# ours\nfoldr = 1\n\n[state]\nfolder = \"/nowhere/at/all\"\nkeep = true\n");
         assertThatThrownBy(() -> Operators.read(file)).isInstanceOf(SettingsException.class)
                 .hasMessageContaining(file + ":2: unknown key foldr")
--- a/sidecar/src/test/java/dapplequay/cli/OrderlyExitTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/OrderlyExitTest.java
@@ -10,45 +10,45 @@
 
 @Timeout(30)
 class OrderlyExitTest {
-    private static final long LONG_MS = 20_000;
+    private static final long AMPLE_MS = 20_000;
 
     /** The process would be gone at once, with all that it holds. */
     @Test
-    void aStepThatFailsIsBegunAgainAndTheNextOneFollows() {
-        AtomicInteger begun = new AtomicInteger();
-        AtomicInteger next = new AtomicInteger();
-        new OrderlyExit(() -> LONG_MS, List.of(() -> {
-            if (begun.incrementAndGet() == 1) {
+    void aFailedStepIsRetriedAndTheNextOneFollows() {
+        AtomicInteger attempts = new AtomicInteger();
+        AtomicInteger nextStepRuns = new AtomicInteger();
+        new OrderlyExit(() -> AMPLE_MS, List.of(() -> {
+            if (attempts.incrementAndGet() == 1) {
                 throw new OutOfMemoryError("made up");
             }
-            if (begun.get() == 2) {
+            if (attempts.get() == 2) {
                 throw new IllegalStateException("made up");
             }
-        }, next::incrementAndGet)).run();
-        assertThat(begun).hasValue(3);
-        assertThat(next).hasValue(1);
+        }, nextStepRuns::incrementAndGet)).run();
+        assertThat(attempts).hasValue(3);
+        assertThat(nextStepRuns).hasValue(1);
     }
 
     @Test
-    void aStepThatAlwaysFailsLeavesThoseWhoAreServedTheirTimeAndNoMore() {
-        AtomicInteger begun = new AtomicInteger();
-        long from = System.nanoTime();
+    void aStepThatAlwaysFailsIsRetriedUntilTheTimeLimit() {
+        AtomicInteger attempts = new AtomicInteger();
+        long startNs = System.nanoTime();
         new OrderlyExit(() -> 200, List.of(() -> {
-            begun.incrementAndGet();
+            attempts.incrementAndGet();
             throw new NoClassDefFoundError("made up");
         })).run();
-        assertThat(System.nanoTime() - from).isGreaterThanOrEqualTo(199_000_000);
-        assertThat(begun.get()).isGreaterThan(1);
+        assertThat(System.nanoTime() - startNs).isGreaterThanOrEqualTo(199_000_000);
+        assertThat(attempts.get()).isGreaterThan(1);
     }
 
     @Test
-    void aStepThatStandsStillDoesNotKeepTheProcess() throws Exception {
+    void aBlockedStepDoesNotKeepTheProcess() throws Exception {
         CountDownLatch never = new CountDownLatch(1);
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch attempts = new CountDownLatch(1);
         new OrderlyExit(() -> 500, List.of(() -> {
-            begun.countDown();
+            attempts.countDown();
             never.await();
         })).run();
-        assertThat(begun.await(20, java.util.concurrent.TimeUnit.SECONDS)).isTrue();
+        assertThat(attempts.await(20, java.util.concurrent.TimeUnit.SECONDS)).isTrue();
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/ProgramTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/ProgramTest.java
@@ -36,7 +36,8 @@
     private Path folder;
 
     private static Process start(String... args) throws IOException {
-        List<String> command = Stream.concat(Stream.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        List<String> command = Stream.concat(Stream.of(Path.of(System.getProperty("java.home"), "bin", "java")
+                .toString(),
                 "-cp", System.getProperty("java.class.path"), "dapplequay.cli.Main"), Stream.of(args)).toList();
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(name -> name.startsWith("EDGE_"));
@@ -55,7 +56,7 @@
     }
 
     @Test
-    void servesFromItsStartAndEndsInOrderWhenTold() throws Exception {
+    void servesAfterItsStartAndExitsInOrderOnSigterm() throws Exception {
         Process program = start("serve", "--config", config("00c0ffee", "00c0ffee").toString());
         try {
             BufferedReader log = program.errorReader();
@@ -82,7 +83,7 @@
     }
 
     /** The call as it came, answered with an empty list; the watch that follows stays unanswered. */
-    private static String called(ServerSocket discovery) throws IOException {
+    private static String answerFirstCall(ServerSocket discovery) throws IOException {
         Socket socket = discovery.accept();
         BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
         String call = in.readLine();
@@ -95,7 +96,7 @@
     }
 
     @Test
-    void aNewConfigurationMovesTheWatchAndABadOneChangesNothing() throws Exception {
+    void aReloadMovesTheDiscoveryWatchAndAnInvalidFileIsIgnored() throws Exception {
         try (ServerSocket old = new ServerSocket(0, 9, InetAddress.getLoopbackAddress());
                 ServerSocket next = new ServerSocket(0, 9, InetAddress.getLoopbackAddress())) {
             old.setSoTimeout(60_000);
@@ -104,7 +105,7 @@
             Path file = folder.resolve("config.json");
             Process program = start("serve", "--config", file.toString());
             try {
-                assertThat(called(old)).startsWith("GET /v1/servers?after=");
+                assertThat(answerFirstCall(old)).startsWith("GET /v1/servers?after=");
                 BufferedReader log = program.errorReader();
                 for (String text : List.of("{", good.replace("127.0.0.1:" + old.getLocalPort(),
                         "127.0.0.1:" + next.getLocalPort()))) {
@@ -117,7 +118,7 @@
                     } while (!line.contains("configuration"));
                     assertThat(line).contains(text.equals("{") ? "kept as it was" : "read again");
                 }
-                assertThat(called(next)).isEqualTo("GET /v1/servers HTTP/1.1");
+                assertThat(answerFirstCall(next)).isEqualTo("GET /v1/servers HTTP/1.1");
             } finally {
                 program.destroyForcibly();
             }
@@ -129,9 +130,10 @@
      * that came with them was unknown for the rest of the day.
      */
     @Test
-    void newSettingsComeInThoughSighupWasIgnoredAtTheStart() throws Exception {
+    void configurationIsReloadedThoughSighupWasIgnoredAtTheStart() throws Exception {
         Path file = config("00c0ffee", "00c0ffee");
-        try (Program program = new Program(file, null, Program.freePort(), true, List.of()).awaitReady()) {
+        try (SidecarProcess program = new SidecarProcess(file, null, SidecarProcess.freePort(), true, List.of())
+                .awaitReady()) {
             program.awaitLog("SIGHUP was ignored");
             Files.writeString(file, Files.readString(file).replace("\"name\": \"quote\"", "\"name\": \"ask\""));
             program.signal("HUP");
@@ -143,12 +145,13 @@
 
     /** The deployment's own line takes the signal back, so that a file counts when the signal comes and not before. */
     @Test
-    void theDeploymentsLineHearsSighupWhoeverStartsIt() throws Exception {
+    void theDeploymentCommandRestoresSighup() throws Exception {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = \"exec ")).findFirst().orElseThrow();
         List<String> launcher = List.of(run.substring("run = \"exec ".length(), run.indexOf(" java ")).split(" "));
         Path file = config("00c0ffee", "00c0ffee");
-        try (Program program = new Program(file, null, Program.freePort(), true, launcher).awaitReady()) {
+        try (SidecarProcess program = new SidecarProcess(file, null, SidecarProcess.freePort(), true, launcher)
+                .awaitReady()) {
             program.signal("HUP");
             program.awaitLog("configuration read again");
             assertThat(program.log).noneMatch(line -> line.contains("ignored"));
@@ -159,21 +162,22 @@
     @CsvSource(delimiter = ';', value = {
         "\"seed\": \"00c0ffee00c0ffee\"; \"seed\": \"x\"; seed", "\"send_cap\": 3; \"send_cap\": \"3\"; send_cap",
         "\"locality\": \"north\"; \"locality\": \"up\"; locality", "\"listen\"; \"listens\"; listen",
-        "\"endpoint\": \"127.0.0.1:9001\"; \"endpoint\": \"there\"; there", "\"balancers\": 1; \"balancers\" 1; unreadable",
+        "\"endpoint\": \"127.0.0.1:9001\"; \"endpoint\": \"there\"; there",
+        "\"balancers\": 1; \"balancers\" 1; unreadable",
     })
-    void badConfigurationStopsTheStartWithOnePlainLine(String find, String replace, String named) throws Exception {
+    void invalidConfigurationFailsTheStartWithOneErrorLine(String find, String replace, String named) throws Exception {
         String file = config(find, replace).toString();
         for (String command : List.of("serve", "check-config")) {
             Process program = start(command, "--config", file);
-            String told = text(program.getErrorStream());
+            String errorOutput = text(program.getErrorStream());
             assertThat(program.waitFor()).isNotZero();
-            assertThat(told.lines()).hasSize(1);
-            assertThat(told).contains(named).doesNotContain("Exception");
+            assertThat(errorOutput.lines()).hasSize(1);
+            assertThat(errorOutput).contains(named).doesNotContain("Exception");
         }
     }
 
     @Test
-    void theOtherCommands() throws Exception {
+    void otherCommandsPrintTheirResults() throws Exception {
         Process good = start("check-config", "--config", EXAMPLE.toString());
         assertThat(text(good.getInputStream())).isEqualTo("good\n");
         assertThat(text(start("version").getInputStream())).startsWith("dapplequay ");
--- a/sidecar/src/test/java/dapplequay/cli/QuoteLoad.java
+++ b/sidecar/src/test/java/dapplequay/cli/QuoteLoad.java
@@ -14,7 +14,7 @@
 /** One client's load on a sidecar: one request after the other, and how each ended. */
 final class QuoteLoad {
     private static final HttpClient CLIENT = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
 
     final Queue<String> served = new ConcurrentLinkedQueue<>();
     final Queue<String> unserved = new ConcurrentLinkedQueue<>();
@@ -23,8 +23,8 @@
     private volatile boolean stopped;
 
     /** Requests to the sidecar behind that socket, which servers know by the last part of their path. */
-    QuoteLoad(ServerSocketChannel door, int sidecar, long pauseMs) throws IOException {
-        int port = ((InetSocketAddress) door.getLocalAddress()).getPort();
+    QuoteLoad(ServerSocketChannel listeningSocket, int sidecar, long pauseMs) throws IOException {
+        int port = ((InetSocketAddress) listeningSocket.getLocalAddress()).getPort();
         uri = URI.create("http://127.0.0.1:" + port + "/quote/" + sidecar);
         this.pauseMs = pauseMs;
     }
@@ -32,10 +32,10 @@
     /** Sends until it is stopped. */
     Void run() throws InterruptedException {
         while (!stopped) {
-            HttpRequest quote = HttpRequest.newBuilder(uri).timeout(PATIENCE).headers("X-Caller", "shop-a",
+            HttpRequest request = HttpRequest.newBuilder(uri).timeout(REQUEST_TIMEOUT).headers("X-Caller", "shop-a",
                     "X-Budget-Ms", "1000", "X-Call-Id", Long.toHexString(System.nanoTime())).build();
             try {
-                int status = CLIENT.send(quote, HttpResponse.BodyHandlers.ofString()).statusCode();
+                int status = CLIENT.send(request, HttpResponse.BodyHandlers.ofString()).statusCode();
                 (status == 200 ? served : unserved).add(String.valueOf(status));
             } catch (IOException e) {
                 unserved.add(e.toString());
--- a/sidecar/src/test/java/dapplequay/cli/RestartTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/RestartTest.java
@@ -38,15 +38,15 @@
     private final AtomicInteger[] served = {new AtomicInteger(), new AtomicInteger(), new AtomicInteger(),
         new AtomicInteger()};
     private final List<HttpServer> servers = new ArrayList<>();
-    private final List<Program> running = new ArrayList<>();
+    private final List<SidecarProcess> running = new ArrayList<>();
     private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private final ServerSocketChannel[] doors = new ServerSocketChannel[SIDECARS];
+    private final ServerSocketChannel[] listeningSockets = new ServerSocketChannel[SIDECARS];
     private HttpServer discovery;
     private volatile String list;
     private volatile long revision;
 
     @BeforeEach
-    void startTheOthers() throws IOException {
+    void startServers() throws IOException {
         for (AtomicInteger count : served) {
             server(exchange -> {
                 count.incrementAndGet();
@@ -54,17 +54,17 @@
             });
         }
         for (int i = 0; i < SIDECARS; i++) {
-            doors[i] = Program.platformSocket();
+            listeningSockets[i] = SidecarProcess.platformSocket();
         }
         discovery = server(this::discover);
-        tell(5, "SERVING", 2);
+        publishList(5, "SERVING", 2);
     }
 
     @AfterEach
     void stopAll() throws IOException {
-        running.forEach(Program::close);
-        for (ServerSocketChannel door : doors) {
-            door.close();
+        running.forEach(SidecarProcess::close);
+        for (ServerSocketChannel listeningSocket : listeningSockets) {
+            listeningSocket.close();
         }
         servers.forEach(server -> server.stop(0));
     }
@@ -111,11 +111,12 @@
     }
 
     /** The first host in that state, and others up to so many in all, as discovery tells from now on. */
-    private synchronized void tell(long version, String firstState, int hosts) {
+    private synchronized void publishList(long version, String firstState, int hosts) {
         StringBuilder targets = new StringBuilder();
         for (int i = 0; i < hosts; i++) {
             targets.append(i == 0 ? "" : ",").append("{\"uid\":\"s").append(i).append("\",\"endpoint\":\"127.0.0.1:")
-                    .append(servers.get(i).getAddress().getPort()).append("\",\"az\":\"north\",\"pod_group\":1,\"state\":\"")
+                    .append(servers.get(i).getAddress().getPort())
+                    .append("\",\"az\":\"north\",\"pod_group\":1,\"state\":\"")
                     .append(i == 0 ? firstState : "SERVING").append("\",\"capacity_hint\":1.0,\"boot_ms\":0}");
         }
         list = "{\"rev\":" + version + ",\"all\":true,\"targets\":[" + targets + "]}";
@@ -124,10 +125,10 @@
     }
 
     /** One sidecar with its own folder, or none; it begins with the platform's list of version 4, all serving. */
-    private Program start(int number, boolean keeps) throws Exception {
+    private SidecarProcess start(int number, boolean persists) throws Exception {
         long version = revision;
         String now = list;
-        tell(4, "SERVING", 2);
+        publishList(4, "SERVING", 2);
         String known = list;
         list = now;
         revision = version;
@@ -140,42 +141,43 @@
         Path config = Files.writeString(folder.resolve("config" + number + ".json"), text);
         Path state = Files.createDirectories(folder.resolve("state" + number));
         Path operators = Files.writeString(folder.resolve("operators" + number + ".toml"),
-                keeps ? "[state]\nfolder = \"" + state + "\"\n" : "# nothing\n");
-        Program program = new Program(config, doors[number], Program.freePort(), false, List.of(), List.of("--operators",
+                persists ? "[state]\nfolder = \"" + state + "\"\n" : "# nothing\n");
+        SidecarProcess program = new SidecarProcess(config, listeningSockets[number], SidecarProcess.freePort(), false,
+                List.of(), List.of("--operators",
                 operators.toString()));
         running.add(program);
         return program;
     }
 
     private int port(int number) throws IOException {
-        return ((InetSocketAddress) doors[number].getLocalAddress()).getPort();
+        return ((InetSocketAddress) listeningSockets[number].getLocalAddress()).getPort();
     }
 
-    private int pay(int number) throws Exception {
-        HttpRequest pay = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port(number) + "/quote/1"))
+    private int requestStatus(int number) throws Exception {
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port(number) + "/quote/1"))
                 .header("X-Call-Id", Long.toHexString(System.nanoTime())).header("X-Caller", "shop-a")
                 .header("X-Budget-Ms", "1000").GET().build();
-        return client.send(pay, HttpResponse.BodyHandlers.ofString()).statusCode();
+        return client.send(request, HttpResponse.BodyHandlers.ofString()).statusCode();
     }
 
-    private String kept(int number) throws Exception {
-        Snapshot kept = new StateFolder(folder.resolve("state" + number), "sidecar-127.0.0.1-" + port(number),
+    private String persistedList(int number) throws Exception {
+        Snapshot snapshot = new StateFolder(folder.resolve("state" + number), "sidecar-127.0.0.1-" + port(number),
                 () -> 0).read();
-        return kept == null ? "" : new String(kept.list(), StandardCharsets.UTF_8);
+        return snapshot == null ? "" : new String(snapshot.list(), StandardCharsets.UTF_8);
     }
 
-    private void startAll(boolean keeps) throws Exception {
-        List<Program> started = new ArrayList<>();
+    private void startAll(boolean persists) throws Exception {
+        List<SidecarProcess> started = new ArrayList<>();
         for (int i = 0; i < SIDECARS; i++) {
-            started.add(start(i, keeps));
+            started.add(start(i, persists));
         }
-        for (Program program : started) {
+        for (SidecarProcess program : started) {
             program.awaitReady();
         }
     }
 
     private void killAll() throws Exception {
-        for (Program program : running) {
+        for (SidecarProcess program : running) {
             program.process.destroyForcibly().waitFor();
         }
         running.clear();
@@ -183,94 +185,95 @@
 
     /** A discovery that is late lists as serving what had been told to drain: each life began by believing it. */
     @Test
-    void aDrainToldBeforeTheKillHoldsThoughDiscoveryIsLate() throws Exception {
+    void aDrainKnownBeforeTheKillHoldsThoughDiscoveryIsStale() throws Exception {
         startAll(true);
-        tell(6, "DRAINING", 2);
+        publishList(6, "DRAINING", 2);
         for (int i = 0; i < SIDECARS; i++) {
             int number = i;
-            Program.await("kept by " + i, () -> kept(number).contains("\"rev\":6"));
-            assertThat(kept(i)).contains("DRAINING");
+            SidecarProcess.await("kept by " + i, () -> persistedList(number).contains("\"rev\":6"));
+            assertThat(persistedList(i)).contains("DRAINING");
         }
         killAll();
-        tell(5, "SERVING", 2);
+        publishList(5, "SERVING", 2);
         int before = served[0].get();
         startAll(true);
         for (int round = 0; round < 5; round++) {
             for (int i = 0; i < SIDECARS; i++) {
-                assertThat(pay(i)).isEqualTo(200);
+                assertThat(requestStatus(i)).isEqualTo(200);
             }
         }
         assertThat(served[0].get() - before).as("requests at the host that drains").isZero();
         assertThat(served[1].get()).isGreaterThanOrEqualTo(5 * SIDECARS);
-        tell(7, "SERVING", 1);
-        Program.await("newer word ends it", () -> pay(0) == 200 && served[0].get() > before);
+        publishList(7, "SERVING", 1);
+        SidecarProcess.await("newer word ends it", () -> requestStatus(0) == 200 && served[0].get() > before);
     }
 
     /** What the test above shows is the folder's doing. */
     @Test
-    void withoutAFolderALateDiscoveryIsBelieved() throws Exception {
+    void withoutAStateFolderAStaleDiscoveryIsBelieved() throws Exception {
         startAll(false);
-        tell(5, "SERVING", 1);
-        Program.await("served by the first", () -> pay(0) == 200 && served[0].get() > 0);
-        assertThat(kept(0)).isEmpty();
+        publishList(5, "SERVING", 1);
+        SidecarProcess.await("served by the first", () -> requestStatus(0) == 200 && served[0].get() > 0);
+        assertThat(persistedList(0)).isEmpty();
     }
 
     @Test
-    void aStateThatIsTornIsSetAsideAndTheStartGoesOn() throws Exception {
+    void aTornStateFileIsSetAsideAndTheSidecarStarts() throws Exception {
         start(0, true).awaitReady();
-        Program.await("kept", () -> kept(0).contains("\"rev\":5"));
+        SidecarProcess.await("kept", () -> persistedList(0).contains("\"rev\":5"));
         killAll();
         Path file = folder.resolve("state0/sidecar-127.0.0.1-" + port(0) + ".list");
         byte[] whole = Files.readAllBytes(file);
         Files.write(file, Arrays.copyOf(whole, whole.length / 2));
-        Program again = start(0, true).awaitReady();
-        assertThat(pay(0)).isEqualTo(200);
+        SidecarProcess again = start(0, true).awaitReady();
+        assertThat(requestStatus(0)).isEqualTo(200);
         again.awaitLog("torn");
         assertThat(folder.resolve("state0/" + file.getFileName() + ".bad")).exists();
-        Program.await("kept anew", () -> kept(0).contains("\"rev\":5"));
+        SidecarProcess.await("kept anew", () -> persistedList(0).contains("\"rev\":5"));
     }
 
     /** Frozen and taken for dead, while another is started in its place: neither writes over the other. */
     @Test
-    void aSecondProcessOnOneFolderServesAndWritesNothing() throws Exception {
-        Program first = start(0, true).awaitReady();
-        Program.await("kept", () -> kept(0).contains("\"rev\":5"));
+    void aSecondProcessOnAStateFolderServesAndWritesNothing() throws Exception {
+        SidecarProcess first = start(0, true).awaitReady();
+        SidecarProcess.await("kept", () -> persistedList(0).contains("\"rev\":5"));
         first.signal("STOP");
-        Program second = start(0, true).awaitReady();
-        tell(6, "DRAINING", 2);
+        SidecarProcess second = start(0, true).awaitReady();
+        publishList(6, "DRAINING", 2);
         second.awaitLog("held by another process");
-        assertThat(kept(0)).as("not written over").contains("\"rev\":5");
+        assertThat(persistedList(0)).as("not written over").contains("\"rev\":5");
         first.close();
         first.process.waitFor();
-        assertThat(pay(0)).isEqualTo(200);
-        tell(7, "DRAINING", 2);
-        Program.await("the second one keeps it once the first is gone", () -> kept(0).contains("\"rev\":7"));
+        assertThat(requestStatus(0)).isEqualTo(200);
+        publishList(7, "DRAINING", 2);
+        SidecarProcess.await("the second one keeps it once the first is gone",
+                () -> persistedList(0).contains("\"rev\":7"));
     }
 
     /** Kept under the new version while it was doubted, it would never have been asked for again by the next life. */
     @Test
-    void aDoubtedListDrainsAtOnceAndIsKeptUnderTheVersionBeforeIt() throws Exception {
-        tell(5, "SERVING", 4);
+    void anUnconfirmedListDrainsAtOnceAndIsKeptUnderThePreviousVersion() throws Exception {
+        publishList(5, "SERVING", 4);
         start(0, true).awaitReady();
-        Program.await("knows all", () -> kept(0).contains("s3"));
-        tell(6, "DRAINING", 1);
-        Program.await("the drain is kept", () -> kept(0).contains("DRAINING"));
-        assertThat(kept(0)).contains("\"rev\":5").contains("s3");
+        SidecarProcess.await("knows all", () -> persistedList(0).contains("s3"));
+        publishList(6, "DRAINING", 1);
+        SidecarProcess.await("the drain is kept", () -> persistedList(0).contains("DRAINING"));
+        assertThat(persistedList(0)).contains("\"rev\":5").contains("s3");
     }
 
     /** A list that loses all is asked for again: the second one, whole, comes before anything was refused. */
     @Test
     void anEmptyListIsAskedForAgainBeforeItCounts() throws Exception {
-        tell(5, "SERVING", 4);
-        Program program = start(0, true).awaitReady();
-        Program.await("knows all", () -> kept(0).contains("s3"));
-        tell(6, "SERVING", 0);
+        publishList(5, "SERVING", 4);
+        SidecarProcess program = start(0, true).awaitReady();
+        SidecarProcess.await("knows all", () -> persistedList(0).contains("s3"));
+        publishList(6, "SERVING", 0);
         program.awaitLog("asked for again");
-        assertThat(pay(0)).isEqualTo(200);
-        tell(7, "SERVING", 4);
-        Program.await("settled", () -> kept(0).contains("\"rev\":7"));
-        tell(8, "SERVING", 0);
-        Program.await("believed the second time", () -> pay(0) == 503);
+        assertThat(requestStatus(0)).isEqualTo(200);
+        publishList(7, "SERVING", 4);
+        SidecarProcess.await("settled", () -> persistedList(0).contains("\"rev\":7"));
+        publishList(8, "SERVING", 0);
+        SidecarProcess.await("believed the second time", () -> requestStatus(0) == 503);
         program.awaitLog("came again, and counts");
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/RollClient.java
+++ b/sidecar/src/test/java/dapplequay/cli/RollClient.java
@@ -17,12 +17,12 @@
 
 /** Sends request after request to one process and its successors, as long as a connection stays open, and judges. */
 final class RollClient implements Runnable {
-    private static final long LATE_US = 50_000;
+    private static final long LATE_TOLERANCE_US = 50_000;
     /** A request that lay there for so long before its connection ended did not cross with that end. */
-    private static final long CROSSING_US = 100_000;
-    private static final int PATIENCE_MS = 10_000;
+    private static final long MAX_CROSSING_US = 100_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
     /** Where a request is split. */
-    private static final int HALF = 40;
+    private static final int SPLIT_AT = 40;
 
     /** How a client uses its connection. */
     enum Habit {
@@ -46,7 +46,7 @@
         boolean isOpen();
 
         /** When SIGTERM came, us; 0 while it serves. */
-        long toldUs();
+        long sigtermUs();
     }
 
     /** One request at a host. */
@@ -56,18 +56,18 @@
     static final class Ledger {
         private static final int SENDS = 3;
 
-        final Queue<String> wrong = new ConcurrentLinkedQueue<>();
+        final Queue<String> violations = new ConcurrentLinkedQueue<>();
         final Map<String, Integer> figures = new ConcurrentSkipListMap<>();
         private final Map<String, Queue<Run>> runs = new ConcurrentHashMap<>();
-        private final Queue<String> crossed = new ConcurrentLinkedQueue<>();
+        private final Queue<String> crossedIds = new ConcurrentLinkedQueue<>();
         private final AtomicInteger calls = new AtomicInteger();
-        volatile boolean over;
+        volatile boolean stopped;
 
         void count(String what) {
             figures.merge(what, 1, Integer::sum);
         }
 
-        void most(String what, long value) {
+        void recordMax(String what, long value) {
             figures.merge(what, (int) value, Math::max);
         }
 
@@ -75,20 +75,20 @@
             return figures.getOrDefault(what, 0);
         }
 
-        void ran(String id, Run run) {
+        void recordRun(String id, Run run) {
             runs.computeIfAbsent(id, any -> new ConcurrentLinkedQueue<>()).add(run);
         }
 
         /** What only hosts can tell: that a request was read before its connection ended, or ran too often. */
         void judgeRuns() {
-            runs.forEach((id, of) -> {
-                if (crossed.contains(id) && of.stream().anyMatch(run -> !run.again())) {
-                    wrong.add("lost though it was read: " + id + " " + of);
+            runs.forEach((id, runsOfId) -> {
+                if (crossedIds.contains(id) && runsOfId.stream().anyMatch(run -> !run.again())) {
+                    violations.add("lost though it was read: " + id + " " + runsOfId);
                 }
-                String service = of.peek().service();
-                long groups = of.stream().map(Run::group).distinct().count();
-                if (of.size() > (service.equals("book") ? 1 : SENDS) || service.equals("pay") && groups > 1) {
-                    wrong.add("doubled: " + id + " " + of);
+                String service = runsOfId.peek().service();
+                long groups = runsOfId.stream().map(Run::group).distinct().count();
+                if (runsOfId.size() > (service.equals("book") ? 1 : SENDS) || service.equals("pay") && groups > 1) {
+                    violations.add("doubled: " + id + " " + runsOfId);
                 }
             });
         }
@@ -111,11 +111,11 @@
         }
 
         String start(boolean again) {
-            return text(again).substring(0, HALF);
+            return text(again).substring(0, SPLIT_AT);
         }
 
         String rest(boolean again) {
-            return text(again).substring(HALF);
+            return text(again).substring(SPLIT_AT);
         }
     }
 
@@ -126,7 +126,7 @@
     private Socket socket;
     private MessageReader reader;
     /** The request whose start is on the connection already, or null. */
-    private Call begun;
+    private Call startedCall;
 
     RollClient(Target target, Habit habit, Ledger ledger, long seed) {
         this.target = target;
@@ -142,53 +142,53 @@
     @Override
     public void run() {
         try {
-            while (!ledger.over) {
-                if (socket == null && !(target.isOpen() && isConnected())) {
+            while (!ledger.stopped) {
+                if (socket == null && !(target.isOpen() && connect())) {
                     Thread.sleep(2 + random.nextInt(10));
-                } else if (begun != null || isStillOpen()) {
-                    Call call = begun == null ? next() : begun;
-                    if (!isAnswered(call, false)) {
-                        turnedBack(call);
+                } else if (startedCall != null || pauseAndCheckOpen()) {
+                    Call call = startedCall == null ? nextCall() : startedCall;
+                    if (!exchange(call, false)) {
+                        resendCrossed(call);
                     }
                 }
             }
-            drop();
+            disconnect();
         } catch (Exception e) {
-            ledger.wrong.add("client failed: " + e);
+            ledger.violations.add("client failed: " + e);
         }
     }
 
-    private Call next() {
+    private Call nextCall() {
         return Call.of(ledger.calls.incrementAndGet());
     }
 
-    private void drop() throws IOException {
+    private void disconnect() throws IOException {
         if (socket != null) {
             socket.close();
         }
         socket = null;
-        begun = null;
+        startedCall = null;
     }
 
-    private boolean isConnected() throws IOException {
-        drop();
+    private boolean connect() throws IOException {
+        disconnect();
         try {
             Socket next = new Socket(InetAddress.getLoopbackAddress(), target.port());
             next.setTcpNoDelay(true);
-            next.setSoTimeout(PATIENCE_MS);
+            next.setSoTimeout(READ_TIMEOUT_MS);
             reader = new MessageReader(next.getInputStream());
             socket = next;
             return true;
         } catch (IOException e) {
             if (target.isOpen()) {
-                ledger.wrong.add("turned away: " + e);
+                ledger.violations.add("turned away: " + e);
             }
             return false;
         }
     }
 
     /** Waits as its habit is; false where the connection ended meanwhile, as it may between requests. */
-    private boolean isStillOpen() throws Exception {
+    private boolean pauseAndCheckOpen() throws Exception {
         int kind = random.nextInt(6);           // some pauses last about as long as connections are kept idle
         int pause = kind == 0 ? 2_080 + random.nextInt(40) : 10 + random.nextInt(kind < 3 ? 900 : 200);
         if (habit == Habit.BLIND) {
@@ -197,13 +197,13 @@
             socket.setSoTimeout(pause);
             try {
                 if (reader.awaitData()) {
-                    ledger.wrong.add("doubled: an answer that nobody asked for");
+                    ledger.violations.add("doubled: an answer that nobody asked for");
                 }
-                drop();
+                disconnect();
             } catch (SocketTimeoutException e) {
-                socket.setSoTimeout(PATIENCE_MS);
+                socket.setSoTimeout(READ_TIMEOUT_MS);
             } catch (IOException e) {
-                drop();
+                disconnect();
             }
         }
         return socket != null;
@@ -214,94 +214,95 @@
     }
 
     /** False where the connection ended with nothing of an answer, and the request may have crossed with its end. */
-    private boolean isAnswered(Call call, boolean again) throws Exception {
-        boolean heard = false;
+    private boolean exchange(Call call, boolean again) throws Exception {
+        boolean responseBegun = false;
         long sentUs = Long.MAX_VALUE;
         try {
-            if (begun == null && habit == Habit.SPLIT) {
+            if (startedCall == null && habit == Habit.SPLIT) {
                 write(call.start(again));
                 Thread.sleep(random.nextInt(30));
-                begun = call;
+                startedCall = call;
             }
-            String text = begun == null ? call.text(again) : call.rest(again);
-            begun = null;
-            long fromUs = now();
-            long toldUs = target.toldUs();
+            String text = startedCall == null ? call.text(again) : call.rest(again);
+            startedCall = null;
+            long startUs = now();
+            long sigtermUs = target.sigtermUs();
             write(text);
             sentUs = now();
-            heard = reader.awaitData();
-            if (heard && habit == Habit.EAGER && !ledger.over) {
-                begin(next());
+            responseBegun = reader.awaitData();
+            if (responseBegun && habit == Habit.EAGER && !ledger.stopped) {
+                sendStart(nextCall());
             }
             Head head = reader.readResponseHead();
             String body = new String(reader.readResponseBody(head), StandardCharsets.ISO_8859_1);
-            answered(call, head, body, fromUs);
-            if (toldUs != 0 && !again && head.startLine[1].equals("200")) {
+            judgeResponse(call, head, body, startUs);
+            if (sigtermUs != 0 && !again && head.startLine[1].equals("200")) {
                 ledger.count("sent after SIGTERM, 200");
-                ledger.most("sent after SIGTERM, 200, at most us after", fromUs - toldUs);
+                ledger.recordMax("sent after SIGTERM, 200, at most us after", startUs - sigtermUs);
             }
             return true;
         } catch (SocketTimeoutException e) {
-            ledger.wrong.add("unanswered: " + call);
+            ledger.violations.add("unanswered: " + call);
         } catch (IOException e) {
-            long layUs = now() - sentUs;
-            if (!heard && layUs <= CROSSING_US) {
-                drop();
+            long unansweredUs = now() - sentUs;
+            if (!responseBegun && unansweredUs <= MAX_CROSSING_US) {
+                disconnect();
                 return false;
             }
-            ledger.wrong.add("lost " + habit + (heard ? ", half an answer: " : ", no answer: ") + call + ": " + e
-                    + ", lay " + layUs + " us, SIGTERM "
-                    + (target.toldUs() == 0 ? "none" : now() - target.toldUs() + " us ago"));
+            ledger.violations.add("lost " + habit + (responseBegun ? ", half an answer: " : ", no answer: ") + call
+                    + ": " + e
+                    + ", lay " + unansweredUs + " us, SIGTERM "
+                    + (target.sigtermUs() == 0 ? "none" : now() - target.sigtermUs() + " us ago"));
         }
-        drop();
+        disconnect();
         return true;
     }
 
-    private void begin(Call call) {
+    private void sendStart(Call call) {
         try {
             write(call.start(false));
-            begun = call;
+            startedCall = call;
         } catch (IOException e) {
-            begun = null;           // the answer before it is still to be read
+            startedCall = null;           // the answer before it is still to be read
         }
     }
 
-    private void answered(Call call, Head head, String body, long fromUs) throws IOException {
+    private void judgeResponse(Call call, Head head, String body, long startUs) throws IOException {
         String status = head.startLine[1];
-        long lateUs = now() - fromUs - call.budgetMs() * 1000;
+        long lateUs = now() - startUs - call.budgetMs() * 1000;
         ledger.count("answered " + status);
-        ledger.most("late at most, us", lateUs);
-        if (lateUs > LATE_US) {
-            ledger.wrong.add("late by " + lateUs + " us: " + status + " to " + call);
+        ledger.recordMax("late at most, us", lateUs);
+        if (lateUs > LATE_TOLERANCE_US) {
+            ledger.violations.add("late by " + lateUs + " us: " + status + " to " + call);
         }
         if (status.equals("200") ? !body.equals(call.id()) : !status.matches("50[34]")) {
-            ledger.wrong.add("not its answer: " + status + " " + body + " to " + call);
+            ledger.violations.add("not its answer: " + status + " " + body + " to " + call);
         }
         if (head.closesConnection("HTTP/1.1")) {
             ledger.count("last answers");
             try {
                 if (reader.awaitData()) {
-                    ledger.wrong.add("doubled: more after the last answer, to " + call);
+                    ledger.violations.add("doubled: more after the last answer, to " + call);
                 }
             } catch (IOException e) {
-                ledger.wrong.add("lost to whoever reads slowly: " + e + " after the last answer, to " + call);
+                ledger.violations.add("lost to whoever reads slowly: " + e + " after the last answer, to " + call);
             }
-            drop();
+            disconnect();
         } else if (reader.hasBufferedBytes()) {
-            ledger.wrong.add("doubled: more after the answer to " + call);
+            ledger.violations.add("doubled: more after the answer to " + call);
         }
     }
 
     /** The close crossed the request, which is sent once more; it finds nobody where the process has gone. */
-    private void turnedBack(Call call) throws Exception {
-        ledger.count("crossed " + habit + (target.toldUs() == 0 ? "" : " after SIGTERM"));
-        ledger.crossed.add(call.id());
-        if (!isConnected()) {
+    private void resendCrossed(Call call) throws Exception {
+        ledger.count("crossed " + habit + (target.sigtermUs() == 0 ? "" : " after SIGTERM"));
+        ledger.crossedIds.add(call.id());
+        if (!connect()) {
             ledger.count("nobody");
-        } else if (isAnswered(call, true)) {
+        } else if (exchange(call, true)) {
             ledger.count("crossed, answered the second time");
         } else if (target.isOpen()) {
-            ledger.wrong.add("lost, sent twice: " + call);
+            ledger.violations.add("lost, sent twice: " + call);
         } else {
             ledger.count("nobody, behind a door that closed");
         }
--- a/sidecar/src/test/java/dapplequay/cli/RollUnderLoadTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/RollUnderLoadTest.java
@@ -34,10 +34,11 @@
     private static final int NODES = 12;
     private static final int HOSTS = 6;
     /** The fewest us between SIGTERM and SIGKILL: the longest deadline of the classes, and 0.7 s. */
-    private static final long KILLED_US = 2_000_000 + 700_000;
+    private static final long SIGKILL_AFTER_US = 2_000_000 + 700_000;
     /** What a machine that does much else may add to an ending: one that never comes is still seen. */
-    private static final long SLOW_MACHINE_US = 1_000_000;
-    private static final String FRAGILE = "{\"name\": \"book\", \"semantics\": \"fragile\", \"aim_us\": 500000, "
+    private static final long MACHINE_SLACK_US = 1_000_000;
+    private static final String FRAGILE_SERVICE =
+            "{\"name\": \"book\", \"semantics\": \"fragile\", \"aim_us\": 500000, "
             + "\"deadline_us\": 1500000, \"importance\": 0.8, \"late_worth\": 0.1, \"stream\": false}, ";
 
     @TempDir
@@ -71,7 +72,7 @@
 
     @AfterEach
     void close() throws IOException {
-        ledger.over = true;
+        ledger.stopped = true;
         for (Node node : nodes) {
             node.close();
         }
@@ -89,7 +90,7 @@
             reader.readRequestBody(head);
             String id = head.get("X-Call-Id");
             String[] path = head.startLine[1].split("/");
-            ledger.ran(id, new RollClient.Run(path[1], group, head.get("X-Again") != null));
+            ledger.recordRun(id, new RollClient.Run(path[1], group, head.get("X-Again") != null));
             long number = Long.parseLong(path[2]);
             Thread.sleep(number % 211 == 0 ? 1_200 : number % 17 == 0 || number % 100 == 0 ? 300 : 3 + number % 30);
             socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id)
@@ -99,15 +100,15 @@
 
     /** One process after the other at the same address, and what its clients are told of it. */
     private final class Node implements RollClient.Target, AutoCloseable {
-        private final Socket door = reserved();
+        private final Socket serviceAddress = reserved();
         private final Socket management = reserved();
         private final Path config;
-        private Program program;
-        private Instant toldAt;
-        private CompletableFuture<Void> ended;
-        private volatile long toldUs;
-        private volatile long endedUs;
-        private volatile long closesUs = Long.MIN_VALUE;
+        private SidecarProcess program;
+        private Instant sigtermAt;
+        private CompletableFuture<Void> exited;
+        private volatile long sigtermUs;
+        private volatile long exitedUs;
+        private volatile long closedFromUs = Long.MIN_VALUE;
 
         Node(int number, String known) throws IOException {
             String text = Files.readString(Path.of("example/config.json"));
@@ -118,7 +119,7 @@
                     .replace("\"position\": 0", "\"position\": " + number)
                     .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + known + ",")
                     .replaceAll("\"quota_per_s\": [0-9.]+", "\"quota_per_s\": 2000.0")
-                    .replace("\"services\": [", "\"services\": [" + FRAGILE));
+                    .replace("\"services\": [", "\"services\": [" + FRAGILE_SERVICE));
         }
 
         /** Bound but not listening: no other socket is given the port while the process is away. */
@@ -131,44 +132,45 @@
 
         @Override
         public int port() {
-            return door.getLocalPort();
+            return serviceAddress.getLocalPort();
         }
 
         @Override
         public boolean isOpen() {
-            return RollClient.now() < closesUs;
+            return RollClient.now() < closedFromUs;
         }
 
         @Override
-        public long toldUs() {
-            return toldUs;
+        public long sigtermUs() {
+            return sigtermUs;
         }
 
         void start() throws Exception {
-            program = new Program(config, null, management.getLocalPort());
+            program = new SidecarProcess(config, null, management.getLocalPort());
         }
 
         void awaitReady() throws Exception {
             program.awaitReady();
-            toldUs = 0;
-            closesUs = Long.MAX_VALUE;
+            sigtermUs = 0;
+            closedFromUs = Long.MAX_VALUE;
         }
 
         /** SIGTERM; new connections are sent here for so long after. */
-        void tellToEnd(long moreUs) {
-            toldAt = Instant.now();
-            toldUs = RollClient.now();
-            ended = program.process.onExit().thenRun(() -> endedUs = RollClient.now());
+        void terminate(long acceptingUs) {
+            sigtermAt = Instant.now();
+            sigtermUs = RollClient.now();
+            exited = program.process.onExit().thenRun(() -> exitedUs = RollClient.now());
             program.process.toHandle().destroy();
-            closesUs = toldUs + moreUs;
+            closedFromUs = sigtermUs + acceptingUs;
         }
 
-        void awaitEnd() throws Exception {
-            ended.get(60, TimeUnit.SECONDS);
-            long tookUs = endedUs - toldUs;
-            ledger.most("ended, at most us after SIGTERM", tookUs);
-            if (tookUs > KILLED_US + SLOW_MACHINE_US) {
-                ledger.wrong.add("SIGKILL came first: told at " + toldAt + ", took " + tookUs + " us: " + program.log);
+        void awaitExit() throws Exception {
+            exited.get(60, TimeUnit.SECONDS);
+            long tookUs = exitedUs - sigtermUs;
+            ledger.recordMax("ended, at most us after SIGTERM", tookUs);
+            if (tookUs > SIGKILL_AFTER_US + MACHINE_SLACK_US) {
+                ledger.violations.add("SIGKILL came first: told at " + sigtermAt + ", took " + tookUs + " us: "
+                        + program.log);
             }
             assertThat(program.process.exitValue()).isIn(0, 128 + 15);
         }
@@ -178,22 +180,22 @@
             if (program != null) {
                 program.close();
             }
-            door.close();
+            serviceAddress.close();
             management.close();
         }
     }
 
     /** These end at once, and are back when this returns. */
-    private void roll(List<Node> some) throws Exception {
+    private void roll(List<Node> rolled) throws Exception {
         Random random = new Random(seed);
-        some.forEach(node -> node.tellToEnd(200_000 + random.nextInt(200_000)));
-        for (Node node : some) {
-            node.awaitEnd();
+        rolled.forEach(node -> node.terminate(200_000 + random.nextInt(200_000)));
+        for (Node node : rolled) {
+            node.awaitExit();
         }
-        for (Node node : some) {
+        for (Node node : rolled) {
             node.start();
         }
-        for (Node node : some) {
+        for (Node node : rolled) {
             node.awaitReady();
         }
         awaitServed(500);
@@ -201,11 +203,11 @@
 
     private void awaitServed(int more) throws Exception {
         int wanted = ledger.figure("answered 200") + more;
-        Program.await(wanted + " answers", () -> ledger.figure("answered 200") >= wanted);
+        SidecarProcess.await(wanted + " answers", () -> ledger.figure("answered 200") >= wanted);
     }
 
     @Test
-    void nothingIsLostLateOrDoubledWhileTheFleetIsRestartedUnderItsClients() throws Exception {
+    void noRequestIsLostLateOrDuplicatedWhileTheFleetIsRestarted() throws Exception {
         for (Node node : nodes) {
             node.start();
         }
@@ -218,20 +220,20 @@
         }
         clients.forEach(Thread::start);
         awaitServed(500);
-        int before = ledger.figure("answered 200");
+        int servedBefore = ledger.figure("answered 200");
         for (int i = 0; i < 2 * NODES; i += 2) {
             roll(nodes.subList(i % NODES, i % NODES + 2));
         }
         roll(nodes.subList(0, NODES / 3));
-        int during = ledger.figure("answered 200") - before;
-        ledger.over = true;
+        int servedDuring = ledger.figure("answered 200") - servedBefore;
+        ledger.stopped = true;
         for (Thread client : clients) {
             client.join();
         }
         ledger.judgeRuns();
-        System.out.println("served during the rolls: " + during + "; " + ledger.figures);
-        assertThat(ledger.wrong).as("seed %d, %s", seed, ledger.figures).isEmpty();
-        assertThat(during).as("served during the rolls").isGreaterThan(2_000);
+        System.out.println("served during the rolls: " + servedDuring + "; " + ledger.figures);
+        assertThat(ledger.violations).as("seed %d, %s", seed, ledger.figures).isEmpty();
+        assertThat(servedDuring).as("served during the rolls").isGreaterThan(2_000);
         assertThat(ledger.figure("sent after SIGTERM, 200")).as("on connections that stayed open").isGreaterThan(200);
         assertThat(ledger.figure("last answers")).isGreaterThan(NODES);
     }
--- a/sidecar/src/test/java/dapplequay/cli/ScriptedDiscovery.java
+++ b/sidecar/src/test/java/dapplequay/cli/ScriptedDiscovery.java
@@ -21,11 +21,11 @@
  */
 final class ScriptedDiscovery implements AutoCloseable {
     /** What a call that fell silent has missed counts this long after it did, ns. */
-    private static final long SILENCE_NS = 6_000_000_000L;
+    private static final long INFORMED_AFTER_SILENCE_NS = 6_000_000_000L;
     /** And not before this long after the wait that the call asked for, ns. */
-    private static final long AFTER_WAIT_NS = 2_000_000_000L;
-    private static final long DRIP_NS = 200_000_000L;
-    private static final Pattern WATCH = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
+    private static final long INFORMED_AFTER_WAIT_NS = 2_000_000_000L;
+    private static final long NS_PER_DRIPPED_BYTE = 200_000_000L;
+    private static final Pattern WATCH_PARAMETERS = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
 
     /** What a connection does with the calls on it. RESET, BUSY (503) and RUBBISH end each at once. */
     enum Mode { ANSWER, SILENT, DRIP, HALF, RESET, BUSY, RUBBISH }
@@ -35,12 +35,12 @@
     private final List<Target> targets = new ArrayList<>();
     private final List<Connection> connections = new ArrayList<>();
     private ServerSocket listener;
-    private Mode fresh = Mode.ANSWER;
-    private int silentOnes;
+    private Mode newConnectionMode = Mode.ANSWER;
+    private int connectionsToSilence;
     private long revision = 1;
-    private long changedNs;
-    private long refusingNs;
-    private long toldNs = Long.MAX_VALUE;
+    private long lastChangeNs;
+    private long refusedSinceNs;
+    private long informedNs = Long.MAX_VALUE;
     private int failures;
     private boolean closed;
 
@@ -74,20 +74,20 @@
         thread.start();
     }
 
-    private void listen(int at) throws IOException {
-        ServerSocket next = new ServerSocket(at, 50, InetAddress.getLoopbackAddress());
+    private void listen(int listenPort) throws IOException {
+        ServerSocket next = new ServerSocket(listenPort, 50, InetAddress.getLoopbackAddress());
         listener = next;
         daemon(() -> {
             while (true) {
-                accepted(next.accept());
+                accept(next.accept());
             }
         });
     }
 
-    private synchronized void accepted(Socket socket) throws IOException {
+    private synchronized void accept(Socket socket) throws IOException {
         socket.setTcpNoDelay(true);
-        Connection connection = new Connection(socket, silentOnes > 0 ? Mode.SILENT : fresh);
-        silentOnes = Math.max(0, silentOnes - 1);
+        Connection connection = new Connection(socket, connectionsToSilence > 0 ? Mode.SILENT : newConnectionMode);
+        connectionsToSilence = Math.max(0, connectionsToSilence - 1);
         connections.add(connection);
         daemon(connection::read);
         if (listener.isClosed()) {
@@ -99,7 +99,7 @@
         return "127.0.0.1:" + port;
     }
 
-    synchronized String whole() {
+    synchronized String wholeList() {
         return list(-1);
     }
 
@@ -114,52 +114,52 @@
     }
 
     /** The host is in that state from now on. */
-    synchronized void tell(int host, String state) {
+    synchronized void setState(int host, String state) {
         revision++;
         targets.set(host, new Target("s" + host, targets.get(host).port, state, revision));
-        changedNs = System.nanoTime();
-        toldNs = Long.MAX_VALUE;
+        lastChangeNs = System.nanoTime();
+        informedNs = Long.MAX_VALUE;
         if (listener.isClosed()) {
-            countsFrom(refusingNs + SILENCE_NS);
+            informedNoLaterThan(refusedSinceNs + INFORMED_AFTER_SILENCE_NS);
         }
         for (Connection connection : connections) {
             if (connection.mode == Mode.SILENT && connection.calling) {
-                connection.missed();
+                connection.boundInformedTime();
             }
         }
         notifyAll();
     }
 
     /** What the open connections do from now on, and new ones. */
-    synchronized void behave(Mode open, Mode next) {
-        fresh = next;
+    synchronized void setModes(Mode open, Mode next) {
+        newConnectionMode = next;
         for (Connection connection : connections) {
             connection.mode = open;
-            connection.silentNs = System.nanoTime();
+            connection.silentSinceNs = System.nanoTime();
         }
         notifyAll();
     }
 
     /** So many of the next connections get no answer. */
     synchronized void silenceNext(int count) {
-        silentOnes = count;
+        connectionsToSilence = count;
     }
 
     /** All connections are reset, and new ones refused. */
     synchronized void refuse() throws IOException {
-        refusingNs = System.nanoTime();
+        refusedSinceNs = System.nanoTime();
         listener.close();
         List.copyOf(connections).forEach(Connection::reset);
     }
 
     /** Everything is answered from now on, calls that have been left open included. */
-    synchronized void back() throws IOException {
+    synchronized void restore() throws IOException {
         if (listener.isClosed()) {
             listen(port);
         }
-        behave(Mode.ANSWER, Mode.ANSWER);
+        setModes(Mode.ANSWER, Mode.ANSWER);
         if (pushed) {
-            countsFrom(System.nanoTime());
+            informedNoLaterThan(System.nanoTime());
         }
     }
 
@@ -167,18 +167,18 @@
      * It can be reached from now on, by new connections, and has this host draining: calls that hang go on hanging, and
      * it counts as told 6 s from now at the latest. Returns when that was.
      */
-    synchronized long returnWith(int host) throws IOException {
+    synchronized long restoreWithDraining(int host) throws IOException {
         if (listener.isClosed()) {
             listen(port);
         }
-        fresh = Mode.ANSWER;
-        tell(host, "DRAINING");
-        countsFrom(changedNs + SILENCE_NS);
-        return changedNs;
+        newConnectionMode = Mode.ANSWER;
+        setState(host, "DRAINING");
+        informedNoLaterThan(lastChangeNs + INFORMED_AFTER_SILENCE_NS);
+        return lastChangeNs;
     }
 
     /** Its versions are counted from 1 again. */
-    synchronized void loseCount() {
+    synchronized void restartVersions() {
         revision = 1;
         targets.replaceAll(target -> new Target(target.uid, target.port, target.state, 1));
     }
@@ -194,20 +194,20 @@
     }
 
     /** No fault any more, and no trace of one. */
-    synchronized void settle() throws IOException {
-        silentOnes = 0;
+    synchronized void clearFaults() throws IOException {
+        connectionsToSilence = 0;
         List.copyOf(connections).stream().filter(c -> c.mode != Mode.ANSWER).forEach(Connection::reset);
-        back();
+        restore();
     }
 
     /** The last change counts as told at this time at the latest. */
-    synchronized void countsFrom(long ns) {
-        toldNs = Math.min(toldNs, Math.max(ns, changedNs));
+    synchronized void informedNoLaterThan(long ns) {
+        informedNs = Math.min(informedNs, Math.max(ns, lastChangeNs));
     }
 
     /** When the last change counts as told, on the clock of {@link System#nanoTime}. */
-    synchronized long toldNs() {
-        return toldNs;
+    synchronized long informedNs() {
+        return informedNs;
     }
 
     /** Whether the sidecar has shown that it knows the last change, and waits for another. */
@@ -232,9 +232,9 @@
     private final class Connection {
         private final Socket socket;
         private Mode mode;
-        private long silentNs = System.nanoTime();
+        private long silentSinceNs = System.nanoTime();
         private boolean calling;
-        private long beginNs;
+        private long callStartNs;
         private long after;
         private long waitNs;
         private byte[] answer;
@@ -250,7 +250,7 @@
                     StandardCharsets.ISO_8859_1))) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     if (line.startsWith("GET ")) {
-                        called(line);           // a head comes at once: nobody waits for the rest of it
+                        receiveCall(line);           // a head comes at once: nobody waits for the rest of it
                     }
                 }
                 return null;
@@ -261,31 +261,32 @@
             }
         }
 
-        private void called(String request) {
+        private void receiveCall(String request) {
             synchronized (ScriptedDiscovery.this) {
-                Matcher watch = WATCH.matcher(request);
+                Matcher watch = WATCH_PARAMETERS.matcher(request);
                 boolean waits = watch.find();
                 after = waits ? Long.parseLong(watch.group(1)) : -1;
                 waitNs = waits ? Long.parseLong(watch.group(2)) * 1_000_000 : 0;
-                beginNs = System.nanoTime();
+                callStartNs = System.nanoTime();
                 calling = true;
                 answer = null;
                 if (mode == Mode.SILENT) {
                     failures++;
-                    silentNs = beginNs;
-                    missed();
+                    silentSinceNs = callStartNs;
+                    boundInformedTime();
                 }
                 ScriptedDiscovery.this.notifyAll();
             }
         }
 
         /** This call is broken: what it has to tell counts by the clock. */
-        private void missed() {
-            countsFrom(Math.max(silentNs + SILENCE_NS, beginNs + waitNs + AFTER_WAIT_NS));
+        private void boundInformedTime() {
+            informedNoLaterThan(Math.max(silentSinceNs + INFORMED_AFTER_SILENCE_NS, callStartNs + waitNs
+                    + INFORMED_AFTER_WAIT_NS));
         }
 
         /** False where the mode leaves calls to be answered. */
-        private boolean fails() throws IOException {
+        private boolean failsCall() throws IOException {
             if (mode != Mode.RESET && mode != Mode.BUSY && mode != Mode.RUBBISH) {
                 return false;
             }
@@ -304,14 +305,14 @@
         private void answerIfDue() {
             long now = System.nanoTime();
             try {
-                if (calling && fails()) {
+                if (calling && failsCall()) {
                     return;
                 }
             } catch (IOException e) {
                 reset();
                 return;
             }
-            if (!calling || mode == Mode.SILENT || answer == null && after == revision && now < beginNs + waitNs) {
+            if (!calling || mode == Mode.SILENT || answer == null && after == revision && now < callStartNs + waitNs) {
                 return;
             }
             if (answer == null) {
@@ -319,17 +320,17 @@
                 answer = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.ISO_8859_1);
                 written = 0;
-                silentNs = now;
+                silentSinceNs = now;
                 if (mode != Mode.ANSWER) {
-                    missed();
+                    boundInformedTime();
                 }
             }
-            int upTo = mode == Mode.ANSWER ? answer.length : mode == Mode.HALF ? answer.length / 2
-                    : (int) Math.min(answer.length, 1 + (now - silentNs) / DRIP_NS);
+            int writeUntil = mode == Mode.ANSWER ? answer.length : mode == Mode.HALF ? answer.length / 2
+                    : (int) Math.min(answer.length, 1 + (now - silentSinceNs) / NS_PER_DRIPPED_BYTE);
             try {
-                if (upTo > written) {
-                    socket.getOutputStream().write(Arrays.copyOfRange(answer, written, upTo));
-                    written = upTo;
+                if (writeUntil > written) {
+                    socket.getOutputStream().write(Arrays.copyOfRange(answer, written, writeUntil));
+                    written = writeUntil;
                 }
             } catch (IOException e) {
                 reset();
@@ -337,7 +338,7 @@
             }
             if (written == answer.length) {
                 calling = false;
-                countsFrom(now);
+                informedNoLaterThan(now);
             }
         }
 
--- a/sidecar/src/test/java/dapplequay/cli/Hosts.java
+++ b/sidecar/src/test/java/dapplequay/cli/ScriptedServers.java
@@ -15,10 +15,10 @@
  * Servers that answer as the test says, each answer in one write: head and body in two, with the second held back
  * until the first is acknowledged, take 40 ms more on a connection that is used again.
  */
-final class Hosts implements AutoCloseable {
+final class ScriptedServers implements AutoCloseable {
     /** The head's further lines, each with its end, to a request that has come whole at one of them. */
     interface Script {
-        String fields(int host, Head head) throws Exception;
+        String headerLines(int host, Head head) throws Exception;
     }
 
     private static final String BODY = "done";
@@ -26,7 +26,7 @@
 
     private final List<ServerSocket> listeners = new ArrayList<>();
 
-    Hosts(int count, Script script) throws IOException {
+    ScriptedServers(int count, Script script) throws IOException {
         for (int i = 0; i < count; i++) {
             int host = i;
             ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
@@ -47,7 +47,8 @@
             while (reader.awaitData()) {
                 Head head = reader.readRequestHead();
                 reader.readRequestBody(head);
-                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\n" + script.fields(host, head) + "Content-Length: "
+                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\n" + script.headerLines(host, head)
+                        + "Content-Length: "
                         + BODY.length() + "\r\n\r\n" + BODY).getBytes(StandardCharsets.ISO_8859_1));
             }
         }
--- a/sidecar/src/test/java/dapplequay/cli/SharedDiscovery.java
+++ b/sidecar/src/test/java/dapplequay/cli/SharedDiscovery.java
@@ -22,10 +22,10 @@
  * Every sidecar has addresses of its own, so that the judge knows to whom an answer was written.
  */
 final class SharedDiscovery implements AutoCloseable {
-    private static final Pattern WATCH = Pattern.compile("after=(-?\\d+)&wait_ms=(\\d+)");
-    private static final long MS = 1_000_000;
+    private static final Pattern WATCH_PARAMETERS = Pattern.compile("after=(-?\\d+)&wait_ms=(\\d+)");
+    private static final long NS_PER_MS = 1_000_000;
     /** A change counts as told this long after discovery had it and could be reached, written or not. */
-    private static final long TOLD_NS = 6_000 * MS;
+    private static final long INFORMED_WITHIN_NS = 6_000 * NS_PER_MS;
 
     /** What a call after a version that this discovery has not reached is answered with. */
     enum UnknownVersion { WHOLE_LIST, NO_CHANGES }
@@ -40,14 +40,14 @@
     private final List<Target> targets = new ArrayList<>();
     private final List<ServerSocket> listeners = new ArrayList<>();
     private final List<Connection> connections = new ArrayList<>();
-    private final Queue<Call> queue = new ArrayDeque<>();
-    private final List<Call> waiting = new ArrayList<>();
+    private final Queue<Call> callQueue = new ArrayDeque<>();
+    private final List<Call> waitingCalls = new ArrayList<>();
     /** For each sidecar and server, when the sidecar was first written that the server is out; 0: it was not. */
-    private final long[][] toldNs;
+    private final long[][] informedNs;
     /** When each server was taken out and discovery could be reached; {@link Long#MAX_VALUE}: it was not. */
-    private final long[] outNs;
+    private final long[] takenOutNs;
     /** For each sidecar, the answers that were written to it. */
-    private final List<List<String>> stories = new ArrayList<>();
+    private final List<List<String>> writtenAnswers = new ArrayList<>();
     private UnknownVersion unknownVersion = UnknownVersion.WHOLE_LIST;
     private long revision = 100;
     private long workNs;
@@ -61,12 +61,12 @@
             targets.add(new Target("s" + i, ports.get(i), "SERVING", 1));
         }
         for (int i = 0; i < sidecars; i++) {
-            stories.add(new ArrayList<>());
+            writtenAnswers.add(new ArrayList<>());
         }
-        toldNs = new long[sidecars][ports.size()];
-        outNs = new long[ports.size()];
-        Arrays.fill(outNs, Long.MAX_VALUE);
-        Host.daemon(this::work);
+        informedNs = new long[sidecars][ports.size()];
+        takenOutNs = new long[ports.size()];
+        Arrays.fill(takenOutNs, Long.MAX_VALUE);
+        Host.daemon(this::processCalls);
     }
 
     /** A further address for this sidecar, at which it is the only caller. */
@@ -86,27 +86,28 @@
     }
 
     /** From now on a call takes so long to work on, and each answer so long on its way. */
-    synchronized void take(long workMs, long networkMs) {
-        workNs = workMs * MS;
-        networkNs = networkMs * MS;
+    synchronized void setDelays(long workMs, long networkMs) {
+        workNs = workMs * NS_PER_MS;
+        networkNs = networkMs * NS_PER_MS;
     }
 
     /** From now on calls, and connections, are reset; or answered again. */
-    synchronized void reset(boolean all) {
-        resets = all;
-        if (all) {
+    synchronized void setResetting(boolean resetting) {
+        resets = resetting;
+        if (resetting) {
             connections.forEach(Connection::reset);
-            queue.clear();
-            waiting.clear();
+            callQueue.clear();
+            waitingCalls.clear();
         }
         long now = System.nanoTime();
-        for (int server = 0; server < outNs.length && !all; server++) {
-            outNs[server] = outNs[server] == Long.MAX_VALUE ? Long.MAX_VALUE : Math.max(outNs[server], now);
+        for (int server = 0; server < takenOutNs.length && !resetting; server++) {
+            takenOutNs[server] = takenOutNs[server] == Long.MAX_VALUE ? Long.MAX_VALUE
+                    : Math.max(takenOutNs[server], now);
         }
     }
 
     /** Versions are counted from 1 again. */
-    synchronized void loseCount(UnknownVersion answer) {
+    synchronized void restartVersions(UnknownVersion answer) {
         revision = 1;
         unknownVersion = answer;
         targets.replaceAll(target -> new Target(target.uid, target.port, target.state, 1));
@@ -118,35 +119,36 @@
         for (int server : servers) {
             Target target = targets.get(server);
             targets.set(server, new Target(target.uid, target.port, gone ? "DELETED" : "DRAINING", revision));
-            outNs[server] = System.nanoTime();
+            takenOutNs[server] = System.nanoTime();
         }
         notifyAll();
     }
 
     /** Whether the sidecar has been written that the server is out. */
-    synchronized boolean isTold(int sidecar, int server) {
-        return toldNs[sidecar][server] != 0;
+    synchronized boolean isInformed(int sidecar, int server) {
+        return informedNs[sidecar][server] != 0;
     }
 
     /**
      * When it counts as told to the sidecar that the server is out: when it was written, but no later than so long after
      * discovery had it and could be reached; {@link Long#MAX_VALUE} where the server is in. By {@link System#nanoTime}.
      */
-    synchronized long toldNs(int sidecar, int server) {
-        if (outNs[server] == Long.MAX_VALUE) {
+    synchronized long informedNs(int sidecar, int server) {
+        if (takenOutNs[server] == Long.MAX_VALUE) {
             return Long.MAX_VALUE;
         }
-        long byTheClock = outNs[server] + TOLD_NS;
-        long written = toldNs[sidecar][server];
-        return written == 0 ? byTheClock : Math.min(written, byTheClock);
+        long latestNs = takenOutNs[server] + INFORMED_WITHIN_NS;
+        long written = informedNs[sidecar][server];
+        return written == 0 ? latestNs : Math.min(written, latestNs);
     }
 
     /** Whether every sidecar waits for changes after the version that counts. */
     synchronized boolean isWatched() {
-        return queue.isEmpty() && waiting.stream().map(call -> call.connection.sidecar).distinct().count() == toldNs.length;
+        return callQueue.isEmpty() && waitingCalls.stream().map(call -> call.connection.sidecar).distinct()
+                .count() == informedNs.length;
     }
 
-    synchronized String whole() {
+    synchronized String wholeList() {
         return list(-1);
     }
 
@@ -166,67 +168,67 @@
     }
 
     /** The answers that were written to the sidecar, as they followed on each other. */
-    synchronized List<String> story(int sidecar) {
-        return List.copyOf(stories.get(sidecar));
+    synchronized List<String> writtenAnswers(int sidecar) {
+        return List.copyOf(writtenAnswers.get(sidecar));
     }
 
     /** An answer to a call after that version was written: which servers it tells to be out. */
-    private void written(Connection connection, long after, long now) {
+    private void recordWritten(Connection connection, long after, long now) {
         int sidecar = connection.sidecar;
-        for (int server = 0; server < outNs.length; server++) {
+        for (int server = 0; server < takenOutNs.length; server++) {
             Target target = targets.get(server);
             boolean isShown = isWhole(after) || after <= revision && target.revision > after;
-            if (isShown && !target.state.equals("SERVING") && toldNs[sidecar][server] == 0) {
-                toldNs[sidecar][server] = now;
-                connection.onTheirWay.add(server);
+            if (isShown && !target.state.equals("SERVING") && informedNs[sidecar][server] == 0) {
+                informedNs[sidecar][server] = now;
+                connection.serversInTransit.add(server);
             }
         }
     }
 
     /** An answer that this side's own reset met on its way tells nothing: such a call failed. */
-    private void lost(Connection connection) {
-        connection.onTheirWay.forEach(server -> toldNs[connection.sidecar][server] = 0);
-        connection.onTheirWay.clear();
+    private void recordLost(Connection connection) {
+        connection.serversInTransit.forEach(server -> informedNs[connection.sidecar][server] = 0);
+        connection.serversInTransit.clear();
     }
 
-    private void work() throws Exception {
+    private void processCalls() throws Exception {
         while (true) {
             Call call;
             synchronized (this) {
-                while (!closed && queue.isEmpty() && dueToAnswer() == null) {
+                while (!closed && callQueue.isEmpty() && nextDueCall() == null) {
                     wait(5);
                 }
                 if (closed) {
                     return;
                 }
-                call = queue.poll();
+                call = callQueue.poll();
             }
             if (call == null) {
                 answerWaiting();
                 continue;
             }
-            Thread.sleep(workNs / MS);
+            Thread.sleep(workNs / NS_PER_MS);
             synchronized (this) {
                 if (call.isDue(System.nanoTime())) {
                     call.answer();
                 } else {
-                    waiting.add(call);
+                    waitingCalls.add(call);
                 }
             }
         }
     }
 
     private synchronized void answerWaiting() {
-        Call due = dueToAnswer();
+        Call due = nextDueCall();
         if (due != null) {
-            waiting.remove(due);
+            waitingCalls.remove(due);
             due.answer();
         }
     }
 
-    private Call dueToAnswer() {
+    private Call nextDueCall() {
         long now = System.nanoTime();
-        return waiting.stream().filter(call -> call.isDue(now)).findFirst().orElse(null);
+        return waitingCalls.stream().filter(call -> call.isDue(now)).findFirst().orElse(null);
     }
 
     @Override
@@ -248,17 +250,18 @@
             String body = discovery.list(after);
             String text = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
             long now = System.nanoTime();
-            discovery.stories.get(connection.sidecar).add(Instant.now() + " port " + connection.socket.getLocalPort()
+            discovery.writtenAnswers.get(connection.sidecar)
+                    .add(Instant.now() + " port " + connection.socket.getLocalPort()
                     + " after " + after + (connection.ended ? ", hung up: " : ": ")
                     + body.replaceAll("\"endpoint[^}]*state", "\"state").replaceAll(",\"capacity[^}]*", ""));
             if (!connection.ended) {
-                discovery.written(connection, after, now);
+                discovery.recordWritten(connection, after, now);
             }
-            long arriveNs = now + discovery.networkNs;
+            long arrivalNs = now + discovery.networkNs;
             Host.daemon(() -> {
-                Thread.sleep(Math.max(0, (arriveNs - System.nanoTime()) / MS));
+                Thread.sleep(Math.max(0, (arrivalNs - System.nanoTime()) / NS_PER_MS));
                 synchronized (discovery) {
-                    connection.onTheirWay.clear();
+                    connection.serversInTransit.clear();
                 }
                 connection.socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             });
@@ -268,7 +271,7 @@
     private final class Connection {
         private final Socket socket;
         private final int sidecar;
-        private final List<Integer> onTheirWay = new ArrayList<>();     // servers that an answer tells to be out
+        private final List<Integer> serversInTransit = new ArrayList<>();     // servers that an answer tells to be out
         private boolean ended;
 
         Connection(Socket socket, int sidecar) {
@@ -282,7 +285,7 @@
                     StandardCharsets.ISO_8859_1))) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     if (line.startsWith("GET ")) {
-                        called(line);
+                        receiveCall(line);
                     }
                 }
             } finally {
@@ -293,23 +296,23 @@
             }
         }
 
-        private void called(String request) {
+        private void receiveCall(String request) {
             synchronized (SharedDiscovery.this) {
                 if (resets) {
                     reset();
                     return;
                 }
-                Matcher watch = WATCH.matcher(request);
+                Matcher watch = WATCH_PARAMETERS.matcher(request);
                 boolean waits = watch.find();
                 long after = waits ? Long.parseLong(watch.group(1)) : -1;
-                long waitNs = waits ? Long.parseLong(watch.group(2)) * MS : 0;
-                queue.add(new Call(SharedDiscovery.this, this, after, System.nanoTime() + waitNs));
+                long waitNs = waits ? Long.parseLong(watch.group(2)) * NS_PER_MS : 0;
+                callQueue.add(new Call(SharedDiscovery.this, this, after, System.nanoTime() + waitNs));
                 SharedDiscovery.this.notifyAll();
             }
         }
 
         private void reset() {
-            lost(this);
+            recordLost(this);
             try {
                 socket.setSoLinger(true, 0);
                 socket.close();
--- a/sidecar/src/test/java/dapplequay/cli/Program.java
+++ b/sidecar/src/test/java/dapplequay/cli/SidecarProcess.java
@@ -24,33 +24,36 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** The program as a child process, with or without a socket that the platform holds for it. */
-final class Program implements AutoCloseable {
-    private static final long PATIENCE_MS = 60_000;
+final class SidecarProcess implements AutoCloseable {
+    private static final long TIMEOUT_MS = 60_000;
 
     final Process process;
     final List<String> log = new CopyOnWriteArrayList<>();
-    private final int management;
+    private final int managementPort;
 
     private static final int LOWEST_PORT = 20_000;
     private static final int HIGHEST_PORT = 32_000;
     private static final Random RANDOM = new Random();
-    private static final Set<Integer> GIVEN = new HashSet<>();
+    private static final Set<Integer> HANDED_OUT_PORTS = new HashSet<>();
 
-    /** {@code socket}: its descriptor 0, or null; {@code management}: a port that is free, or 0 for none. */
-    Program(Path config, ServerSocketChannel socket, int management) throws Exception {
-        this(config, socket, management, false, List.of());
+    /** {@code socket}: its descriptor 0, or null; {@code managementPort}: a port that is free, or 0 for none. */
+    SidecarProcess(Path config, ServerSocketChannel socket, int managementPort) throws Exception {
+        this(config, socket, managementPort, false, List.of());
     }
 
-    Program(Path config, ServerSocketChannel socket, int management, boolean ignoringHup, List<String> launcher)
+    SidecarProcess(Path config, ServerSocketChannel socket, int managementPort, boolean ignoringHup,
+            List<String> launcher)
             throws Exception {
-        this(config, socket, management, ignoringHup, launcher, List.of());
+        this(config, socket, managementPort, ignoringHup, launcher, List.of());
     }
 
     /** {@code ignoringHup}: as a shell starts it that ignores SIGHUP; {@code launcher}: what starts it in turn. */
-    Program(Path config, ServerSocketChannel socket, int management, boolean ignoringHup, List<String> launcher,
+    SidecarProcess(Path config, ServerSocketChannel socket, int managementPort, boolean ignoringHup,
+            List<String> launcher,
             List<String> options) throws Exception {
-        this.management = management;
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        this.managementPort = managementPort;
+        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
+                .toString(),
                 "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp", System.getProperty("java.class.path"),
                 "dapplequay.cli.Main", "serve", "--config", config.toString()));
         command.addAll(options);
@@ -60,12 +63,12 @@
         }
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().keySet().removeIf(name -> name.startsWith("EDGE_"));
-        if (management != 0) {
-            builder.environment().put("EDGE_MANAGEMENT", "127.0.0.1:" + management);
+        if (managementPort != 0) {
+            builder.environment().put("EDGE_MANAGEMENT", "127.0.0.1:" + managementPort);
         }
         if (socket != null) {
             builder.environment().put("EDGE_SOCKET_FD", "0");
-            builder.redirectInput(inherited(socket));
+            builder.redirectInput(redirectFrom(socket));
         }
         process = builder.start();
         Thread reader = new Thread(() -> new BufferedReader(new InputStreamReader(process.getErrorStream(),
@@ -82,7 +85,7 @@
         while (true) {
             int port = LOWEST_PORT + RANDOM.nextInt(HIGHEST_PORT - LOWEST_PORT);
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-                if (GIVEN.add(socket.getLocalPort())) {
+                if (HANDED_OUT_PORTS.add(socket.getLocalPort())) {
                     return port;
                 }
             } catch (IOException e) {
@@ -96,40 +99,41 @@
     }
 
     /** What the JDK uses itself to connect the processes of a pipeline: a redirection from any descriptor. */
-    private static ProcessBuilder.Redirect inherited(ServerSocketChannel socket) throws Exception {
-        Constructor<?> made = Class.forName("java.lang.ProcessBuilder$RedirectPipeImpl").getDeclaredConstructor();
-        made.setAccessible(true);
-        Object redirect = made.newInstance();
+    private static ProcessBuilder.Redirect redirectFrom(ServerSocketChannel socket) throws Exception {
+        Constructor<?> constructor = Class.forName("java.lang.ProcessBuilder$RedirectPipeImpl")
+                .getDeclaredConstructor();
+        constructor.setAccessible(true);
+        Object redirect = constructor.newInstance();
         Method descriptor = redirect.getClass().getDeclaredMethod("getFd");
         descriptor.setAccessible(true);
-        Field number = FileDescriptor.class.getDeclaredField("fd");
-        number.setAccessible(true);
-        Method own = Class.forName("sun.nio.ch.SelChImpl").getDeclaredMethod("getFDVal");
-        own.setAccessible(true);
-        number.setInt(descriptor.invoke(redirect), (Integer) own.invoke(socket));
+        Field descriptorNumber = FileDescriptor.class.getDeclaredField("fd");
+        descriptorNumber.setAccessible(true);
+        Method channelDescriptor = Class.forName("sun.nio.ch.SelChImpl").getDeclaredMethod("getFDVal");
+        channelDescriptor.setAccessible(true);
+        descriptorNumber.setInt(descriptor.invoke(redirect), (Integer) channelDescriptor.invoke(socket));
         return (ProcessBuilder.Redirect) redirect;
     }
 
     /** The status of one call at the management address; -1 where nobody answers, or ends before it has. */
-    int call(String line) throws IOException {
+    int managementStatus(String line) throws IOException {
         try {
-            return Integer.parseInt(ask(line).split(" ")[1]);
+            return Integer.parseInt(managementResponse(line).split(" ")[1]);
         } catch (SocketException e) {
             return -1;
         }
     }
 
     /** All of its answer. */
-    String ask(String line) throws IOException {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), management)) {
-            socket.setSoTimeout((int) PATIENCE_MS);
+    String managementResponse(String line) throws IOException {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), managementPort)) {
+            socket.setSoTimeout((int) TIMEOUT_MS);
             socket.getOutputStream().write((line + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         }
     }
 
-    Program awaitReady() throws Exception {
-        await("ready", () -> isRunning() && call("GET /-/ready") == 200);
+    SidecarProcess awaitReady() throws Exception {
+        await("ready", () -> isRunning() && managementStatus("GET /-/ready") == 200);
         return this;
     }
 
@@ -147,9 +151,9 @@
 
     /** Waits for the condition, and fails where it does not come. */
     static void await(String what, Callable<Boolean> condition) throws Exception {
-        long until = System.currentTimeMillis() + PATIENCE_MS;
+        long deadlineMs = System.currentTimeMillis() + TIMEOUT_MS;
         while (!condition.call()) {
-            if (System.currentTimeMillis() > until) {
+            if (System.currentTimeMillis() > deadlineMs) {
                 throw new AssertionError("never came: " + what);
             }
             Thread.sleep(10);
--- a/sidecar/src/test/java/dapplequay/cli/SignalCrossingsTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/SignalCrossingsTest.java
@@ -28,22 +28,24 @@
 /** SIGTERM and SIGHUP against all that a process may be in the middle of. Each test leads one to the other. */
 @Timeout(120)
 class SignalCrossingsTest extends ClosesWhatItOpened {
-    private static final int PATIENCE_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
     private static final int ENDED_BY_SIGTERM = 128 + 15;
-    private static final int HALF = 40;
+    private static final int SPLIT_AT = 40;
 
     @TempDir
     private Path folder;
-    private Upstream upstream;
-    private Program program;
+    private ManualServer upstream;
+    private SidecarProcess program;
     private int calls;
 
     /** Deadlines so long that the time of an ending is the platform's longest; both servers are the test's. */
     private String settings() throws IOException {
-        upstream = upstream == null ? open(new Upstream()) : upstream;
+        upstream = upstream == null ? open(new ManualServer()) : upstream;
         return Files.readString(Path.of("example/config.json")).replace("127.0.0.1:7070", "127.0.0.1:0")
-                .replace("127.0.0.1:8500", "127.0.0.1:1").replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + upstream.port())
-                .replaceAll("\"aim_us\": \\d+", "\"aim_us\": 1000000").replace("\"late_worth\": 0.0", "\"late_worth\": 0.5")
+                .replace("127.0.0.1:8500", "127.0.0.1:1")
+                .replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + upstream.port())
+                .replaceAll("\"aim_us\": \\d+", "\"aim_us\": 1000000")
+                .replace("\"late_worth\": 0.0", "\"late_worth\": 0.5")
                 .replaceAll("\"deadline_us\": \\d+", "\"deadline_us\": 20000000");
     }
 
@@ -51,8 +53,8 @@
         return Files.writeString(folder.resolve("config.json"), text);
     }
 
-    private Program start(Path config, String... launcher) throws Exception {
-        program = open(new Program(config, null, Program.freePort(), false, List.of(launcher)));
+    private SidecarProcess start(Path config, String... launcher) throws Exception {
+        program = open(new SidecarProcess(config, null, SidecarProcess.freePort(), false, List.of(launcher)));
         return program;
     }
 
@@ -72,9 +74,9 @@
         private String rest;
 
         Client(InetSocketAddress at) throws IOException {
-            socket.connect(at, PATIENCE_MS);
+            socket.connect(at, READ_TIMEOUT_MS);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
             reader = new MessageReader(socket.getInputStream(), MessageReader.MAX_BODY_BYTES);
         }
 
@@ -88,30 +90,31 @@
                     + "\r\nX-Caller: shop-a\r\nX-Budget-Ms: 15000\r\n";
         }
 
-        Client quotes() throws IOException {
+        Client sendQuote() throws IOException {
             write(start("GET", "quote") + "\r\n");
             return this;
         }
 
-        Client beginsToQuote() throws IOException {
+        Client startQuote() throws IOException {
             String text = start("GET", "quote") + "\r\n";
-            write(text.substring(0, HALF));
-            rest = text.substring(HALF);
+            write(text.substring(0, SPLIT_AT));
+            rest = text.substring(SPLIT_AT);
             return this;
         }
 
         /** All but the last byte, once the sidecar has said that it has the head. */
-        Client beginsToPay() throws IOException {
+        Client startPay() throws IOException {
             write(start("POST", "pay") + "Idempotency-Key: k\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-            String goOn = "HTTP/1.1 100 Continue\r\n\r\n";
-            assertThat(new String(socket.getInputStream().readNBytes(goOn.length()), StandardCharsets.ISO_8859_1))
-                    .isEqualTo(goOn);
+            String continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
+            assertThat(new String(socket.getInputStream().readNBytes(continueResponse.length()),
+                    StandardCharsets.ISO_8859_1))
+                    .isEqualTo(continueResponse);
             write("bod");
             rest = "y";
             return this;
         }
 
-        void sendsTheRest() throws IOException {
+        void sendRest() throws IOException {
             write(rest);
         }
 
@@ -123,8 +126,8 @@
             return status;
         }
 
-        void isServed() throws Exception {
-            upstream.serve(id);
+        void assertServed() throws Exception {
+            upstream.serveNext(id);
             assertThat(answer()).isEqualTo(200);
         }
 
@@ -138,78 +141,78 @@
         return open(new Client(address()));
     }
 
-    private long told(String part) {
+    private long logLineCount(String part) {
         return program.log.stream().filter(line -> line.contains(part)).count();
     }
 
-    private long invalid() {
-        return told("configuration kept as it was");
+    private long rejectedReloads() {
+        return logLineCount("configuration kept as it was");
     }
 
-    private long taken() {
-        return told("configuration read again");
+    private long reloads() {
+        return logLineCount("configuration read again");
     }
 
-    private void awaitTaken(int times) throws Exception {
-        Program.await("taken " + times, () -> taken() == times);
+    private void awaitReloads(int times) throws Exception {
+        SidecarProcess.await("taken " + times, () -> reloads() == times);
     }
 
-    private void awaitEnd() throws Exception {
+    private void awaitExit() throws Exception {
         assertThat(program.process.waitFor(60, TimeUnit.SECONDS)).isTrue();
         assertThat(program.process.exitValue()).isEqualTo(ENDED_BY_SIGTERM);
-        Program.await("the last line", () -> told("ended") > 0);
+        SidecarProcess.await("the last line", () -> logLineCount("ended") > 0);
     }
 
     @Test
-    void whatIsUnderWayAtSigtermIsAnsweredAndNeitherASecondOneNorAReloadNorADrainChangesThat() throws Exception {
+    void requestsInProgressAtSigtermAreAnsweredDespiteASecondSigtermAReloadAndADrain() throws Exception {
         Path config = file(settings());
         start(config).awaitReady();
-        Client inHead = client().beginsToQuote();
-        Client inBody = client().beginsToPay();
-        Client kept = client().quotes();
-        kept.isServed();
-        Client retried = client().quotes();
-        Upstream.Attempt first = upstream.next();
-        Client held = client().quotes();
-        Upstream.Attempt last = upstream.next();
-        Client half = client().quotes();
-        Upstream.Attempt begun = upstream.next();
+        Client inHead = client().startQuote();
+        Client inBody = client().startPay();
+        Client kept = client().sendQuote();
+        kept.assertServed();
+        Client retried = client().sendQuote();
+        ManualServer.Attempt first = upstream.nextAttempt();
+        Client held = client().sendQuote();
+        ManualServer.Attempt last = upstream.nextAttempt();
+        Client half = client().sendQuote();
+        ManualServer.Attempt begun = upstream.nextAttempt();
         begun.write("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + "x".repeat(100_000));
         Head answer = half.reader.readResponseHead();
         program.signal("HUP");
         program.signal("TERM");
         program.awaitLog("ending: ");
-        awaitTaken(1);
+        awaitReloads(1);
 
         first.reset();
-        retried.isServed();
-        inHead.sendsTheRest();
-        inHead.isServed();
-        inBody.sendsTheRest();
-        inBody.isServed();
+        retried.assertServed();
+        inHead.sendRest();
+        inHead.assertServed();
+        inBody.sendRest();
+        inBody.assertServed();
         begun.write("x".repeat(100_000));
         assertThat(half.reader.readResponseBody(answer)).hasSize(200_000);
         for (int i = 0; i < 20; i++) {
-            Client late = client().quotes();
-            late.isServed();
+            Client late = client().sendQuote();
+            late.assertServed();
         }
         program.signal("TERM");
         Files.writeString(config, settings().replace("\"name\": \"pay\"", "\"name\": \"buy\""));
         program.signal("HUP");
-        awaitTaken(2);
-        kept.quotes().isServed();
-        assertThat(program.call("GET /-/ready")).isEqualTo(503);
-        assertThat(program.call("PUT /-/drain")).isEqualTo(200);
-        assertThat(program.call("PUT /-/resume")).isEqualTo(409);
+        awaitReloads(2);
+        kept.sendQuote().assertServed();
+        assertThat(program.managementStatus("GET /-/ready")).isEqualTo(503);
+        assertThat(program.managementStatus("PUT /-/drain")).isEqualTo(200);
+        assertThat(program.managementStatus("PUT /-/resume")).isEqualTo(409);
         last.serve();
         assertThat(held.answer()).isEqualTo(200);
-        awaitEnd();
+        awaitExit();
         assertThat(program.log).noneMatch(line -> line.contains("SEVERE"));
     }
 
     /** Its host is full when the signal comes, and lets it in after. */
     @Test
-    void aConnectUnderWayAtSigtermIsWaitedFor() throws Exception {
+    void aConnectInProgressAtSigtermIsAwaited() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<Socket> crowd = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
@@ -217,9 +220,9 @@
             }
             String text = settings().replace("\"connect_timeout_us\": 250000", "\"connect_timeout_us\": 10000000");
             start(file(text.replace("127.0.0.1:" + upstream.port(), "127.0.0.1:" + full.getLocalPort()))).awaitReady();
-            Client client = client().quotes();
+            Client client = client().sendQuote();
             String connecting = String.format(":%04X 02 ", full.getLocalPort());
-            Program.await("connects", () -> Files.readString(Path.of("/proc/net/tcp")).contains(connecting)
+            SidecarProcess.await("connects", () -> Files.readString(Path.of("/proc/net/tcp")).contains(connecting)
                     || Files.readString(Path.of("/proc/net/tcp6")).contains(connecting));
             program.signal("TERM");
             program.awaitLog("ending: ");
@@ -228,16 +231,16 @@
             }
             Socket attempt = open(full.accept());
             MessageReader reader = new MessageReader(attempt.getInputStream());
-            new Upstream.Attempt(reader.readRequestHead().get("X-Call-Id"), attempt).serve();
+            new ManualServer.Attempt(reader.readRequestHead().get("X-Call-Id"), attempt).serve();
             assertThat(client.answer()).isEqualTo(200);
             client.close();
-            awaitEnd();
+            awaitExit();
         }
     }
 
     /** The process stands in the reading of its configuration, a pipe that the test has the other end of. */
     @Test
-    void sighupAndSigtermBeforeTheProcessServes() throws Exception {
+    void signalsBeforeTheProcessServesTakeEffect() throws Exception {
         Path pipe = folder.resolve("pipe");
         assertThat(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor()).isZero();
         Path renamed = Files.writeString(folder.resolve("renamed"), settings().replace("\"quote\"", "\"offer\""));
@@ -248,11 +251,11 @@
             reads.write(settings().getBytes(StandardCharsets.UTF_8));
         }
         program.awaitReady();
-        awaitTaken(1);
-        Client client = client().quotes();
+        awaitReloads(1);
+        Client client = client().sendQuote();
         assertThat(client.answer()).as("a class that went").isEqualTo(400);
         client.write(client.start("GET", "offer") + "\r\n");
-        client.isServed();
+        client.assertServed();
 
         Files.delete(pipe);
         assertThat(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor()).isZero();
@@ -266,30 +269,31 @@
 
     /** Between the management address and the clients', while made-up requests are walked. */
     @Test
-    void sigtermInAStartEndsTheProcessByItself() throws Exception {
+    void sigtermDuringWarmUpEndsTheProcess() throws Exception {
         start(file(settings()));
-        Program.await("a first answer", () -> program.call("GET /-/ready") > 0);
+        SidecarProcess.await("a first answer", () -> program.managementStatus("GET /-/ready") > 0);
         program.signal("TERM");
-        awaitEnd();
+        awaitExit();
     }
 
     /** The log's reader has gone to sleep: a line of more than a pipe holds keeps whoever writes it. */
     @Test
-    void aLogThatNobodyReadsNeitherStopsTheServiceNorTheEnd() throws Exception {
+    void aLogThatNobodyReadsBlocksNeitherRequestsNorTheExit() throws Exception {
         Path pipe = folder.resolve("log");
         assertThat(new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor()).isZero();
         open(new RandomAccessFile(pipe.toFile(), "rw"));
-        int port = Program.freePort();
+        int port = SidecarProcess.freePort();
         Path config = file(settings().replace("127.0.0.1:0", "127.0.0.1:" + port));
         start(config, "sh", "-c", "exec \"$@\" 2>" + pipe, "sh").awaitReady();
         Files.writeString(config, settings().replace("\"127.0.0.1:0\"", "\"" + "x".repeat(300_000) + "\""));
         program.signal("HUP");
-        Program.await("turned down", () -> program.ask("GET /-/metrics").contains("cfg_invalid_total 1"));
+        SidecarProcess.await("turned down", () -> program.managementResponse("GET /-/metrics")
+                .contains("cfg_invalid_total 1"));
         Client client = open(new Client(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)));
-        client.quotes().isServed();
+        client.sendQuote().assertServed();
         program.signal("TERM");
-        Program.await("ending", () -> program.call("GET /-/ready") == 503);
-        client.quotes().isServed();
+        SidecarProcess.await("ending", () -> program.managementStatus("GET /-/ready") == 503);
+        client.sendQuote().assertServed();
         client.close();
         assertThat(program.process.waitFor(30, TimeUnit.SECONDS)).isTrue();
         assertThat(program.process.exitValue()).isEqualTo(ENDED_BY_SIGTERM);
@@ -297,7 +301,7 @@
 
     /** Too large to be read at all: the reading fails with an error, and no less than this is told. */
     @Test
-    void aFileThatNoMemoryHoldsIsTurnedDownAndTheNextOneTaken() throws Exception {
+    void aConfigurationTooLargeForMemoryIsRejectedAndTheNextOneRead() throws Exception {
         Path config = file(settings());
         start(config).awaitReady();
         Path huge = folder.resolve("huge");
@@ -306,25 +310,25 @@
         }
         Files.move(huge, config, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         program.signal("HUP");
-        Program.await("turned down", () -> invalid() == 1);
+        SidecarProcess.await("turned down", () -> rejectedReloads() == 1);
         Files.delete(config);
         file(settings());
         program.signal("HUP");
-        awaitTaken(1);
-        client().quotes().isServed();
+        awaitReloads(1);
+        client().sendQuote().assertServed();
     }
 
     @Test
-    void requestsUnderWayKeepWhatTheyCameUnderThroughAReload() throws Exception {
+    void requestsInProgressKeepTheirSettingsThroughAReload() throws Exception {
         String text = settings();
         Path config = file(text);
         start(config).awaitReady();
-        Client gone = client().beginsToQuote();
-        Client kept = client().quotes();
-        Upstream.Attempt first = upstream.next();
+        Client gone = client().startQuote();
+        Client kept = client().sendQuote();
+        ManualServer.Attempt first = upstream.nextAttempt();
         Files.writeString(config, text.substring(0, text.length() / 2));
         program.signal("HUP");
-        Program.await("half a file", () -> invalid() == 1);
+        SidecarProcess.await("half a file", () -> rejectedReloads() == 1);
         // The class goes, another has but one attempt, less time than has passed, and its tenant is gone.
         Files.writeString(config, text.replace("\"quote\"", "\"offer\"").replace("\"send_cap\": 3", "\"send_cap\": 1")
                 .replaceAll("\"deadline_us\": \\d+", "\"deadline_us\": 1000").replace("\"shop-a\"", "\"shop-c\"")
@@ -332,20 +336,20 @@
         for (int i = 0; i < 5; i++) {
             program.signal("HUP");
         }
-        Program.await("taken", () -> taken() > 0);
-        gone.sendsTheRest();
+        SidecarProcess.await("taken", () -> reloads() > 0);
+        gone.sendRest();
         assertThat(gone.answer()).as("clear, and not lost").isEqualTo(400);
         first.reset();
-        Upstream.Attempt second = upstream.next();
+        ManualServer.Attempt second = upstream.nextAttempt();
         assertThat(second.id()).isEqualTo(kept.id);
         second.serve();
         assertThat(kept.answer()).isEqualTo(200);
         kept.write(kept.start("GET", "offer") + "\r\n");
         assertThat(kept.answer()).as("the tenant went").isEqualTo(403);
-        long before = taken();
+        long reloadsBefore = reloads();
         file(text);
         program.signal("HUP");
-        Program.await("as before", () -> taken() > before);
-        kept.quotes().isServed();
+        SidecarProcess.await("as before", () -> reloads() > reloadsBefore);
+        kept.sendQuote().assertServed();
     }
 }
--- a/sidecar/src/test/java/dapplequay/cli/StartTogetherTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/StartTogetherTest.java
@@ -23,8 +23,8 @@
 /** Many processes start at once while discovery is down: each serves by the list that it was given. */
 @Timeout(120)
 class StartTogetherTest {
-    private static final int NODES = 8;
-    private static final long READY_MS = 10_000;
+    private static final int SIDECARS = 8;
+    private static final long READY_WITHIN_MS = 10_000;
 
     @TempDir
     private Path folder;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void allAreReadyAndServeThoughDiscoveryRefusesOrIsSilent() throws Exception {
+    void allBecomeReadyAndServeThoughDiscoveryRefusesOrIsSilent() throws Exception {
         ServerSocket host = listener();
         Host.daemon(() -> {
             while (true) {
@@ -65,29 +65,29 @@
                 Host.daemon(() -> serve(socket));
             }
         });
-        ServerSocket silent = listener();           // the system accepts, and nobody ever answers
+        ServerSocket silentDiscovery = listener();           // the system accepts, and nobody ever answers
         String text = Files.readString(Path.of("example/config.json"))
                 .replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + host.getLocalPort());
-        List<Program> programs = new ArrayList<>();
+        List<SidecarProcess> programs = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
         List<CompletableFuture<Long>> ready = new ArrayList<>();
-        for (int i = 0; i < NODES; i++) {
-            ports.add(Program.freePort());
+        for (int i = 0; i < SIDECARS; i++) {
+            ports.add(SidecarProcess.freePort());
             Path config = Files.writeString(folder.resolve("config" + i), text
                     .replace("127.0.0.1:7070", "127.0.0.1:" + ports.get(i))
-                    .replace("127.0.0.1:8500", "127.0.0.1:" + (i % 2 == 0 ? 1 : silent.getLocalPort()))
+                    .replace("127.0.0.1:8500", "127.0.0.1:" + (i % 2 == 0 ? 1 : silentDiscovery.getLocalPort()))
                     .replace(i % 4 < 2 ? "\"on_request\"" : "\"none\"", "\"pushed\""));
-            long from = System.nanoTime();
-            Program program = open(new Program(config, null, Program.freePort()));
+            long startNs = System.nanoTime();
+            SidecarProcess program = open(new SidecarProcess(config, null, SidecarProcess.freePort()));
             programs.add(program);
-            ready.add(CompletableFuture.supplyAsync(() -> msToReady(program, from)));
+            ready.add(CompletableFuture.supplyAsync(() -> msToReady(program, startNs)));
         }
         List<Long> tookMs = new ArrayList<>();
         for (CompletableFuture<Long> one : ready) {
             tookMs.add(one.get());
         }
         System.out.println("ready after, ms: " + tookMs);
-        for (int i = 0; i < NODES; i++) {
+        for (int i = 0; i < SIDECARS; i++) {
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), ports.get(i))) {
                 client.getOutputStream().write(("GET /quote/1 HTTP/1.1\r\nX-Call-Id: 1\r\nX-Caller: shop-a\r\n"
                         + "X-Budget-Ms: 1000\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
@@ -95,13 +95,13 @@
             }
         }
         // Nine in ten are held to this where each has but a share of a core.
-        assertThat(tookMs).allMatch(ms -> ms < READY_MS);
+        assertThat(tookMs).allMatch(ms -> ms < READY_WITHIN_MS);
     }
 
-    private static long msToReady(Program program, long from) {
+    private static long msToReady(SidecarProcess program, long startNs) {
         try {
             program.awaitReady();
-            return (System.nanoTime() - from) / 1_000_000;
+            return (System.nanoTime() - startNs) / 1_000_000;
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/sidecar/src/test/java/dapplequay/cli/ThreadShortageTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/ThreadShortageTest.java
@@ -25,45 +25,47 @@
  */
 @Timeout(180)
 class ThreadShortageTest extends ClosesWhatItOpened {
-    private static final int MOST_THREADS = 80;
-    private static final int CROWD = 150;
+    private static final int MAX_THREADS = 80;
+    private static final int IDLE_CLIENTS = 150;
     private static final int ROUNDS = 8;
     /** After SIGHUP what discovery has at a new address counts so much later, ms. */
-    private static final long COUNTS_MS = 4_000;
+    private static final long RELOADED_WITHIN_MS = 4_000;
     private static final int ENDED_BY_SIGTERM = 128 + 15;
     /** As an unused user who may read the files of the one that runs the tests. */
-    private static final List<String> AS_ANOTHER = List.of("setpriv", "--reuid=61234", "--inh-caps=-all,+dac_override",
+    private static final List<String> AS_OTHER_USER = List.of("setpriv", "--reuid=61234",
+            "--inh-caps=-all,+dac_override",
             "--ambient-caps=-all,+dac_override");
 
     @TempDir
     private Path folder;
     private Path config;
-    private Program program;
-    private final int port = Program.freePort();
-    private final Set<Socket> crowd = ConcurrentHashMap.newKeySet();
+    private SidecarProcess program;
+    private final int port = SidecarProcess.freePort();
+    private final Set<Socket> idleClients = ConcurrentHashMap.newKeySet();
 
     @BeforeEach
-    void startShortOfThreads() throws Exception {
+    void startWithThreadLimit() throws Exception {
         assumeTrue("root".equals(System.getProperty("user.name")), "only root can start a process as another user");
         config = folder.resolve("config.json");
-        Files.writeString(config, Files.readString(Path.of("example/config.json")).replace("127.0.0.1:7070", "127.0.0.1:" + port)
+        Files.writeString(config, Files.readString(Path.of("example/config.json"))
+                .replace("127.0.0.1:7070", "127.0.0.1:" + port)
                 .replace("127.0.0.1:8500", "127.0.0.1:1"));
-        List<String> launcher = new ArrayList<>(AS_ANOTHER);
-        launcher.addAll(List.of("prlimit", "--nproc=" + MOST_THREADS));
-        program = open(new Program(config, null, Program.freePort(), false, launcher));
+        List<String> launcher = new ArrayList<>(AS_OTHER_USER);
+        launcher.addAll(List.of("prlimit", "--nproc=" + MAX_THREADS));
+        program = open(new SidecarProcess(config, null, SidecarProcess.freePort(), false, launcher));
         program.awaitReady();
     }
 
     /** Clients that connect, send nothing and stay, until the process can't start a thread for one; kept up in the background. */
-    private void fill() throws Exception {
+    private void exhaustThreads() throws Exception {
         Thread filler = new Thread(() -> {
             while (program.process.isAlive()) {
                 try {
-                    crowd.removeIf(Socket::isClosed);
-                    for (int i = crowd.size(); i < CROWD; i++) {
+                    idleClients.removeIf(Socket::isClosed);
+                    for (int i = idleClients.size(); i < IDLE_CLIENTS; i++) {
                         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-                        crowd.add(socket);
-                        leaveWhenClosed(socket);
+                        idleClients.add(socket);
+                        closeWithPeer(socket);
                     }
                     Thread.sleep(5);
                 } catch (IOException | InterruptedException e) {
@@ -76,7 +78,7 @@
         program.awaitLog("native thread");
     }
 
-    private static void leaveWhenClosed(Socket socket) {
+    private static void closeWithPeer(Socket socket) {
         Thread reader = new Thread(() -> {
             try (socket) {
                 while (socket.getInputStream().read() >= 0) { }
@@ -88,22 +90,24 @@
         reader.start();
     }
 
-    private long readAgain() {
+    private long reloadCount() {
         return program.log.stream().filter(line -> line.contains("configuration read again")).count();
     }
 
     /** The JVM could not start a thread for SIGHUP: the new configuration was never read. */
     @Test
-    void newConfigurationsAreReadBesideACrowd() throws Exception {
-        fill();
+    void configurationIsReloadedDuringAThreadShortage() throws Exception {
+        exhaustThreads();
         String text = Files.readString(config);
         for (int round = 1; round <= ROUNDS; round++) {
-            Files.writeString(config, text.replace("\"discovery\": \"127.0.0.1:1\"", "\"discovery\": \"127.0.0.1:" + (1 + round) + "\""));
-            long before = readAgain();
+            Files.writeString(config, text.replace("\"discovery\": \"127.0.0.1:1\"", "\"discovery\": \"127.0.0.1:"
+                    + (1 + round) + "\""));
+            long reloadsBefore = reloadCount();
             long signalledNs = System.nanoTime();
             program.signal("HUP");
-            Program.await("round " + round + " is read", () -> readAgain() > before || elapsedMs(signalledNs) > COUNTS_MS);
-            assertThat(readAgain()).as("round %s: %s", round, program.log).isGreaterThan(before);
+            SidecarProcess.await("round " + round + " is read", () -> reloadCount() > reloadsBefore
+                    || elapsedMs(signalledNs) > RELOADED_WITHIN_MS);
+            assertThat(reloadCount()).as("round %s: %s", round, program.log).isGreaterThan(reloadsBefore);
         }
     }
 
@@ -113,11 +117,11 @@
 
     /** Without a thread for SIGTERM the process goes on until it is killed, and cuts off whom it serves. */
     @Test
-    void theEndingIsOrderlyBesideACrowd() throws Exception {
-        fill();
+    void theProcessExitsInOrderDuringAThreadShortage() throws Exception {
+        exhaustThreads();
         program.signal("TERM");
         assertThat(program.process.waitFor(30, TimeUnit.SECONDS)).as("it ends").isTrue();
         assertThat(program.process.exitValue()).isEqualTo(ENDED_BY_SIGTERM);
-        Program.await("the last line", () -> program.log.stream().anyMatch(line -> line.endsWith("INFO ended")));
+        SidecarProcess.await("the last line", () -> program.log.stream().anyMatch(line -> line.endsWith("INFO ended")));
     }
 }
