--- a/sidecar/src/test/java/dapplequay/cli/UpgradeTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/UpgradeTest.java
@@ -31,18 +31,18 @@
 
     @TempDir
     private Path folder;
-    private final List<Program> programs = new ArrayList<>();
-    private final AtomicInteger run = new AtomicInteger();
+    private final List<SidecarProcess> programs = new ArrayList<>();
+    private final AtomicInteger requestsRun = new AtomicInteger();
     private final AtomicInteger answered = new AtomicInteger();
-    private final AtomicInteger turnedBack = new AtomicInteger();
-    private final List<String> wrong = java.util.Collections.synchronizedList(new ArrayList<>());
-    private ServerSocketChannel platform;
+    private final AtomicInteger resent = new AtomicInteger();
+    private final List<String> violations = java.util.Collections.synchronizedList(new ArrayList<>());
+    private ServerSocketChannel listeningSocket;
     private ServerSocket host;
     private Path config;
 
     @BeforeEach
     void open() throws IOException {
-        platform = Program.platformSocket();
+        listeningSocket = SidecarProcess.platformSocket();
         host = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         config = Files.writeString(folder.resolve("config.json"), Files.readString(Path.of("example/config.json"))
                 .replace("127.0.0.1:8500", "127.0.0.1:1").replace("127.0.0.1:9001", "127.0.0.1:" + host.getLocalPort())
@@ -58,9 +58,9 @@
 
     @AfterEach
     void close() throws IOException {
-        programs.forEach(Program::close);
+        programs.forEach(SidecarProcess::close);
         host.close();
-        platform.close();
+        listeningSocket.close();
     }
 
     private void serve(Socket socket) throws Exception {
@@ -68,32 +68,33 @@
         while (reader.awaitData()) {
             Head head = reader.readRequestHead();
             byte[] body = reader.readRequestBody(head);
-            run.incrementAndGet();
+            requestsRun.incrementAndGet();
             Thread.sleep(5);
             socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n"
                     + new String(body, StandardCharsets.ISO_8859_1)).getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
-    private Program start(Path file) throws Exception {
-        Program program = new Program(file, platform, Program.freePort());
+    private SidecarProcess start(Path file) throws Exception {
+        SidecarProcess program = new SidecarProcess(file, listeningSocket, SidecarProcess.freePort());
         programs.add(program);
         return program;
     }
 
     /** Sends one request after the other; one that its connection ends under, unheard, is sent once more. */
-    private void ask(AtomicBoolean until) throws Exception {
+    private void sendUntil(AtomicBoolean stop) throws Exception {
         Socket socket = null;
         MessageReader reader = null;
-        while (!until.get()) {
+        while (!stop.get()) {
             String id = Integer.toHexString(CALLS.incrementAndGet());
-            String text = "POST /pay/1 HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Caller: shop-" + (id.hashCode() % 2 == 0 ? "a" : "b")
+            String text = "POST /pay/1 HTTP/1.1\r\nX-Call-Id: " + id + "\r\nX-Caller: shop-"
+                    + (id.hashCode() % 2 == 0 ? "a" : "b")
                     + "\r\nX-Budget-Ms: 15000\r\n"
                     + "Idempotency-Key: " + id + "\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
             for (int tries = 0; ; tries++) {
-                boolean fresh = socket == null;
+                boolean newConnection = socket == null;
                 try {
-                    if (fresh) {
+                    if (newConnection) {
                         socket = new Socket(InetAddress.getLoopbackAddress(), port());
                         socket.setSoTimeout(20_000);
                         reader = new MessageReader(socket.getInputStream());
@@ -104,7 +105,7 @@
                     if (head.startLine[1].equals("200") && body.equals(id)) {
                         answered.incrementAndGet();
                     } else if (!head.startLine[1].equals("503")) {      // one that is refused has its answer too
-                        wrong.add(head.startLine[1] + " " + body + " to " + id);
+                        violations.add(head.startLine[1] + " " + body + " to " + id);
                     }
                     if (head.closesConnection("HTTP/1.1")) {
                         socket.close();
@@ -113,28 +114,28 @@
                     break;
                 } catch (IOException e) {
                     socket = null;
-                    if (fresh || tries > 0) {
-                        wrong.add("lost " + id + ": " + e);
+                    if (newConnection || tries > 0) {
+                        violations.add("lost " + id + ": " + e);
                         break;
                     }
-                    turnedBack.incrementAndGet();
+                    resent.incrementAndGet();
                 }
             }
         }
     }
 
     private int port() throws IOException {
-        return ((java.net.InetSocketAddress) platform.getLocalAddress()).getPort();
+        return ((java.net.InetSocketAddress) listeningSocket.getLocalAddress()).getPort();
     }
 
-    private List<Thread> load(AtomicBoolean until) {
+    private List<Thread> load(AtomicBoolean stop) {
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             Thread client = new Thread(() -> {
                 try {
-                    ask(until);
+                    sendUntil(stop);
                 } catch (Exception e) {
-                    wrong.add(e.toString());
+                    violations.add(e.toString());
                 }
             });
             client.start();
@@ -145,40 +146,40 @@
 
     private void awaitAnswers(int more) throws Exception {
         int wanted = answered.get() + more;
-        Program.await(wanted + " answers", () -> {
-            assertThat(wrong).isEmpty();
+        SidecarProcess.await(wanted + " answers", () -> {
+            assertThat(violations).isEmpty();
             return answered.get() >= wanted;
         });
     }
 
     @Test
     void successorsTakeOverUnderLoadTwiceInARow() throws Exception {
-        AtomicBoolean over = new AtomicBoolean();
-        Program old = start(config).awaitReady();
-        List<Thread> clients = load(over);
+        AtomicBoolean stop = new AtomicBoolean();
+        SidecarProcess old = start(config).awaitReady();
+        List<Thread> clients = load(stop);
         awaitAnswers(200);
         for (int i = 0; i < 2; i++) {
-            Program next = start(config).awaitReady();
+            SidecarProcess next = start(config).awaitReady();
             old.signal("TERM");
             assertThat(old.process.waitFor(30, TimeUnit.SECONDS)).isTrue();
             assertThat(next.process.isAlive()).isTrue();
             awaitAnswers(200);
             old = next;
         }
-        over.set(true);
+        stop.set(true);
         for (Thread client : clients) {
             client.join();
         }
-        assertThat(wrong).isEmpty();
-        assertThat(run.get()).as("what was served ran once").isEqualTo(answered.get());
+        assertThat(violations).isEmpty();
+        assertThat(requestsRun.get()).as("what was served ran once").isEqualTo(answered.get());
         // An idle connection may be closed just as its client writes; that is heard of and costs little.
-        assertThat(turnedBack.get()).isLessThanOrEqualTo(4);
+        assertThat(resent.get()).isLessThanOrEqualTo(4);
     }
 
     /** SIGTERM comes in the middle of a long request, whose answer is long too. */
     @Test
-    void aLongBodyUnderWayIsFinishedByTheProcessThatHasIt() throws Exception {
-        Program old = start(config).awaitReady();
+    void aLongBodyIsFinishedByTheProcessThatIsReadingIt() throws Exception {
+        SidecarProcess old = start(config).awaitReady();
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port())) {
             socket.setSoTimeout(20_000);
             byte[] half = new byte[300_000];
@@ -196,37 +197,37 @@
             assertThat(reader.readResponseBody(head)).hasSize(600_000);
         }
         assertThat(old.process.waitFor(30, TimeUnit.SECONDS)).isTrue();
-        assertThat(run).hasValue(1);
+        assertThat(requestsRun).hasValue(1);
     }
 
     @Test
-    void aSuccessorThatCannotStartAndAPredecessorKilledLeaveTheOtherServing() throws Exception {
-        Program old = start(config).awaitReady();
-        Program broken = start(Files.writeString(folder.resolve("broken.json"), "{"));
+    void aFailedSuccessorOrAKilledPredecessorLeavesTheOtherServing() throws Exception {
+        SidecarProcess old = start(config).awaitReady();
+        SidecarProcess broken = start(Files.writeString(folder.resolve("broken.json"), "{"));
         assertThat(broken.process.waitFor()).isEqualTo(Main.EXIT_BAD_CONFIG);
-        AtomicBoolean over = new AtomicBoolean();
-        List<Thread> clients = load(over);
+        AtomicBoolean stop = new AtomicBoolean();
+        List<Thread> clients = load(stop);
         awaitAnswers(100);
-        over.set(true);
+        stop.set(true);
         for (Thread client : clients) {
             client.join();
         }
-        Program next = start(config).awaitReady();
+        SidecarProcess next = start(config).awaitReady();
         old.signal("KILL");
         old.process.waitFor();
-        over.set(false);
-        clients = load(over);
+        stop.set(false);
+        clients = load(stop);
         awaitAnswers(100);
-        over.set(true);
+        stop.set(true);
         for (Thread client : clients) {
             client.join();
         }
-        assertThat(wrong).isEmpty();
+        assertThat(violations).isEmpty();
         assertThat(next.process.isAlive()).isTrue();
     }
 
     @Test
-    void aDescriptorThatIsNoListeningSocketStopsTheStart() throws Exception {
+    void aDescriptorThatIsNoListeningSocketFailsTheStart() throws Exception {
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-cp", System.getProperty("java.class.path"), "dapplequay.cli.Main", "serve", "--config",
                 config.toString());
@@ -234,10 +235,10 @@
             builder.environment().put("EDGE_SOCKET_FD", descriptor);
             Process program = builder.start();          // its standard input is a pipe
             program.getOutputStream().close();
-            String told = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+            String errorOutput = new String(program.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
             assertThat(program.waitFor()).isEqualTo(Main.EXIT_BAD_CONFIG);
-            assertThat(told.lines().filter(line -> line.startsWith("dapplequay: "))).hasSize(1);
-            assertThat(told).contains("descriptor").doesNotContain("Exception");
+            assertThat(errorOutput.lines().filter(line -> line.startsWith("dapplequay: "))).hasSize(1);
+            assertThat(errorOutput).contains("descriptor").doesNotContain("Exception");
         }
     }
 }
