--- a/sidecar/src/test/java/dapplequay/cli/RollUnderLoadTest.java
+++ b/sidecar/src/test/java/dapplequay/cli/RollUnderLoadTest.java
@@ -26,18 +26,19 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A fleet is restarted while its clients go on sending on every connection that stays open, as they do in a planned
- * roll. Judged from outside, by what clients and hosts see: nothing is lost, late or run more often than allowed.
+ * Restarts a fleet of sidecars while clients keep sending on every open connection, as in a planned rolling restart.
+ * By what clients and hosts observe, no request may be lost, late or run more often than allowed.
  */
 @Timeout(150)
 class RollUnderLoadTest {
     private static final int NODES = 12;
     private static final int HOSTS = 6;
-    /** The fewest us between SIGTERM and SIGKILL: the longest deadline of the classes, and 0.7 s. */
-    private static final long KILLED_US = 2_000_000 + 700_000;
-    /** What a machine that does much else may add to an ending: one that never comes is still seen. */
-    private static final long SLOW_MACHINE_US = 1_000_000;
-    private static final String FRAGILE = "{\"name\": \"book\", \"semantics\": \"fragile\", \"aim_us\": 500000, "
+    /** The least time from SIGTERM to SIGKILL, us: the longest deadline of the classes, and 0.7 s. */
+    private static final long SIGKILL_AFTER_US = 2_000_000 + 700_000;
+    /** What a busy machine may add to an exit, us; an exit that never comes is still seen. */
+    private static final long MACHINE_SLACK_US = 1_000_000;
+    private static final String FRAGILE_SERVICE =
+            "{\"name\": \"book\", \"semantics\": \"fragile\", \"aim_us\": 500000, "
             + "\"deadline_us\": 1500000, \"importance\": 0.8, \"late_worth\": 0.1, \"stream\": false}, ";
 
     @TempDir
@@ -71,7 +72,7 @@
 
     @AfterEach
     void close() throws IOException {
-        ledger.over = true;
+        ledger.stopped = true;
         for (Node node : nodes) {
             node.close();
         }
@@ -81,7 +82,8 @@
     }
 
     /**
-     * Takes some ms for most requests, 300 for some, and 1,200 for a few, which are held when the time to end is over.
+     * Answers most requests after a few ms, some after 300 ms, and a few after 1,200 ms, so that some are still held
+     * when the time to exit is over.
      */
     private void serve(Socket socket, int group) throws Exception {
         socket.setTcpNoDelay(true);
@@ -91,7 +93,7 @@
             reader.readRequestBody(head);
             String id = head.get("X-Call-Id");
             String[] path = head.startLine[1].split("/");
-            ledger.ran(id, new RollClient.Run(path[1], group, head.get("X-Again") != null));
+            ledger.recordRun(id, new RollClient.Run(path[1], group, head.get("X-Again") != null));
             long number = Long.parseLong(path[2]);
             Thread.sleep(number % 211 == 0 ? 1_200 : number % 17 == 0 || number % 100 == 0 ? 300 : 3 + number % 30);
             socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id)
@@ -99,17 +101,17 @@
         }
     }
 
-    /** One process after the other at the same address, and what its clients are told of it. */
+    /** Successive processes at one address, and what clients know of them. */
     private final class Node implements RollClient.Target, AutoCloseable {
-        private final Socket door = reserved();
+        private final Socket serviceAddress = reserved();
         private final Socket management = reserved();
         private final Path config;
-        private Program program;
-        private Instant toldAt;
-        private CompletableFuture<Void> ended;
-        private volatile long toldUs;
-        private volatile long endedUs;
-        private volatile long closesUs = Long.MIN_VALUE;
+        private SidecarProcess program;
+        private Instant sigtermAt;
+        private CompletableFuture<Void> exited;
+        private volatile long sigtermUs;
+        private volatile long exitedUs;
+        private volatile long closedFromUs = Long.MIN_VALUE;
 
         Node(int number, String known) throws IOException {
             String text = Files.readString(Path.of("example/config.json"));
@@ -120,10 +122,10 @@
                     .replace("\"position\": 0", "\"position\": " + number)
                     .replaceAll("(?s)\"known\": \\{.*?]},", "\"known\": " + known + ",")
                     .replaceAll("\"quota_per_s\": [0-9.]+", "\"quota_per_s\": 2000.0")
-                    .replace("\"services\": [", "\"services\": [" + FRAGILE));
+                    .replace("\"services\": [", "\"services\": [" + FRAGILE_SERVICE));
         }
 
-        /** Bound but not listening: no other socket is given the port while the process is away. */
+        /** Binds without listening, so that no other socket gets the port between two processes. */
         private static Socket reserved() throws IOException {
             Socket socket = new Socket();
             socket.setReuseAddress(true);
@@ -133,44 +135,45 @@
 
         @Override
         public int port() {
-            return door.getLocalPort();
+            return serviceAddress.getLocalPort();
         }
 
         @Override
         public boolean isOpen() {
-            return RollClient.now() < closesUs;
+            return RollClient.now() < closedFromUs;
         }
 
         @Override
-        public long toldUs() {
-            return toldUs;
+        public long sigtermUs() {
+            return sigtermUs;
         }
 
         void start() throws Exception {
-            program = new Program(config, null, management.getLocalPort());
+            program = new SidecarProcess(config, null, management.getLocalPort());
         }
 
         void awaitReady() throws Exception {
             program.awaitReady();
-            toldUs = 0;
-            closesUs = Long.MAX_VALUE;
+            sigtermUs = 0;
+            closedFromUs = Long.MAX_VALUE;
         }
 
-        /** SIGTERM; new connections are sent here for so long after. */
-        void tellToEnd(long moreUs) {
-            toldAt = Instant.now();
-            toldUs = RollClient.now();
-            ended = program.process.onExit().thenRun(() -> endedUs = RollClient.now());
+        /** Sends SIGTERM; clients go on opening connections for {@code acceptingUs}. */
+        void terminate(long acceptingUs) {
+            sigtermAt = Instant.now();
+            sigtermUs = RollClient.now();
+            exited = program.process.onExit().thenRun(() -> exitedUs = RollClient.now());
             program.process.toHandle().destroy();
-            closesUs = toldUs + moreUs;
+            closedFromUs = sigtermUs + acceptingUs;
         }
 
-        void awaitEnd() throws Exception {
-            ended.get(60, TimeUnit.SECONDS);
-            long tookUs = endedUs - toldUs;
-            ledger.most("ended, at most us after SIGTERM", tookUs);
-            if (tookUs > KILLED_US + SLOW_MACHINE_US) {
-                ledger.wrong.add("SIGKILL came first: told at " + toldAt + ", took " + tookUs + " us: " + program.log);
+        void awaitExit() throws Exception {
+            exited.get(60, TimeUnit.SECONDS);
+            long tookUs = exitedUs - sigtermUs;
+            ledger.recordMax("ended, at most us after SIGTERM", tookUs);
+            if (tookUs > SIGKILL_AFTER_US + MACHINE_SLACK_US) {
+                ledger.violations.add("exit took longer than SIGKILL allows: SIGTERM at " + sigtermAt + ", took "
+                        + tookUs + " us: " + program.log);
             }
             assertThat(program.process.exitValue()).isIn(0, 128 + 15);
         }
@@ -180,22 +183,22 @@
             if (program != null) {
                 program.close();
             }
-            door.close();
+            serviceAddress.close();
             management.close();
         }
     }
 
-    /** These end at once, and are back when this returns. */
-    private void roll(List<Node> some) throws Exception {
+    /** Restarts these nodes at the same time, and waits until all are ready. */
+    private void roll(List<Node> rolled) throws Exception {
         Random random = new Random(seed);
-        some.forEach(node -> node.tellToEnd(200_000 + random.nextInt(200_000)));
-        for (Node node : some) {
-            node.awaitEnd();
+        rolled.forEach(node -> node.terminate(200_000 + random.nextInt(200_000)));
+        for (Node node : rolled) {
+            node.awaitExit();
         }
-        for (Node node : some) {
+        for (Node node : rolled) {
             node.start();
         }
-        for (Node node : some) {
+        for (Node node : rolled) {
             node.awaitReady();
         }
         awaitServed(500);
@@ -203,11 +206,11 @@
 
     private void awaitServed(int more) throws Exception {
         int wanted = ledger.figure("answered 200") + more;
-        Program.await(wanted + " answers", () -> ledger.figure("answered 200") >= wanted);
+        SidecarProcess.await(wanted + " answers", () -> ledger.figure("answered 200") >= wanted);
     }
 
     @Test
-    void nothingIsLostLateOrDoubledWhileTheFleetIsRestartedUnderItsClients() throws Exception {
+    void noRequestIsLostLateOrDuplicatedWhileTheFleetIsRestarted() throws Exception {
         for (Node node : nodes) {
             node.start();
         }
@@ -220,20 +223,20 @@
         }
         clients.forEach(Thread::start);
         awaitServed(500);
-        int before = ledger.figure("answered 200");
+        int servedBefore = ledger.figure("answered 200");
         for (int i = 0; i < 2 * NODES; i += 2) {
             roll(nodes.subList(i % NODES, i % NODES + 2));
         }
         roll(nodes.subList(0, NODES / 3));
-        int during = ledger.figure("answered 200") - before;
-        ledger.over = true;
+        int servedDuring = ledger.figure("answered 200") - servedBefore;
+        ledger.stopped = true;
         for (Thread client : clients) {
             client.join();
         }
         ledger.judgeRuns();
-        System.out.println("served during the rolls: " + during + "; " + ledger.figures);
-        assertThat(ledger.wrong).as("seed %d, %s", seed, ledger.figures).isEmpty();
-        assertThat(during).as("served during the rolls").isGreaterThan(2_000);
+        System.out.println("served during the rolls: " + servedDuring + "; " + ledger.figures);
+        assertThat(ledger.violations).as("seed %d, %s", seed, ledger.figures).isEmpty();
+        assertThat(servedDuring).as("served during the rolls").isGreaterThan(2_000);
         assertThat(ledger.figure("sent after SIGTERM, 200")).as("on connections that stayed open").isGreaterThan(200);
         assertThat(ledger.figure("last answers")).isGreaterThan(NODES);
     }
--- a/sidecar/src/test/java/dapplequay/cli/ScriptedDiscovery.java
+++ b/sidecar/src/test/java/dapplequay/cli/ScriptedDiscovery.java
@@ -15,19 +15,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Discovery for one sidecar, with the faults that a test gives it. It keeps the true list, and reckons from the calls
- * it has seen when its last change counts as told to the sidecar: once an answer with it was written, or by the clock
- * alone where a call was left without one.
+ * A discovery service for one sidecar, with faults set by the test. It holds the true list, and computes from the calls
+ * it received when the sidecar counts as informed of the last change: once an answer with it was written, or after a
+ * fixed time where a call was left unanswered.
  */
 final class ScriptedDiscovery implements AutoCloseable {
-    /** What a call that fell silent has missed counts this long after it did, ns. */
-    private static final long SILENCE_NS = 6_000_000_000L;
-    /** And not before this long after the wait that the call asked for, ns. */
-    private static final long AFTER_WAIT_NS = 2_000_000_000L;
-    private static final long DRIP_NS = 200_000_000L;
-    private static final Pattern WATCH = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
-
-    /** What a connection does with the calls on it. RESET, BUSY (503) and RUBBISH end each at once. */
+    /** A sidecar whose call hangs counts as informed of a change this long after the call fell silent, ns. */
+    private static final long INFORMED_AFTER_SILENCE_NS = 6_000_000_000L;
+    /** It does so at the earliest this long after the end of the wait that the call asked for, ns. */
+    private static final long INFORMED_AFTER_WAIT_NS = 2_000_000_000L;
+    private static final long NS_PER_DRIPPED_BYTE = 200_000_000L;
+    private static final Pattern WATCH_PARAMETERS = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
+
+    /** How a connection treats its calls. RESET, BUSY (503) and RUBBISH (no valid list) end each call at once. */
     enum Mode { ANSWER, SILENT, DRIP, HALF, RESET, BUSY, RUBBISH }
 
     private final boolean pushed;
@@ -35,12 +35,12 @@
     private final List<Target> targets = new ArrayList<>();
     private final List<Connection> connections = new ArrayList<>();
     private ServerSocket listener;
-    private Mode fresh = Mode.ANSWER;
-    private int silentOnes;
+    private Mode newConnectionMode = Mode.ANSWER;
+    private int connectionsToSilence;
     private long revision = 1;
-    private long changedNs;
-    private long refusingNs;
-    private long toldNs = Long.MAX_VALUE;
+    private long lastChangeNs;
+    private long refusedSinceNs;
+    private long informedNs = Long.MAX_VALUE;
     private int failures;
     private boolean closed;
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /** {@code pushed}: an agent, so that what it has counts at the moment it is back. */
+    /** {@code pushed}: an agent pushes the list; a change counts as soon as the agent is reachable again. */
     ScriptedDiscovery(List<Integer> hosts, boolean pushed) throws IOException {
         this.pushed = pushed;
         for (int i = 0; i < hosts.size(); i++) {
@@ -67,27 +67,27 @@
             try {
                 work.call();
             } catch (Exception e) {
-                return;         // its socket is closed, here or by the other side
+                return;         // the socket was closed, here or by the peer
             }
         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void listen(int at) throws IOException {
-        ServerSocket next = new ServerSocket(at, 50, InetAddress.getLoopbackAddress());
+    private void listen(int listenPort) throws IOException {
+        ServerSocket next = new ServerSocket(listenPort, 50, InetAddress.getLoopbackAddress());
         listener = next;
         daemon(() -> {
             while (true) {
-                accepted(next.accept());
+                accept(next.accept());
             }
         });
     }
 
-    private synchronized void accepted(Socket socket) throws IOException {
+    private synchronized void accept(Socket socket) throws IOException {
         socket.setTcpNoDelay(true);
-        Connection connection = new Connection(socket, silentOnes > 0 ? Mode.SILENT : fresh);
-        silentOnes = Math.max(0, silentOnes - 1);
+        Connection connection = new Connection(socket, connectionsToSilence > 0 ? Mode.SILENT : newConnectionMode);
+        connectionsToSilence = Math.max(0, connectionsToSilence - 1);
         connections.add(connection);
         daemon(connection::read);
         if (listener.isClosed()) {
@@ -99,7 +99,7 @@
         return "127.0.0.1:" + port;
     }
 
-    synchronized String whole() {
+    synchronized String wholeList() {
         return list(-1);
     }
 
@@ -113,104 +113,104 @@
         return "{\"rev\":" + revision + ",\"all\":" + (after < 0) + ",\"targets\":[" + String.join(",", lines) + "]}";
     }
 
-    /** The host is in that state from now on. */
-    synchronized void tell(int host, String state) {
+    /** Sets the host's state, under a new version. */
+    synchronized void setState(int host, String state) {
         revision++;
         targets.set(host, new Target("s" + host, targets.get(host).port, state, revision));
-        changedNs = System.nanoTime();
-        toldNs = Long.MAX_VALUE;
+        lastChangeNs = System.nanoTime();
+        informedNs = Long.MAX_VALUE;
         if (listener.isClosed()) {
-            countsFrom(refusingNs + SILENCE_NS);
+            informedNoLaterThan(refusedSinceNs + INFORMED_AFTER_SILENCE_NS);
         }
         for (Connection connection : connections) {
             if (connection.mode == Mode.SILENT && connection.calling) {
-                connection.missed();
+                connection.boundInformedTime();
             }
         }
         notifyAll();
     }
 
-    /** What the open connections do from now on, and new ones. */
-    synchronized void behave(Mode open, Mode next) {
-        fresh = next;
+    /** Sets the mode of the open connections, and that of new ones. */
+    synchronized void setModes(Mode open, Mode next) {
+        newConnectionMode = next;
         for (Connection connection : connections) {
             connection.mode = open;
-            connection.silentNs = System.nanoTime();
+            connection.silentSinceNs = System.nanoTime();
         }
         notifyAll();
     }
 
-    /** So many of the next connections get no answer. */
+    /** Leaves the calls of the next {@code count} connections unanswered. */
     synchronized void silenceNext(int count) {
-        silentOnes = count;
+        connectionsToSilence = count;
     }
 
-    /** All connections are reset, and new ones refused. */
+    /** Resets all connections and refuses new ones. */
     synchronized void refuse() throws IOException {
-        refusingNs = System.nanoTime();
+        refusedSinceNs = System.nanoTime();
         listener.close();
         List.copyOf(connections).forEach(Connection::reset);
     }
 
-    /** Everything is answered from now on, calls that have been left open included. */
-    synchronized void back() throws IOException {
+    /** Answers all calls from now on, also those that were left open. */
+    synchronized void restore() throws IOException {
         if (listener.isClosed()) {
             listen(port);
         }
-        behave(Mode.ANSWER, Mode.ANSWER);
+        setModes(Mode.ANSWER, Mode.ANSWER);
         if (pushed) {
-            countsFrom(System.nanoTime());
+            informedNoLaterThan(System.nanoTime());
         }
     }
 
     /**
-     * It can be reached from now on, by new connections, and has this host draining: calls that hang go on hanging, and
-     * it counts as told 6 s from now at the latest. Returns when that was.
+     * Accepts new connections again and sets this host draining. Calls that hang stay so, and the sidecar counts as
+     * informed 6 s from now at the latest. Returns the time of the change, ns.
      */
-    synchronized long returnWith(int host) throws IOException {
+    synchronized long restoreWithDraining(int host) throws IOException {
         if (listener.isClosed()) {
             listen(port);
         }
-        fresh = Mode.ANSWER;
-        tell(host, "DRAINING");
-        countsFrom(changedNs + SILENCE_NS);
-        return changedNs;
+        newConnectionMode = Mode.ANSWER;
+        setState(host, "DRAINING");
+        informedNoLaterThan(lastChangeNs + INFORMED_AFTER_SILENCE_NS);
+        return lastChangeNs;
     }
 
-    /** Its versions are counted from 1 again. */
-    synchronized void loseCount() {
+    /** Restarts the versions from 1. */
+    synchronized void restartVersions() {
         revision = 1;
         targets.replaceAll(target -> new Target(target.uid, target.port, target.state, 1));
     }
 
-    /** How many calls a fault has ended, or left hanging. */
+    /** Returns how many calls a fault has ended or left hanging. */
     synchronized int failures() {
         return failures;
     }
 
-    /** Whether a call hangs. */
+    /** True if a call hangs. */
     synchronized boolean isHanging() {
         return connections.stream().anyMatch(c -> c.calling && c.mode == Mode.SILENT);
     }
 
-    /** No fault any more, and no trace of one. */
-    synchronized void settle() throws IOException {
-        silentOnes = 0;
+    /** Ends all faults, and resets the connections that have one. */
+    synchronized void clearFaults() throws IOException {
+        connectionsToSilence = 0;
         List.copyOf(connections).stream().filter(c -> c.mode != Mode.ANSWER).forEach(Connection::reset);
-        back();
+        restore();
     }
 
-    /** The last change counts as told at this time at the latest. */
-    synchronized void countsFrom(long ns) {
-        toldNs = Math.min(toldNs, Math.max(ns, changedNs));
+    /** Limits the time at which the sidecar counts as informed of the last change. */
+    synchronized void informedNoLaterThan(long ns) {
+        informedNs = Math.min(informedNs, Math.max(ns, lastChangeNs));
     }
 
-    /** When the last change counts as told, on the clock of {@link System#nanoTime}. */
-    synchronized long toldNs() {
-        return toldNs;
+    /** Returns the {@link System#nanoTime} at which the sidecar counts as informed of the last change. */
+    synchronized long informedNs() {
+        return informedNs;
     }
 
-    /** Whether the sidecar has shown that it knows the last change, and waits for another. */
+    /** True if a call for changes after the current version waits, which shows that the sidecar knows this version. */
     synchronized boolean isWatched() {
         return connections.stream().anyMatch(c -> c.calling && c.mode == Mode.ANSWER && c.after == revision);
     }
@@ -232,9 +232,9 @@
     private final class Connection {
         private final Socket socket;
         private Mode mode;
-        private long silentNs = System.nanoTime();
+        private long silentSinceNs = System.nanoTime();
         private boolean calling;
-        private long beginNs;
+        private long callStartNs;
         private long after;
         private long waitNs;
         private byte[] answer;
@@ -250,7 +250,7 @@
                     StandardCharsets.ISO_8859_1))) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     if (line.startsWith("GET ")) {
-                        called(line);           // a head comes at once: nobody waits for the rest of it
+                        receiveCall(line);           // answers without waiting for the rest of the head
                     }
                 }
                 return null;
@@ -261,31 +261,32 @@
             }
         }
 
-        private void called(String request) {
+        private void receiveCall(String request) {
             synchronized (ScriptedDiscovery.this) {
-                Matcher watch = WATCH.matcher(request);
+                Matcher watch = WATCH_PARAMETERS.matcher(request);
                 boolean waits = watch.find();
                 after = waits ? Long.parseLong(watch.group(1)) : -1;
                 waitNs = waits ? Long.parseLong(watch.group(2)) * 1_000_000 : 0;
-                beginNs = System.nanoTime();
+                callStartNs = System.nanoTime();
                 calling = true;
                 answer = null;
                 if (mode == Mode.SILENT) {
                     failures++;
-                    silentNs = beginNs;
-                    missed();
+                    silentSinceNs = callStartNs;
+                    boundInformedTime();
                 }
                 ScriptedDiscovery.this.notifyAll();
             }
         }
 
-        /** This call is broken: what it has to tell counts by the clock. */
-        private void missed() {
-            countsFrom(Math.max(silentNs + SILENCE_NS, beginNs + waitNs + AFTER_WAIT_NS));
+        /** Sets by the clock when the sidecar counts as informed, as this call does not deliver its answer. */
+        private void boundInformedTime() {
+            informedNoLaterThan(Math.max(silentSinceNs + INFORMED_AFTER_SILENCE_NS, callStartNs + waitNs
+                    + INFORMED_AFTER_WAIT_NS));
         }
 
-        /** False where the mode leaves calls to be answered. */
-        private boolean fails() throws IOException {
+        /** Ends the call at once if the mode says so; false if the call is still to be answered. */
+        private boolean failsCall() throws IOException {
             if (mode != Mode.RESET && mode != Mode.BUSY && mode != Mode.RUBBISH) {
                 return false;
             }
@@ -304,14 +305,14 @@
         private void answerIfDue() {
             long now = System.nanoTime();
             try {
-                if (calling && fails()) {
+                if (calling && failsCall()) {
                     return;
                 }
             } catch (IOException e) {
                 reset();
                 return;
             }
-            if (!calling || mode == Mode.SILENT || answer == null && after == revision && now < beginNs + waitNs) {
+            if (!calling || mode == Mode.SILENT || answer == null && after == revision && now < callStartNs + waitNs) {
                 return;
             }
             if (answer == null) {
@@ -319,17 +320,17 @@
                 answer = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.ISO_8859_1);
                 written = 0;
-                silentNs = now;
+                silentSinceNs = now;
                 if (mode != Mode.ANSWER) {
-                    missed();
+                    boundInformedTime();
                 }
             }
-            int upTo = mode == Mode.ANSWER ? answer.length : mode == Mode.HALF ? answer.length / 2
-                    : (int) Math.min(answer.length, 1 + (now - silentNs) / DRIP_NS);
+            int writeUntil = mode == Mode.ANSWER ? answer.length : mode == Mode.HALF ? answer.length / 2
+                    : (int) Math.min(answer.length, 1 + (now - silentSinceNs) / NS_PER_DRIPPED_BYTE);
             try {
-                if (upTo > written) {
-                    socket.getOutputStream().write(Arrays.copyOfRange(answer, written, upTo));
-                    written = upTo;
+                if (writeUntil > written) {
+                    socket.getOutputStream().write(Arrays.copyOfRange(answer, written, writeUntil));
+                    written = writeUntil;
                 }
             } catch (IOException e) {
                 reset();
@@ -337,7 +338,7 @@
             }
             if (written == answer.length) {
                 calling = false;
-                countsFrom(now);
+                informedNoLaterThan(now);
             }
         }
 
@@ -348,7 +349,7 @@
                 socket.setSoLinger(true, 0);
                 socket.close();
             } catch (IOException e) {
-                return;         // the other side was first
+                return;         // the peer closed it first
             }
         }
     }
