--- a/deploy/Archive.java
+++ b/deploy/Archive.java
@@ -14,17 +14,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes sidecar/target/dapplequay.jsa, the JVM's archive of the classes that serve loads. A class from the archive is
- * neither looked for in the jar nor checked again, which matters where a start gets part of a core; so the process
- * that is archived has served, been refused by, and lost connections to a made-up host before it ends.
- * Usage: java deploy/Archive.java, from the root, after the jar has been built. Exit status 1: no archive was made.
+ * Creates sidecar/target/dapplequay.jsa, the JVM's class data sharing archive of the classes that serve loads. A class
+ * from the archive is neither read from the jar nor verified again, which matters where a starting process gets part of
+ * a core. To load these classes, the archived process first serves requests, is rejected by an emulated host and loses
+ * connections to it.
+ * Usage: java deploy/Archive.java, from the root, after the jar has been built. Exits with status 1 if no archive was created.
  */
 public final class Archive {
     private static final Path JAR = Path.of("sidecar/target/dapplequay.jar");
     private static final Path ARCHIVE = Path.of("sidecar/target/dapplequay.jsa");
     private static final int MAX_ATTEMPTS = 4;
     private static final int CLIENT_CONNECTIONS = 60;
-    /** Seconds that a start or an ending may take before the process is given up and another is tried. */
+    /** Limit, in seconds, for the start and for the shutdown of the process; after it the attempt has failed. */
     private static final int TIMEOUT_S = 20;
 
     public static void main(String[] args) throws Exception {
@@ -53,7 +54,7 @@
                 CompletableFuture<Integer> servingPort = new CompletableFuture<>();
                 startDaemon(() -> readLog(sidecar, servingPort));
                 sendRequests(servingPort.get(TIMEOUT_S, TimeUnit.SECONDS));
-                sidecar.destroy();                  // SIGTERM: it ends in order and writes its archive
+                sidecar.destroy();                  // SIGTERM: an orderly shutdown writes the archive
                 return sidecar.waitFor(TIMEOUT_S, TimeUnit.SECONDS);
             } catch (java.util.concurrent.TimeoutException | IOException e) {
                 System.err.println("archive: " + e);
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Every tenth answer turns away, every fifteenth ends its connection unsaid, the others serve. */
+    /** Accepts connections until the server socket is closed, and serves each in a thread of its own. */
     private static void acceptConnections(ServerSocket server, boolean isDiscovery, ServerSocket host) {
         startDaemon(() -> {
             while (!server.isClosed()) {
@@ -101,6 +102,7 @@
         });
     }
 
+    /** On a host's connection, each 10th request is rejected, the 15th closes it unanswered, the others are served. */
     private static void serveConnection(Socket socket, boolean isDiscovery, int hostPort) {
         try (socket) {
             for (int i = 1; ; i++) {
@@ -122,7 +124,7 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            // the sidecar closed, or the attempt is over
+            // the sidecar closed the connection, or the attempt has ended
         }
     }
 
@@ -146,7 +148,7 @@
         out.flush();
     }
 
-    /** A message's head, its body read and dropped; null at the end of the connection. */
+    /** Reads a message, discards its body and returns its head; null at the end of the connection. */
     private static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -176,7 +178,7 @@
                             + (i % 2 == 0 ? "a" : "b") + "\r\nX-Budget-Ms: 900\r\nIdempotency-Key: k" + i
                             + "\r\nContent-Length: 4\r\n\r\nbody").getBytes(StandardCharsets.ISO_8859_1));
                     if (i % 13 == 12 || readMessage(client.getInputStream()) == null) {
-                        break;              // every thirteenth client leaves without waiting
+                        break;              // every 13th client disconnects without waiting
                     }
                 }
             }
--- a/deploy/lay-sites.sh
+++ b/deploy/lay-sites.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Lays beside our own site files what the bench reads along with them. It is the kit's and stays out of the repository.
-# Usage: sh deploy/lay-sites.sh KIT, the kit's folder. Exit status 1, with the file's name, where the kit lacks one.
+# Copies the files that the bench reads with our site files from the bench's kit to deploy/sites. They belong to the kit and
+# stay out of the repository. Usage: sh deploy/lay-sites.sh KIT, where KIT is the kit's folder. Exits with status 1 and the
+# name of the file if one is missing from the kit.
 set -u
 kit=${1:?usage: sh deploy/lay-sites.sh KIT}
 sites_dir=$(dirname "$0")/sites
--- a/example/ToyFleet.java
+++ b/example/ToyFleet.java
@@ -21,7 +21,7 @@
         startHttpServer(8500, exchange -> {
             boolean clientIsCurrent = String.valueOf(exchange.getRequestURI().getQuery()).startsWith("after=2&");
             if (clientIsCurrent) {
-                sleep(20_000);      // nothing ever changes here: the watch waits its time out
+                sleep(20_000);      // the list never changes: the long poll times out
             }
             String targets = TARGET_JSON.formatted("one", 9001) + "," + TARGET_JSON.formatted("two", 9002);
             sendResponse(exchange, LIST_JSON.formatted(!clientIsCurrent, clientIsCurrent ? "" : targets));
@@ -29,7 +29,7 @@
         System.out.println("servers on 9001 and 9002, discovery on 8500");
     }
 
-    /** Works so many milliseconds on each request, and tells its load with the answer. */
+    /** Starts a server that takes {@code workMs} for each request and reports its load in the response. */
     private static void startServer(int port, String name, int workMs) throws IOException {
         AtomicInteger inFlight = new AtomicInteger();
         startHttpServer(port, exchange -> {
--- a/experiments/ClosedLoad.java
+++ b/experiments/ClosedLoad.java
@@ -19,14 +19,14 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Clients on kept connections before two sidecars and four sound upstreams: latency, refusals, connections made and keyed
- * requests that ran more than once. Run it from the root of a checkout that has been built for deployment:
+ * Closed-loop load of clients with persistent connections on two sidecars and four healthy upstreams. Measures latency,
+ * refusals, connections opened and requests whose idempotency key ran more than once. Run it from the root of a checkout that has been built for deployment:
  *
  * <pre>java experiments/ClosedLoad.java UPSTREAM_MS CLIENTS [pause=1] [burst=0] [told=true] [seconds=5] [direct=false]</pre>
  *
- * {@code pause}: of a client between an answer and its next request, ms. {@code burst}: all clients of a process send
- * together each so many ms, in place of the pause. {@code told}: upstreams report their load. {@code direct}: clients go to
- * the upstreams themselves. Each run prints one line.
+ * {@code pause}: ms between a response and the client's next request. {@code burst}: if not 0, all clients send at the
+ * same time, at this interval in ms, in place of the pause. {@code told}: upstreams report their load. {@code direct}: clients connect
+ * to the upstreams directly. Each run prints one line.
  */
 public final class ClosedLoad {
     private static final int SIDECARS = 2;
@@ -232,7 +232,7 @@
                     try (socket) {
                         handler.serve(socket);
                     } catch (EOFException e) {
-                        // The other side has closed it.
+                        // The peer has closed the connection.
                     }
                 });
             }
@@ -249,7 +249,7 @@
             try {
                 task.run();
             } catch (IOException e) {
-                // Its connection has broken.
+                // The connection has failed.
             }
         });
         thread.setDaemon(true);
@@ -296,7 +296,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** A request or an answer, with its body read. */
+    /** Start line and headers of a request or a response; its body has been read and discarded. */
     private record Message(List<String> lines) {
         static Message read(InputStream in) throws IOException {
             List<String> lines = new ArrayList<>();
--- a/experiments/wide.sh
+++ b/experiments/wide.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Plays one fault after the other on 40 hosts and 60 sidecars: experiments/wide.sh DIR [KIND...]
+# Runs one fault after the other on 40 hosts and 60 sidecars: experiments/wide.sh DIR [KIND...]
 # Prints a line for each; the reports are below DIR.
 cd "$(dirname "$0")/.." || exit 1
 out=$1
@@ -21,7 +21,7 @@
         list_*) fault_settings='' ;;
         *) fault_settings='share = 0.15' ;;
     esac
-    # A calm run still needs a fault that does nothing: no host slower than it is.
+    # The calm run needs a fault without effect: a slowdown by the factor 1.
     fault_kind=$kind
     [ "$kind" = calm ] && fault_kind=slow && fault_settings='amount = 1'
     awk -v kind="$fault_kind" -v more="$fault_settings" '{ gsub(/@KIND@/, kind); gsub(/@MORE@/, more); print }' \
