--- a/deploy/Archive.java
+++ b/deploy/Archive.java
@@ -18,14 +18,15 @@
  * from the archive is neither read from the jar nor verified again, which matters where a starting process gets part of
  * a core. To load these classes, the archived process first serves requests, is rejected by an emulated host and loses
  * connections to it.
- * Usage: java deploy/Archive.java, from the root, after the jar has been built. Exits with status 1 if no archive was created.
+ * Usage: java deploy/Archive.java, from the root, after the jar has been built. Exits with status 1 if no
+ * archive was created.
  */
 public final class Archive {
     private static final Path JAR = Path.of("sidecar/target/dapplequay.jar");
     private static final Path ARCHIVE = Path.of("sidecar/target/dapplequay.jsa");
     private static final int MAX_ATTEMPTS = 4;
     private static final int CLIENT_CONNECTIONS = 60;
-    /** Limit, in seconds, for the start and for the shutdown of the process; after it the attempt has failed. */
+    /** Seconds that the start, each response and the shutdown may take before the attempt has failed. */
     private static final int TIMEOUT_S = 20;
 
     public static void main(String[] args) throws Exception {
@@ -120,7 +121,8 @@
                 } else if (i % 10 == 0) {
                     writeResponse(socket, "503 Service Unavailable", "X-Rejected: 1\r\n", "full");
                 } else {
-                    writeResponse(socket, "200 OK", "X-Load-Report: inflight=" + i % 9 + ",queue=1,latency_ms=2.5\r\n", "done");
+                    writeResponse(socket, "200 OK", "X-Load-Report: inflight=" + i % 9 + ",queue=1,latency_ms=2.5\r\n",
+                            "done");
                 }
             }
         } catch (IOException | InterruptedException e) {
@@ -174,8 +176,9 @@
                 String requestTarget = i % 7 == 0 ? "GET /healthz" : i % 11 == 0 ? "POST /nothing/1" : "POST /pay/1";
                 OutputStream out = client.getOutputStream();
                 for (int sendCount = 0; sendCount < 4; sendCount++) {
-                    out.write((requestTarget + " HTTP/1.1\r\nHost: a\r\nX-Call-Id: " + i + "a" + sendCount + "\r\nX-Caller: shop-"
-                            + (i % 2 == 0 ? "a" : "b") + "\r\nX-Budget-Ms: 900\r\nIdempotency-Key: k" + i
+                    out.write((requestTarget + " HTTP/1.1\r\nHost: a\r\nX-Call-Id: " + i + "a" + sendCount
+                            + "\r\nX-Caller: shop-" + (i % 2 == 0 ? "a" : "b")
+                            + "\r\nX-Budget-Ms: 900\r\nIdempotency-Key: k" + i
                             + "\r\nContent-Length: 4\r\n\r\nbody").getBytes(StandardCharsets.ISO_8859_1));
                     if (i % 13 == 12 || readMessage(client.getInputStream()) == null) {
                         break;              // every 13th client disconnects without waiting
--- a/experiments/ClosedLoad.java
+++ b/experiments/ClosedLoad.java
@@ -20,13 +20,14 @@
 
 /**
  * Closed-loop load of clients with persistent connections on two sidecars and four healthy upstreams. Measures latency,
- * refusals, connections opened and requests whose idempotency key ran more than once. Run it from the root of a checkout that has been built for deployment:
+ * refusals, connections opened and requests whose idempotency key ran more than once. Run it from the
+ * root of a checkout that has been built for deployment:
  *
  * <pre>java experiments/ClosedLoad.java UPSTREAM_MS CLIENTS [pause=1] [burst=0] [told=true] [seconds=5] [direct=false]</pre>
  *
  * {@code pause}: ms between a response and the client's next request. {@code burst}: if not 0, all clients send at the
- * same time, at this interval in ms, in place of the pause. {@code told}: upstreams report their load. {@code direct}: clients connect
- * to the upstreams directly. Each run prints one line.
+ * same time, at this interval in ms, in place of the pause. {@code told}: upstreams report their load.
+ * {@code direct}: clients connect to the upstreams directly. Each run prints one line.
  */
 public final class ClosedLoad {
     private static final int SIDECARS = 2;
@@ -105,7 +106,8 @@
         long endNs = beginNs + intOption("seconds") * 1_000_000_000L;
         for (int i = 0; i < SIDECARS * clients; i++) {
             int clientIndex = i;
-            Thread thread = new Thread(() -> runClient(clientIndex, ports.get(clientIndex % ports.size()), beginNs, endNs));
+            Thread thread = new Thread(() -> runClient(clientIndex, ports.get(clientIndex % ports.size()), beginNs,
+                    endNs));
             thread.start();
             threads.add(thread);
         }
@@ -181,12 +183,14 @@
             throws IOException {
         String example = Files.readString(Path.of("example/config.json"));
         Path config = Files.createTempFile("closed-load", ".json");
-        Files.writeString(config, example.replaceFirst("(?s)\"targets\": \\[.*?\\]\\}", "\"targets\": [" + targetsJson(upstreams) + "]}")
+        Files.writeString(config, example.replaceFirst("(?s)\"targets\": \\[.*?\\]\\}", "\"targets\": ["
+                + targetsJson(upstreams) + "]}")
                 .replace("\"balancers\": 1", "\"balancers\": " + SIDECARS)
                 .replace("\"position\": 0", "\"position\": " + position)
                 .replaceAll("\"quota_per_s\": [0-9.]+", "\"quota_per_s\": 20000.0"));
         config.toFile().deleteOnExit();
-        String runCommand = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(line -> line.startsWith("run = "))
+        String runCommand = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                .filter(line -> line.startsWith("run = "))
                 .findFirst().orElseThrow().replaceFirst("^run = \"(.*)\"$", "$1");
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", runCommand).redirectErrorStream(true)
                 .redirectOutput(log.toFile());
@@ -262,11 +266,13 @@
         while (true) {
             Message request = Message.read(in);
             int currentInFlight = inFlight.incrementAndGet();
-            runsByKey.computeIfAbsent(String.valueOf(request.header("idempotency-key")), key -> new AtomicInteger())
+            runsByKey.computeIfAbsent(String.valueOf(request.header("idempotency-key")),
+                    key -> new AtomicInteger())
                     .incrementAndGet();
             LockSupport.parkNanos(upstreamMs * 1_000_000L);
             inFlight.decrementAndGet();
-            String loadHeader = booleanOption("told") ? "X-Load-Report: inflight=" + currentInFlight + ",queue=0\r\n" : "";
+            String loadHeader = booleanOption("told") ? "X-Load-Report: inflight=" + currentInFlight + ",queue=0\r\n"
+                    : "";
             write(socket, "HTTP/1.1 200 OK\r\n" + loadHeader + "Content-Length: 2\r\n\r\nok");
         }
     }
@@ -278,7 +284,8 @@
             if (isKnown) {
                 LockSupport.parkNanos(20_000_000_000L);
             }
-            String body = "{\"rev\":2,\"all\":" + !isKnown + ",\"targets\":[" + (isKnown ? "" : targetsJson(upstreams)) + "]}";
+            String body = "{\"rev\":2,\"all\":" + !isKnown + ",\"targets\":[" + (isKnown ? "" : targetsJson(upstreams))
+                    + "]}";
             write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         }
     }
