--- a/core/src/main/java/dapplequay/AnswerTimes.java
+++ b/core/src/main/java/dapplequay/AnswerTimes.java
@@ -17,7 +17,7 @@
     private static final class ClassTimes {
         /** Mean wait for an answer, from the guess on; silent servers are recognised by it. */
         private double waitUs;
-        /** Mean of what answers took, without the guess; 0: none has come. */
+        /** Mean answer time, without the initial guess; 0: none received. */
         private double tookUs;
         private int answers;
 
--- a/core/src/main/java/dapplequay/Balance.java
+++ b/core/src/main/java/dapplequay/Balance.java
@@ -18,13 +18,13 @@
     /** No attempt is made with less time than this: a network round trip and the shortest work. */
     private static final long MIN_ATTEMPT_US = 2_000;
     /**
-     * A connect that took longer than this share of the shortest target latency before it failed tells nothing of the
+     * A connect that took longer than this share of the shortest target latency before it failed says nothing about the
      * server: this process itself may have been late.
      */
     private static final double PROMPT_CONNECT_AIM_SHARE = 0.5;
     /**
      * A server counts as silent once its attempts together have waited this many times their usual answer time, and
-     * nothing has come from it for at least the interval between two checks.
+     * nothing was received from it for at least the interval between two checks.
      */
     private static final double SILENCE_MULTIPLE = 16;
     /** The interval between checks for silent servers, as a share of the shortest target latency. */
@@ -36,7 +36,7 @@
     private final ServerSelector selector;
     private final FailureDetector failureDetector;
     private final Map<Long, PendingRequest> pendingRequests = new LinkedHashMap<>();
-    /** By class name: the longest time left that a request came with, which is what clients grant a first try. */
+    /** By class name: the longest time left that a request arrived with, which is what clients grant a first try. */
     private final Map<String, Long> longestLeftUs = new HashMap<>();
     private final AnswerTimes answerTimes = new AnswerTimes();
     private Settings settings;
@@ -118,7 +118,7 @@
     private void answer(long now, PendingRequest pending) {
         pendingRequests.remove(pending.request.id());
         if (pending.isRefusable()) {
-            // Less than the aim: a client that came back after its deadline would not be served at all.
+            // Less than the aim: a client that retried after its deadline would not be served at all.
             actions.refuse(pending.request.id(),
                     Math.min(settings.limits().maxRetryAfterUs(), pending.serviceClass.aimUs() / 2));
         } else {
@@ -164,7 +164,7 @@
 
     /** Updates what is known of a server and its zone from the outcome of an attempt. */
     private void learn(long now, Server server, Outcome outcome, long tookUs, LoadReport report) {
-        // No answer at all since the attempt began: the machine is lost, which tells nothing of its queue.
+        // No answer at all since the attempt began: the machine is lost, which says nothing about its queue.
         boolean silent = outcome == Outcome.TIMEOUT && server.lastAnswerAt <= now - tookUs
                 && (server.ownInFlight > 0 || server.suspected);
         boolean answered = outcome == Outcome.OK || outcome == Outcome.ERROR || outcome == Outcome.REFUSED;
@@ -173,7 +173,7 @@
         server.coldTurnPhase -= outcome == Outcome.OK ? 0 : 1;     // a cold server that did not serve misses a turn
         boolean unreachable = silent || outcome == Outcome.CONNECT_FAILED
                 && tookUs < PROMPT_CONNECT_AIM_SHARE * set.shortestAimUs;
-        // An attempt that was given up proves neither.
+        // An abandoned attempt proves neither.
         boolean reachable = answered || outcome == Outcome.RESET;
         if ((unreachable || reachable) && set.zoneLoss.attemptEnded(server.zone, unreachable)) {
             // Servers of a zone that is back have restarted, long before the list says so.
@@ -270,7 +270,7 @@
 
     @Override
     public void clientLeft(long now, long id) {
-        // Ends a pending upload, so that the outcome of its attempt, still to come, is counted like any other.
+        // Ends a pending upload, so that the outcome of its attempt, reported later, is counted like any other.
         bodyProgress(now, id, BodyStage.COMPLETE);
         pendingRequests.remove(id);
     }
--- a/core/src/main/java/dapplequay/BalancerApi.java
+++ b/core/src/main/java/dapplequay/BalancerApi.java
@@ -173,7 +173,7 @@
     void outcome(long now, long id, int attempt, String host, Outcome outcome, long tookUs, boolean closed,
                  LoadReport report);
 
-    /** The body of a long request has progressed. Never called for requests that were complete when they came. */
+    /** The body of a long request has progressed. Never called for requests that were complete on arrival. */
     void bodyProgress(long now, long id, BodyStage stage);
 
     /** The client has left; the request needs no answer. */
--- a/core/src/main/java/dapplequay/BuddySet.java
+++ b/core/src/main/java/dapplequay/BuddySet.java
@@ -42,7 +42,7 @@
     double meanAnswerUs;
     /** Answers in the means; the initial guess counts as one. */
     int answerCount = 1;
-    /** What answers take in the class where they take longest; 0: none has come. */
+    /** Answer time of the class with the slowest answers; 0: none received. */
     double slowestAnswerUs;
     /** Share of the attempts at all servers that fail: running mean. */
     double failureShare;
@@ -189,7 +189,7 @@
     /**
      * Returns the buddies in the order in which they are tried for a key. Where servers keep warm state for keys, all
      * balancers of a zone prefer the same server for a key, by weighted rendezvous hashing (highest random weight;
-     * Thaler, Ravishankar 1998): a server that comes or goes moves only its own keys.
+     * Thaler, Ravishankar 1998): a server that joins or leaves moves only its own keys.
      *
      * @param keyText the request's key; null if it has none
      */
--- a/core/src/main/java/dapplequay/PendingRequest.java
+++ b/core/src/main/java/dapplequay/PendingRequest.java
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Returns how long the server of its last attempt has been waited for, us. An attempt whose start is not told
+     * Returns how long the server of its last attempt has been waited for, us. An attempt whose start is not reported
      * counts as started when it was sent, once it can't be delayed by this process any more.
      */
     long awaitedUs(long now) {
@@ -98,7 +98,7 @@
         return now - Math.max(since, lastServer().lastOutcomeAt);
     }
 
-    /** Returns how long its last attempt waited for the answer that has come; {@code tookUs} if no start was told. */
+    /** Returns how long its last attempt waited for the received response; {@code tookUs} if no start was reported. */
     long waitedUs(long now, long tookUs) {
         return lastStartedAt != NOT_STARTED ? now - lastStartedAt : tookUs;
     }
--- a/core/src/main/java/dapplequay/Server.java
+++ b/core/src/main/java/dapplequay/Server.java
@@ -12,7 +12,7 @@
     static final double TH_U = 1;
     /** A report of a load figure above this, in multiples of the set's pace, clears the share flag. */
     static final double TH_F = 1.3;
-    /** Past this load figure, in multiples of the set's pace, a request would begin to wait: it goes elsewhere. */
+    /** Past this load figure, in multiples of the set's pace, a request would begin to wait: it is sent elsewhere. */
     static final double TH_V = 1.5;
     /** The log-odds that a server fails, without evidence against it. */
     static final double BASE_FAILURE_LOG_ODDS = -3.5;
@@ -23,7 +23,7 @@
     private static final double MAX_QUEUE_AIM_SHARE = 0.8;
     /** The share of that room which is open to a request of worth 0: the rest is kept for requests of more worth. */
     private static final double WORTHLESS_ROOM_SHARE = 0.5;
-    /** The load told by a report decays with this time constant: a queue that gets nothing is worked off. */
+    /** The load stated in a report decays with this time constant: a queue that gets nothing is worked off. */
     private static final double REPORT_DECAY_US = 8_000_000;
     /** Time constant of the mean load from other balancers, in multiples of the interval between new reports. */
     private static final double OTHERS_MEAN_INTERVALS = 2;
@@ -39,7 +39,7 @@
     private static final double SET_PACE_WEIGHT = 0.5;
     /** Pauses between sends to a cold server are longer by this if the pace is a guess, and before the first send. */
     private static final double COLD_CAUTION = 1.5;
-    /** A report of more requests is taken for broken. */
+    /** A report of more requests is treated as invalid. */
     private static final double MAX_REPORTED = 10_000;
 
     final String host;
@@ -86,7 +86,7 @@
     /** True if it failed or was silent, and has not proved sound since. */
     boolean suspected;
     double failureLogOdds = BASE_FAILURE_LOG_ODDS;
-    /** While cold: when this balancer heard of its start or last sent to it. */
+    /** While cold: when this balancer learned of its start or last sent to it. */
     long coldTurnsFrom;
     /** How many pauses count as over at {@link #coldTurnsFrom}. */
     double coldTurnPhase;
@@ -190,7 +190,7 @@
         }
     }
 
-    /** An own request was answered after this time; the report just received came with the answer. */
+    /** An own request was answered after this time; the report just received was part of that answer. */
     void answerReceived(long tookUs) {
         double inFlightPerWeight = Math.max(1, reportedInFlight / weight);
         meanInFlightPerWeight += SERVER_GAIN * (inFlightPerWeight - meanInFlightPerWeight);
--- a/core/src/main/java/dapplequay/ServerSelector.java
+++ b/core/src/main/java/dapplequay/ServerSelector.java
@@ -8,7 +8,7 @@
 final class ServerSelector {
     /** Where servers keep warm state for keys, one has room up to this multiple of the mean load figure. */
     private static final double KEYED_ROOM_MULTIPLE = 1.1;
-    /** A request of more than this share of its worth may go to an overloaded server that has long told nothing. */
+    /** A request of more than this share of its worth may go to an overloaded server without a recent report. */
     private static final double MIN_RECHECK_WORTH = 0.5;
 
     private final BuddySet set;
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Returns the server that the request goes to now; null if it has to be answered instead.
+     * Returns the server that the request is sent to now; null if it has to be answered instead.
      *
      * @param requestsHeld the requests without a final answer at this balancer
      */
@@ -38,7 +38,7 @@
         double limitUs = Server.TH_V * set.paceUs() * pending.worthShare;
         Server head = null;
         Server leastLoaded = null;
-        Server longestUnheard = null;
+        Server longestSilent = null;
         for (Server server : order) {
             if (!isUsable(now, pending, server) || head != null && !isWorthDiverting(now, pending, server, head)) {
                 continue;
@@ -52,8 +52,8 @@
             if (server.ownInFlight == 0
                     && now - Math.max(server.silentSince(), server.lastReportAt) > pending.serviceClass.aimUs()
                     && pending.worthShare > MIN_RECHECK_WORTH
-                    && (longestUnheard == null || server.silentSince() < longestUnheard.silentSince())) {
-                longestUnheard = server;
+                    && (longestSilent == null || server.silentSince() < longestSilent.silentSince())) {
+                longestSilent = server;
             }
         }
         if (head == null) {           // each is avoided, suspected or cold: the first that rules and budget allow
@@ -70,9 +70,9 @@
         // All are past TH_v. The head would be swamped by all balancers that share it, so the least loaded takes the
         // request, or in the order for a key the first with room: balancers with the same key and knowledge would all
         // find the same least loaded one. Without room, refusing early beats failing late, if refusing is possible; but
-        // a server long unheard of gets the request, or all balancers might avoid it for good.
+        // the server silent for longest gets the request, or all balancers might avoid it for good.
         set.grow(now, requestsHeld);
-        return leastLoaded.hasRoom(now, pending.worthShare) || !pending.isRefusable() ? leastLoaded : longestUnheard;
+        return leastLoaded.hasRoom(now, pending.worthShare) || !pending.isRefusable() ? leastLoaded : longestSilent;
     }
 
     /** True if the server is in the head's zone or the own one, or saves more of the aim than crossing zones costs. */
--- a/core/src/main/java/dapplequay/discovery/ServerRegistry.java
+++ b/core/src/main/java/dapplequay/discovery/ServerRegistry.java
@@ -18,7 +18,7 @@
  * of discovery is applied here, so that no two rules together can delay a drain: <b>removing a server never takes
  * longer than its deadline, while adding one may be delayed</b>.
  *
- * <p>A drain or a deletion takes effect at once, whichever version, address or request it comes from. A server that a
+ * <p>A drain or a deletion takes effect at once, whatever its version, address or request. A server that a
  * full list omits becomes {@link ServerStatus#REMOVED} at once if the list is trusted. Otherwise it becomes
  * {@link ServerStatus#UNCONFIRMED} with a deadline within the drain grace. No other event moves that deadline; only a
  * trusted response to a current request that lists the server as serving clears it. A list is trusted if its version
@@ -30,7 +30,7 @@
 public final class ServerRegistry {
     /** How long the process may be stalled between the check of a deadline and the write that follows. */
     public static final long SEND_DELAY_MARGIN_US = 150_000;
-    /** How long lists of a lower version are taken for a mistake, so that they add no servers. */
+    /** How long lists of a lower version are treated as a mistake, so that they add no servers. */
     public static final long REGRESSION_TIMEOUT_US = 30_000_000;
     /** How long a removal is remembered, so that a response to an earlier request does not undo it. */
     private static final long REMOVAL_MEMORY_US = 30_000_000;
--- a/core/src/main/java/dapplequay/facade/Facade.java
+++ b/core/src/main/java/dapplequay/facade/Facade.java
@@ -43,7 +43,7 @@
     private final LongSupplier clock;
     private final Consumer<String> log;
     private final BalancerApi module;
-    private final ListSubscription asking;
+    private final ListSubscription subscription;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private final List<AttemptCancellation> cancellations = new ArrayList<>();
     private final Queue<String> logLines = new ConcurrentLinkedQueue<>();
@@ -86,7 +86,7 @@
         this.log = log;
         ModuleActions actions = new ModuleActions();
         this.module = module.apply(actions);
-        asking = new ListSubscription(setup.settings(), seed, actions);
+        subscription = new ListSubscription(setup.settings(), seed, actions);
         listWanted = isPushed(setup);
     }
 
@@ -115,7 +115,7 @@
         // The module knows classes and tenants by index, so both sides have to switch together.
         setup = next;
         runGuarded(() -> module.reconfigure(clock.getAsLong(), next.settings()));
-        asking.configure(next.settings());
+        subscription.configure(next.settings());
         if (isPushed(next)) {
             requestListNow();
         }
@@ -260,9 +260,9 @@
         }
         beginCall(0, 0);
         if (kind != ListKind.FAILED && !runGuarded(() -> module.fleet(clock.getAsLong(), kind, fleetEntries))) {
-            throw new IllegalStateException("the list could not be taken over");
+            throw new IllegalStateException("the list could not be applied");
         }
-        asking.listReceived(kind);
+        subscription.listReceived(kind);
     }
 
     /** Delivers the timers that are due and writes pending log lines; returns the attempts to abandon now. */
@@ -281,7 +281,7 @@
         while (!timers.isEmpty() && timers.peek().atUs() <= now) {
             beginCall(0, 0);
             long token = timers.poll().token();
-            if (!asking.timerFired(token) && !runGuarded(() -> module.timerFired(now, token))) {
+            if (!subscription.timerFired(token) && !runGuarded(() -> module.timerFired(now, token))) {
                 timers.add(new Timer(now + TIMER_RETRY_US, timersCreated++, token));
             }
         }
--- a/core/src/main/java/dapplequay/lifecycle/InstanceLifecycle.java
+++ b/core/src/main/java/dapplequay/lifecycle/InstanceLifecycle.java
@@ -66,7 +66,7 @@
         }
     }
 
-    /** A time that never comes: the current state has no time-out. */
+    /** A time that is never reached: the current state has no time-out. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private final RestartPolicy policy;
--- a/core/src/main/java/dapplequay/lifecycle/ServiceLifecycle.java
+++ b/core/src/main/java/dapplequay/lifecycle/ServiceLifecycle.java
@@ -20,7 +20,7 @@
         ENDING
     }
 
-    /** A time that never comes. */
+    /** A time that is never reached. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private final long drainGraceUs;
--- a/core/src/main/java/dapplequay/membership/ListCallBackoff.java
+++ b/core/src/main/java/dapplequay/membership/ListCallBackoff.java
@@ -9,10 +9,10 @@
  * <p>If all instances ask one discovery service, which does not grow with them, their first calls are spread by the
  * instance's number over half of the time within which each has to ask. After a failure an instance backs off
  * exponentially, with jitter over half of the pause. (On sockets {@link ListCallTiming} takes precedence, as what
- * discovery has counts as told soon after it is back.)
+ * discovery has counts as announced soon after it is back.)
  *
- * <p>An agent beside the instance, to which lists are pushed, is asked at once. What the agent has counts as told, so
- * that a pause after a failed call uses up part of the drain's grace.
+ * <p>An agent beside the instance, to which lists are pushed, is asked at once. What the agent has counts as announced,
+ * so that a pause after a failed call uses up part of the drain's grace.
  */
 public final class ListCallBackoff {
     /** Share of ask_within over which the first calls are spread; the rest is left for failures. */
--- a/core/src/main/java/dapplequay/membership/ListCallTiming.java
+++ b/core/src/main/java/dapplequay/membership/ListCallTiming.java
@@ -8,14 +8,14 @@
  * Times the calls for the server list: how long each call to discovery may wait for a change, when it is given up, and
  * when the next one begins. Pure; times in microseconds of any monotonic clock. Not thread-safe.
  *
- * <p>A call that waits for a change is a watch. A call that stays silent is broken. A change counts as told at a time
- * that the operators set, whether the sidecar has it or not, and then the drain's grace begins:
+ * <p>A call that waits for a change is a watch. A call that stays silent is broken. A change counts as announced at a
+ * time that the operators set, whether the sidecar has it or not, and then the drain's grace begins:
  * <ul>
  * <li>what a silent call missed: {@link #MISSED_TOLD_US} after the call fell silent, but for a watch no sooner than
  *     {@link #WATCH_MISSED_TOLD_US} after its wait is over. When a call fell silent can't be seen here: the time of its
- *     beginning is taken instead;
+ *     beginning is used instead;
  * <li>after a call that failed, was refused or was given up: {@link #MISSED_TOLD_US} after discovery had the change and
- *     could be reached. This bound comes first.
+ *     could be reached. This bound takes precedence.
  * </ul>
  * After a failure, calls therefore don't wait until one has succeeded, and the next call begins no later than {@link
  * #RETRY_WITHIN_US} after the failed one began (after a watch: ended). Discovery may come back just after a call began
@@ -24,22 +24,22 @@
  * left to apply the list.
  *
  * <p>The call after a silent watch follows at once. It either brings what was missed, or is given up after half of the
- * time until that counts as told; later calls have their full time. While discovery stays silent nothing can be learnt:
- * the list stays as it is, and calls go on within the bound.
+ * time until that counts as announced; later calls have their full time. While discovery stays silent nothing can be
+ * learnt: the list stays as it is, and calls go on within the bound.
  */
 public final class ListCallTiming {
-    /** What a silent call missed counts as told this long after the call fell silent. */
+    /** What a silent call missed counts as announced this long after the call fell silent. */
     public static final long MISSED_TOLD_US = 6_000_000;
-    /** What a silent watch missed counts as told no sooner than this after its wait is over. */
+    /** What a silent watch missed counts as announced no sooner than this after its wait is over. */
     public static final long WATCH_MISSED_TOLD_US = 2_000_000;
-    /** What discovery at a new address has counts as told this long after the configuration that named the address. */
+    /** What discovery at a new address has counts as announced this long after the configuration that named it. */
     public static final long NEW_ADDRESS_TOLD_US = 4_000_000;
     /** The longest wait that a watch asks for. */
     public static final long LONGEST_WAIT_US = 20_000_000;
     /**
      * The longest time from the beginning of a call that failed to that of the next one. It is also the limit of a call
      * that does not wait: giving up sooner would gain nothing, and a discovery with too many callers works in vain if
-     * all have hung up by the time of their turn.
+     * all have hung up before they are served.
      */
     static final long RETRY_WITHIN_US = 3_250_000;
     /** The time that is left to a call after a failure for connect and answer. */
@@ -71,7 +71,7 @@
     private static final long MIN_LIMIT_US = 300_000;
     /** How long an answer that has begun may take to be complete: what counts is the whole answer, not its bytes. */
     private static final long ANSWER_LIMIT_US = MISSED_TOLD_US / 4;
-    /** The longest pause before the next call, as a share of the time until something missed counts as told. */
+    /** The longest pause before the next call, as a share of the time until something missed counts as announced. */
     private static final double PAUSE_SHARE = 0.25;
     private static final long NEVER = Long.MAX_VALUE;
 
@@ -92,7 +92,7 @@
     private long callLimitUs;
     /** When the next call begins after one that failed; NEVER: none failed. */
     private long retryUs = NEVER;
-    /** When what was missed since discovery last answered begins to count as told. */
+    /** When what was missed since discovery last answered begins to count as announced. */
     private long missedToldUs = NEVER;
     /** The same of what the last silent call missed. */
     private long lastMissedToldUs = NEVER;
@@ -136,7 +136,7 @@
         return callWaitUs;
     }
 
-    /** True if discovery has a new address, and what it has there does not yet count as told. */
+    /** True if discovery has a new address, and what it has there does not yet count as announced. */
     private boolean isNewAddressUntold(long now) {
         return addressIsNew && now - newAddressCalledUs < NEW_ADDRESS_TOLD_US;
     }
@@ -154,18 +154,18 @@
         return callLimitUs;
     }
 
-    /** The first byte of the call's answer has come. */
+    /** The first byte of the call's answer has arrived. */
     public void answerBegins(long now) {
         callLimitUs = Math.min(callLimitUs, now + ANSWER_LIMIT_US);
     }
 
     /**
-     * Returns when the watch after the answer that has just come may begin. To be called before {@link #callSucceeded}.
+     * Returns when the watch after the answer just received may begin. To be called before {@link #callSucceeded}.
      *
      * <p>That is at once, except after a failure if the answer shows that other callers queue, as the failure met them,
-     * too. Then the watch leaves them their turn: the longer the queue, the later, up to the latest time at which a
+     * too. Then the watch lets them go first: the longer the queue, the later, up to the latest time at which a
      * caller without an answer would call again, within half of the time for which no call is needed, and early enough
-     * to leave the grace the time for the watch, as what discovery has may count as told at once.
+     * to leave the grace the time for the watch, as what discovery has may count as announced at once.
      */
     public long watchFromUs(long now) {
         Discovery discovery = settings.get();
@@ -208,8 +208,8 @@
     /**
      * The call failed before its limit.
      *
-     * @param answered true if an answer came that can't be used: discovery could be reached, perhaps since an earlier
-     *     failure. False if it could not: then the time until its changes count as told begins anew
+     * @param answered true if an answer arrived that can't be used: discovery could be reached, perhaps since an
+     *     earlier failure. False if it could not: then the time until its changes count as announced begins anew
      */
     public void callFailed(long now, boolean answered) {
         long toldUs = now + MISSED_TOLD_US;
@@ -248,7 +248,7 @@
 
     /**
      * Returns the longest pause before the next call; Long.MAX_VALUE if no call has failed and nothing that was missed
-     * is about to count as told.
+     * is about to count as announced.
      */
     public long longestPauseUs(long now) {
         long pauseUs = retryUs == NEVER ? NEVER : Math.max(1, retryUs - now);
@@ -265,7 +265,7 @@
         return settings.get().onRequest();
     }
 
-    /** Returns what earlier failures leave of the drain's grace for the list that has just come; 0 or more. */
+    /** Returns what earlier failures leave of the drain's grace for the list just received; 0 or more. */
     public long graceLeftUs(long now) {
         long graceUs = settings.get().drainGraceUs();
         long toldUs = Math.min(missedToldUs, returnToldUs);
--- a/core/src/main/java/dapplequay/membership/ListSubscription.java
+++ b/core/src/main/java/dapplequay/membership/ListSubscription.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps an instance subscribed to the server list, beside the decision module, which takes each list as it comes. Pure:
- * subscribes and sets timers through the module's actions. Not thread-safe.
+ * Keeps an instance subscribed to the server list, beside the decision module, which applies each list as it arrives.
+ * Pure: subscribes and sets timers through the module's actions. Not thread-safe.
  */
 public final class ListSubscription {
     /** Token of its timer; the module's tokens are above 0. */
@@ -30,7 +30,7 @@
         backoff = new ListCallBackoff(settings.discovery(), PseudoRandom.evenlySpread(settings.position()), random);
     }
 
-    /** A list has come and was taken over, or has failed to come. */
+    /** A list was received and applied, or the call for it failed. */
     public void listReceived(ListKind kind) {
         if (kind == ListKind.FAILED) {
             subscribed = false;
--- a/core/src/main/java/dapplequay/membership/ZoneLoss.java
+++ b/core/src/main/java/dapplequay/membership/ZoneLoss.java
@@ -36,7 +36,7 @@
         nextTryAt[zone] = now + tryIntervalUs;
     }
 
-    /** Counts an attempt that has ended; returns true if by it the zone has become lost, or has come back. */
+    /** Counts an attempt that has ended; returns true if this changed whether the zone counts as lost. */
     public boolean attemptEnded(int zone, boolean unreachable) {
         boolean wasLost = isLost(zone);
         unreachableShare[zone] += GAIN * ((unreachable ? 1 : 0) - unreachableShare[zone]);
--- a/core/src/main/java/dapplequay/recovery/InitialList.java
+++ b/core/src/main/java/dapplequay/recovery/InitialList.java
@@ -3,7 +3,7 @@
 /**
  * The choice of the server list that an instance starts with. Times are Unix time in microseconds.
  *
- * @param source          where the list comes from
+ * @param source          the origin of the list
  * @param enforcesVersion true if a list of a lower version is doubted, as by a running instance; false if discovery is
  *                        believed whatever the version of its list
  */
--- a/core/src/main/java/dapplequay/state/Snapshot.java
+++ b/core/src/main/java/dapplequay/state/Snapshot.java
@@ -14,7 +14,7 @@
  */
 public record Snapshot(long takenUs, byte[] list) {
     public static final int VERSION = 1;
-    /** Larger lists are taken for corrupt: ten thousand servers need a fifth of this. */
+    /** Larger lists are treated as corrupt: ten thousand servers need a fifth of this. */
     public static final int MAX_LIST_BYTES = 16 * 1024 * 1024;
     static final int HEADER_BYTES = 28;
     private static final byte[] MAGIC = {'D', 'Q', 'S', 'N', 'A', 'P'};
@@ -35,7 +35,7 @@
         return bytes.array();
     }
 
-    /** Decodes a snapshot. Throws no exception, whatever the bytes are. */
+    /** Decodes a snapshot. Throws no exception for any input. */
     public static DecodeResult decode(byte[] bytes) {
         if (bytes.length < HEADER_BYTES) {
             return invalid("torn: " + bytes.length + " bytes are fewer than a head");
