--- a/sidecar/src/main/java/dapplequay/benchlink/InstanceDispatcher.java
+++ b/sidecar/src/main/java/dapplequay/benchlink/InstanceDispatcher.java
@@ -28,7 +28,7 @@
     private final Sheet[] sheets = new Sheet[MAX_SHEETS];
     private long turn;
 
-    private record Instance(BalancerApi module, ListSubscription asking, SettingsReader.Setup setup,
+    private record Instance(BalancerApi module, ListSubscription subscription, SettingsReader.Setup setup,
             WireActions actions) { }
 
     /** A fleet list as read, and as translated for the zones of the instances that used it last. */
@@ -155,7 +155,7 @@
             if (kind != ListKind.FAILED) {
                 instance.module().fleet(nowUs, kind, fleet);
             }
-            instance.asking().listReceived(kind);
+            instance.subscription().listReceived(kind);
         });
     }
 
@@ -220,7 +220,7 @@
             case "TIMEOUT_FIRED" -> {
                 long timerToken = require(event.timerToken, "cookie", event);
                 return () -> {
-                    if (!instance.asking().timerFired(timerToken)) {
+                    if (!instance.subscription().timerFired(timerToken)) {
                         module.timerFired(nowUs, timerToken);
                     }
                 };
--- a/sidecar/src/main/java/dapplequay/cli/Config.java
+++ b/sidecar/src/main/java/dapplequay/cli/Config.java
@@ -28,7 +28,7 @@
 
     /** Reads the configuration from a parsed file; {@code source} names the file in error messages. */
     static Sidecar.Options read(String source, Map<?, ?> fields, Map<String, String> environment) {
-        return plan(source, fields, environment, environment.get("EDGE_DISCOVERY"));
+        return parseOptions(source, fields, environment, environment.get("EDGE_DISCOVERY"));
     }
 
     /**
@@ -43,11 +43,11 @@
         if (missing != null) {
             throw new SettingsException(source + ": " + missing + " is missing");
         }
-        return plan(source, fields, environment, null);
+        return parseOptions(source, fields, environment, null);
     }
 
-    private static Sidecar.Options plan(String source, Map<?, ?> fields, Map<String, String> environment,
-                                     String discovery) {
+    private static Sidecar.Options parseOptions(String source, Map<?, ?> fields, Map<String, String> environment,
+            String discovery) {
         String management = environment.get("EDGE_MANAGEMENT");
         boolean hasManagement = fields.get("management") != null || management != null && !management.isEmpty();
         return new Sidecar.Options(address(source, fields, "listen", environment.get("EDGE_LISTEN")),
--- a/sidecar/src/main/java/dapplequay/cli/Main.java
+++ b/sidecar/src/main/java/dapplequay/cli/Main.java
@@ -85,12 +85,12 @@
             return operators == null ? Operators.NONE : Operators.read(Path.of(operators));
         }
 
-        Sidecar.Options plan(Map<String, String> environment) {
+        Sidecar.Options readOptions(Map<String, String> environment) {
             return Config.read(file(environment), environment);
         }
     }
 
-    /** Runs the sidecar until the process is told to end. */
+    /** Runs the sidecar until the process is asked to end. */
     public static final class Serve extends ConfiguredCommand {
         @Option(name = "--log", metaVar = "LEVEL", usage = "SEVERE, WARNING, INFO or FINE")
         private String level = "INFO";
@@ -156,7 +156,7 @@
         @Override
         public int run(Map<String, String> environment) throws IOException {
             operators();
-            Sidecar.check(plan(environment));
+            Sidecar.check(readOptions(environment));
             System.out.println("good");
             return 0;
         }
--- a/sidecar/src/main/java/dapplequay/cli/PersistedState.java
+++ b/sidecar/src/main/java/dapplequay/cli/PersistedState.java
@@ -31,32 +31,32 @@
     }
 
     /** Creates the sidecar without starting it; IOException if the platform's list is invalid. */
-    Sidecar createSidecar(Sidecar.Options plan) throws IOException {
+    Sidecar createSidecar(Sidecar.Options options) throws IOException {
         if (folderPath == null) {
-            return new Sidecar(plan);
+            return new Sidecar(options);
         }
-        folder = new StateFolder(folderPath, "sidecar-" + Sockets.hostAndPort(plan.listen()).replaceAll("[^0-9.]", "-"),
-                clock);
+        folder = new StateFolder(folderPath,
+                "sidecar-" + Sockets.hostAndPort(options.listen()).replaceAll("[^0-9.]", "-"), clock);
         Snapshot snapshot = folder.read();
         Object list = snapshot == null ? null : parseList(snapshot);
         long now = clock.getAsLong();
         InitialList.KeptList keptList = list == null ? null
                 : new InitialList.KeptList(revision(list), snapshot.takenUs());
-        InitialList beginning = InitialList.choose(revision(plan.knownList()), keptList, now,
+        InitialList initialList = InitialList.choose(revision(options.knownList()), keptList, now,
                 Sidecar.versionValidityUs());
-        Sidecar.ListPersistence memory = new Sidecar.ListPersistence(beginning.enforcesVersion(),
+        Sidecar.ListPersistence persistence = new Sidecar.ListPersistence(initialList.enforcesVersion(),
                 folder::scheduleWrite);
-        if (beginning.source() != InitialList.Source.KEPT) {
-            return new Sidecar(plan, memory);
+        if (initialList.source() != InitialList.Source.KEPT) {
+            return new Sidecar(options, persistence);
         }
         LOG.log(Level.INFO, "begins with the list kept {0} s ago, version {1}{2}", new Object[] {
             (now - snapshot.takenUs()) / 1_000_000, revision(list).toString(),
-            beginning.enforcesVersion() ? "" : "; discovery may be older"});
+            initialList.enforcesVersion() ? "" : "; discovery may be older"});
         try {
-            return new Sidecar(plan.withKnownList(list), memory);
+            return new Sidecar(options.withKnownList(list), persistence);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "the kept list could not be applied and is not used: {0}", e.toString());
-            return new Sidecar(plan, new Sidecar.ListPersistence(false, folder::scheduleWrite));
+            return new Sidecar(options, new Sidecar.ListPersistence(false, folder::scheduleWrite));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/cli/Reload.java
+++ b/sidecar/src/main/java/dapplequay/cli/Reload.java
@@ -36,7 +36,7 @@
             LOG.info("configuration read again" + (restartOnly.isEmpty() ? "" : "; these take a restart: "
                     + String.join(", ", restartOnly)));
         } catch (RuntimeException | OutOfMemoryError | StackOverflowError e) {
-            // Errors come of a file too large or too deeply nested: the thread that watches the file must survive them.
+            // A file too large or too deeply nested causes Errors: the thread that watches the file must survive them.
             sidecar.recordReload(false);
             LOG.log(Level.WARNING, "configuration kept as it was: {0}",
                     String.valueOf(e.getMessage()).contains(file.toString()) ? e.getMessage()
--- a/sidecar/src/main/java/dapplequay/snapshot/StateFolder.java
+++ b/sidecar/src/main/java/dapplequay/snapshot/StateFolder.java
@@ -26,7 +26,7 @@
     private final SnapshotFile file;
     private final Path lockFile;
     private final LongSupplier clock;
-    private final WriteScheduler pace = new WriteScheduler(MIN_WRITE_INTERVAL_US, RETRY_DELAY_US);
+    private final WriteScheduler writeScheduler = new WriteScheduler(MIN_WRITE_INTERVAL_US, RETRY_DELAY_US);
     private Supplier<byte[]> latestList;
     private boolean isClosed;
     private FileLock lock;
@@ -47,7 +47,7 @@
     /** Schedules a write of the list; {@code list} is called at the time of the write and returns discovery's form. */
     public synchronized void scheduleWrite(Supplier<byte[]> list) {
         latestList = list;
-        pace.listChanged();
+        writeScheduler.listChanged();
         if (writer == null && !isClosed) {
             writer = new Thread(this::writeWhenDue, "state");
             writer.setDaemon(true);
@@ -70,10 +70,10 @@
     private synchronized boolean awaitNextWrite() throws InterruptedException {
         while (!isClosed) {
             long now = clock.getAsLong();
-            if (pace.nextWriteUs() <= now) {
+            if (writeScheduler.nextWriteUs() <= now) {
                 return true;
             }
-            wait(pace.nextWriteUs() == Long.MAX_VALUE ? 0 : (pace.nextWriteUs() - now) / 1_000 + 1);
+            wait(writeScheduler.nextWriteUs() == Long.MAX_VALUE ? 0 : (writeScheduler.nextWriteUs() - now) / 1_000 + 1);
         }
         return false;
     }
@@ -81,7 +81,7 @@
     private void write() {
         Supplier<byte[]> list;
         synchronized (this) {
-            pace.writeStarted(clock.getAsLong());
+            writeScheduler.writeStarted(clock.getAsLong());
             list = latestList;
         }
         try {
@@ -91,7 +91,7 @@
             file.write(new Snapshot(clock.getAsLong(), list.get()));
         } catch (IOException | RuntimeException e) {
             synchronized (this) {
-                if (pace.writeFailed(clock.getAsLong())) {
+                if (writeScheduler.writeFailed(clock.getAsLong())) {
                     LOG.log(Level.SEVERE, "the list is not kept: {0}", e.toString());
                 }
             }
@@ -128,7 +128,7 @@
             lastWriter.join();
         }
         synchronized (this) {
-            isWritePending = pace.nextWriteUs() != Long.MAX_VALUE;
+            isWritePending = writeScheduler.nextWriteUs() != Long.MAX_VALUE;
         }
         if (isWritePending) {
             write();
