--- a/sidecar/src/main/java/dapplequay/net/Attempt.java
+++ b/sidecar/src/main/java/dapplequay/net/Attempt.java
@@ -7,7 +7,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * One attempt to get a request served by an upstream. It ends once, with whichever comes first: the response, an abort
+ * One attempt to get a request served by an upstream. It ends once, with the first of these: the response, an abort
  * from outside or the failure of its connection.
  */
 final class Attempt {
@@ -19,7 +19,7 @@
     /** True for a long request until its last piece is about to be written: until then it can't have run. */
     private boolean uploading;
     private boolean readyForBody;
-    /** The connection that the attempt waits for is gone. */
+    /** The connection that the attempt waits for has closed. */
     private boolean settleWaitCancelled;
     private long connectionIdleUs = -1;
     private AttemptEnd end;
@@ -178,7 +178,7 @@
                 - (served && isWritten() ? writtenAtUs : startUs);
     }
 
-    /** Records when the response head came; how long the body takes depends on its length and on its reader. */
+    /** Records when the response head arrived; how long the body takes depends on its length and on its reader. */
     synchronized void headReceived(long nowUs) {
         headReceivedUs = nowUs;
     }
--- a/sidecar/src/main/java/dapplequay/net/BodyBuffers.java
+++ b/sidecar/src/main/java/dapplequay/net/BodyBuffers.java
@@ -15,7 +15,7 @@
     private static final int MAX_POOLED = 24;
     /** After a piece smaller than this, the transfer pauses so that more bytes accumulate. */
     private static final int SMALL_PIECE_BYTES = PIECE_BYTES * 3 / 4;
-    /** The same for a chunked body, of which at most half as much comes at once. */
+    /** The same for a chunked body, of which at most half as much arrives at once. */
     private static final int SMALL_CHUNKED_PIECE_BYTES = PIECE_BYTES / 4;
     /** The pause after a small piece; far less than the second that a peer would notice. */
     private static final long ACCUMULATE_MS = 70;
--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -34,7 +34,7 @@
     private static final long UPLOAD_LINGER_US = 5_000_000;
     /** Time for writing a response: a client that does not read must not block the writing thread. */
     private static final long WRITE_TIMEOUT_US = 10_000_000;
-    /** A streamed body that does not move for this long is given up; peers may take seconds for one piece. */
+    /** A streamed body that does not progress for this long is aborted; peers may take seconds for one piece. */
     private static final long STALL_TIMEOUT_US = 10_000_000;
     /** Time for the client to close after the last response; closing first could lose the response. */
     private static final long LINGER_US = 1_000_000;
@@ -102,7 +102,7 @@
             if (currentExchange != null) {
                 LOG.fine(() -> "client of " + currentExchange.id + " is gone, " + state
                         + (currentExchange.isClaimed() ? "" : ", unanswered"));
-                listener.conductor().clientLeft(currentExchange);
+                listener.dispatcher().clientLeft(currentExchange);
             }
             bodyReader.finish();
             if (input == null || !input.leave()) {
@@ -240,11 +240,11 @@
         byte[] piece = BodyBuffers.acquire();
         boolean chunked = exchange.request.isChunked();
         ProgressWatchdog.StallTimeout moves = new ProgressWatchdog.StallTimeout(listener.deadlines(), STALL_TIMEOUT_US);
-        try (ProgressWatchdog stuck = new ProgressWatchdog(listener.deadlines(), moves, () -> {
+        try (ProgressWatchdog watchdog = new ProgressWatchdog(listener.deadlines(), moves, () -> {
             if (bodyReader.isWaiting()) {
                 requestTimedOut();
             } else {
-                listener.conductor().abortStalledUpload(exchange);
+                listener.dispatcher().abortStalledUpload(exchange);
             }
         })) {
             Attempt attempt = null;
@@ -266,7 +266,7 @@
                 }
                 if (last) {
                     input.checkPresent(reader, true);   // it may have left meanwhile
-                    if (!listener.conductor().beginFinalWrite(attempt)) {
+                    if (!listener.dispatcher().beginFinalWrite(attempt)) {
                         return;
                     }
                 }
@@ -282,15 +282,15 @@
                 BodyBuffers.pauseAfterPiece(count, body, listener.streamPauseMs());
             }
         } catch (BadMessageException e) {
-            listener.conductor().rejectUpload(exchange, ClientResponses.plainText(e.status, e.getMessage()));
+            listener.dispatcher().rejectUpload(exchange, ClientResponses.plainText(e.status, e.getMessage()));
         } catch (EOFException e) {
             if (!isRequestLate) {
-                listener.conductor().clientLeft(exchange);
+                listener.dispatcher().clientLeft(exchange);
                 throw e;
             }
-            listener.conductor().rejectUpload(exchange, ClientResponses.requestTimeout());
+            listener.dispatcher().rejectUpload(exchange, ClientResponses.requestTimeout());
         } catch (IOException e) {
-            listener.conductor().clientLeft(exchange);
+            listener.dispatcher().clientLeft(exchange);
             throw e;
         } finally {
             BodyBuffers.release(piece);
@@ -323,16 +323,16 @@
         exchange.setDeadline(receivedUs + request.budgetUs());
         LOG.fine(() -> "request " + Long.toHexString(callId) + " is " + exchange.id);
         currentExchange = exchange;
-        if (listener.isEndingTimeOver() && exchange.claim()) {
+        if (listener.isShutdownTimeOver() && exchange.claim()) {
             exchange.recordEnd(End.THROTTLED);   // it never ran, and there is no time left
             writeResponse(ClientResponses.refusal(0));
             return;
         }
-        RequestInfo call = request.toCall(request.budgetUs() - (listener.deadlines().now() - receivedUs));
-        presence.runWhileAway(exchange, remainingBody == null, () -> listener.conductor().begin(exchange, call));
+        RequestInfo info = request.toRequestInfo(request.budgetUs() - (listener.deadlines().now() - receivedUs));
+        presence.runWhileAway(exchange, remainingBody == null, () -> listener.dispatcher().begin(exchange, info));
     }
 
-    /** True if the connection closes after the current response, as after one that comes before the request's end. */
+    /** True if the connection closes after the current response, as after one that precedes the request's end. */
     private boolean isLastResponse() {
         return isLastRequest || isUploading || input.hasDiscardedBytes() || listener.isEmptying()
                 || listener.isCrowded();
@@ -372,7 +372,7 @@
 
     /**
      * Passes on a streamed response on the calling thread; the request's time ends at {@code dueUs}. Returns true if
-     * the response is complete. The reading thread ends meanwhile: many long responses come at once, and where a
+     * the response is complete. The reading thread ends meanwhile: many long responses arrive at once, and where a
      * process is limited to a share of a core, each thread costs some of that share. The connection closes after this
      * response.
      */
@@ -457,11 +457,11 @@
         return exchange != null && !exchange.isClaimed();
     }
 
-    /** Fails the current request, as there is no time left: the client is better told than cut off. */
+    /** Fails the current request, as there is no time left: an error response is better than a closed connection. */
     void failUnansweredRequest() {
         Exchange exchange = currentExchange;
         if (exchange != null) {
-            listener.conductor().rejectUpload(exchange, ClientResponses.failure(504));
+            listener.dispatcher().rejectUpload(exchange, ClientResponses.failure(504));
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/ClientInput.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientInput.java
@@ -10,7 +10,7 @@
 
 /**
  * The input of one client, read only by the thread of its connection. A client that ends its output counts as gone,
- * whether it closed or still reads, as the two can't be told apart before something is written. The end of the stream
+ * whether it closed or still reads, as the two look the same before something is written. The end of the stream
  * only shows after the last byte, so a thread that waits for something other than the next byte has to poll for it. The
  * thread that passes on a long response takes over the input once the reading thread has left.
  */
--- a/sidecar/src/main/java/dapplequay/net/ClientListener.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientListener.java
@@ -47,7 +47,7 @@
 
     private final Supplier<Setup> setup;
     private final Facade facade;
-    private final RequestDispatcher conductor;
+    private final RequestDispatcher dispatcher;
     private final DeadlineQueue deadlines;
     private final int maxConnections;
     private final int crowdThreshold;
@@ -59,34 +59,33 @@
     private final RecentCallIds recentCallIds = new RecentCallIds();
     private final RequestCounts counts;
     private final SidecarLifecycle lifecycle;
-    private volatile boolean isEndingTimeOver;
+    private volatile boolean isShutdownTimeOver;
     /** Whether clients were crowded at any time since shutdown began; used only by the accepting thread. */
     private boolean endingSawCrowd;
-    private final LongBodyThrottle headroom;
-    private final LagMonitor punctuality;
+    private final LongBodyThrottle bodyThrottle;
+    private final LagMonitor lagMonitor;
     private final ThreadReserve threads;
     /** The current limit of connections: below {@link #maxConnections} after a shortage of threads. Guarded by this. */
     private int connectionLimit;
 
-    ClientListener(ListeningSocket listeningSocket, Supplier<Setup> setup, Facade facade, RequestDispatcher conductor,
-                 DeadlineQueue deadlines, RequestCounts counts, SidecarLifecycle lifecycle, LongBodyThrottle headroom,
-                         int maxConnections,
-                 int crowdThreshold, int maxUploads, ThreadReserve threads) {
+    ClientListener(ListeningSocket listeningSocket, Supplier<Setup> setup, Facade facade, RequestDispatcher dispatcher,
+            DeadlineQueue deadlines, RequestCounts counts, SidecarLifecycle lifecycle, LongBodyThrottle bodyThrottle,
+            int maxConnections, int crowdThreshold, int maxUploads, ThreadReserve threads) {
         this.maxUploads = maxUploads;
         this.listeningSocket = listeningSocket;
         this.setup = setup;
         this.facade = facade;
-        this.conductor = conductor;
+        this.dispatcher = dispatcher;
         this.deadlines = deadlines;
         this.counts = counts;
         this.lifecycle = lifecycle;
-        this.headroom = headroom;
+        this.bodyThrottle = bodyThrottle;
         this.maxConnections = maxConnections;
         this.threads = threads;
         connectionLimit = maxConnections;
         threads.onShortage(this::lowerConnectionLimit);
         this.crowdThreshold = crowdThreshold;
-        punctuality = new LagMonitor(deadlines.now());
+        lagMonitor = new LagMonitor(deadlines.now());
     }
 
     InetSocketAddress address() {
@@ -107,8 +106,8 @@
         return facade.nextRequestId();
     }
 
-    RequestDispatcher conductor() {
-        return conductor;
+    RequestDispatcher dispatcher() {
+        return dispatcher;
     }
 
     DeadlineQueue deadlines() {
@@ -138,12 +137,12 @@
 
     /** Returns how long a thread that passes on a streamed body currently pauses between pieces, in milliseconds. */
     long streamPauseMs() {
-        return headroom.pauseMs();
+        return bodyThrottle.pauseMs();
     }
 
     /** True if input that is read now may have been waiting in the socket for long. */
     boolean isLate(long nowUs) {
-        return punctuality.isLate(nowUs);
+        return lagMonitor.isLate(nowUs);
     }
 
     /** True if connections are being closed for a drain or shutdown: each response is then its connection's last. */
@@ -273,7 +272,7 @@
             }
             wait(RETRY_PAUSE_MS);
         }
-        punctuality.recordWait(sinceUs, deadlines.now());
+        lagMonitor.recordWait(sinceUs, deadlines.now());
     }
 
     /**
@@ -297,7 +296,7 @@
 
     /** Does the periodic work. During a drain or shutdown, closes idle connections. */
     void tick() {
-        punctuality.recordWakeUp(deadlines.now());
+        lagMonitor.recordWakeUp(deadlines.now());
         restoreConnectionLimit();
         if (!lifecycle.isEmptying()) {
             return;
@@ -336,7 +335,7 @@
     }
 
     /**
-     * Waits until there are no connections and, from {@code newClientsUntilUs} on, no new ones come, or until {@code
+     * Waits until there are no connections and, from {@code newClientsUntilUs} on, no new ones arrive, or until {@code
      * answerUntilUs}. Requests that are unanswered then fail, and the failures have until {@code closeAtUs} to reach
      * the clients. A listening socket of this process alone stays open meanwhile, as the clients that the system has
      * accepted have to be answered. It is closed once all of these are accepted here, however late the accepting thread
@@ -346,7 +345,7 @@
         if (!awaitNoConnections(newClientsUntilUs, answerUntilUs) || !acceptQueued(answerUntilUs)
                 || !awaitNoConnections(newClientsUntilUs, answerUntilUs)) {
             // Set before the loop, so that each connection is either seen here or sees this.
-            isEndingTimeOver = true;
+            isShutdownTimeOver = true;
             openConnections().stream().filter(ClientConnection::hasUnansweredRequest)
                     .forEach(ClientListener::failInBackground);
             if (acceptQueued(closeAtUs)) {
@@ -383,8 +382,8 @@
      * True once the unanswered requests were failed for lack of time; a request that becomes complete now can't be
      * answered.
      */
-    boolean isEndingTimeOver() {
-        return isEndingTimeOver;
+    boolean isShutdownTimeOver() {
+        return isShutdownTimeOver;
     }
 
     private synchronized boolean awaitNoConnections(long newClientsUntilUs, long untilUs) throws InterruptedException {
--- a/sidecar/src/main/java/dapplequay/net/ClientPresence.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientPresence.java
@@ -58,7 +58,7 @@
                 input.checkPresent(reader, isRequestComplete);
             }
         } catch (IOException e) {
-            listener.conductor().clientLeft(exchange);   // before waiting threads go on
+            listener.dispatcher().clientLeft(exchange);   // before waiting threads go on
             throw e;
         } finally {
             markReturned();
@@ -84,7 +84,7 @@
             }
         } catch (IOException e) {
             LOG.log(Level.FINE, "client has disconnected: {0}", e.toString());
-            listener.conductor().clientLeft(exchange);
+            listener.dispatcher().clientLeft(exchange);
         }
     }
 
--- a/sidecar/src/main/java/dapplequay/net/ClientRequest.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientRequest.java
@@ -89,7 +89,7 @@
         return Long.parseUnsignedLong(head.get("X-Call-Id"), 16);
     }
 
-    RequestInfo toCall(long leftUs) throws BadMessageException {
+    RequestInfo toRequestInfo(long leftUs) throws BadMessageException {
         long estimateUs = 0;
         String callInfo = head.get("X-Call-Info");
         if (callInfo != null) {
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -24,12 +24,12 @@
 /**
  * Watches discovery for changes for as long as the decision module wants that, one call after the other. {@link
  * ListCallTiming} decides how long a call is waited for and how soon the next one follows after a failure; {@link
- * ServerRegistry} decides what an answer changes.
+ * ServerRegistry} decides what a response changes.
  *
  * <p>A call that is not waited for any longer, because discovery has moved or the call has timed out, is
- * <em>superseded</em>: its connection stays open for a while. Discovery may have written the answer already, which
- * makes its content known, or may still reach the call in its queue. What such an answer takes out of service counts at
- * once; what it brings in does not.
+ * <em>superseded</em>: its connection stays open for a while. Discovery may have written the response already, which
+ * makes its content known, or may still reach the call in its queue. What such a response takes out of service counts
+ * at once; what it brings in does not.
  */
 final class DiscoveryClient implements Runnable, DiscoveryConnection.Listener {
     private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
@@ -43,7 +43,8 @@
     /** Limit of superseded calls, as each holds a descriptor. */
     static final int MAX_SUPERSEDED_CALLS = 6;
     /**
-     * Minimum interval between the beginnings of calls for a whole list that an answer made necessary, in microseconds.
+     * Minimum interval between the beginnings of calls for a whole list that a response made necessary, in
+     * microseconds.
      */
     static final long WHOLE_LIST_INTERVAL_US = 1_000_000;
     /**
@@ -55,19 +56,19 @@
     private static final long NEVER = Long.MIN_VALUE;
 
     /** A call in progress; {@code readUntilUs}: when a superseded call is closed. */
-    private record Call(ListResponse.Request listCall, DiscoveryConnection connection, long readUntilUs) {
+    private record Call(ListResponse.Request listRequest, DiscoveryConnection connection, long readUntilUs) {
         Call superseded(long nowUs) {
-            return new Call(listCall, connection, nowUs + SUPERSEDED_READ_US);
+            return new Call(listRequest, connection, nowUs + SUPERSEDED_READ_US);
         }
     }
 
     private final Endpoints endpoints;
     private final Facade facade;
-    private final UpstreamPool upstreams;
+    private final UpstreamPool upstreamPool;
     private final Sidecar.ListPersistence persistence;
-    private final ListCallTiming listClock;
+    private final ListCallTiming callTiming;
     private final LongSupplier clock;
-    private final DiscoveryMetrics figures;
+    private final DiscoveryMetrics metrics;
 
     // All fields below are guarded by this.
     private InetSocketAddress discovery;
@@ -75,25 +76,25 @@
     private DiscoveryConnection connection;   // for the next call; null: opens a new one
     private Call currentCall;
     private final Deque<Call> superseded = new ArrayDeque<>();
-    private int supersededAnswerCount;   // answers to superseded calls that counted as a success
+    private int supersededResponseCount;   // responses to superseded calls that counted as a success
     private long nextCallNotBeforeUs = NEVER;
-    /** When the last call for a whole list that an answer made necessary began. */
+    /** When the last call for a whole list that a response made necessary began. */
     private long lastWholeListCallUs = NEVER;
     private String lastFault;
     private boolean isEnded;
 
     /** {@code clock}: monotonic, in microseconds. */
-    DiscoveryClient(InetSocketAddress discovery, Endpoints endpoints, Facade facade, UpstreamPool upstreams,
-            Sidecar.ListPersistence persistence, ListCallTiming listClock, LongSupplier clock,
-                    DiscoveryMetrics figures) {
+    DiscoveryClient(InetSocketAddress discovery, Endpoints endpoints, Facade facade, UpstreamPool upstreamPool,
+            Sidecar.ListPersistence persistence, ListCallTiming callTiming, LongSupplier clock,
+            DiscoveryMetrics metrics) {
         this.discovery = discovery;
         this.persistence = persistence;
-        this.listClock = listClock;
+        this.callTiming = callTiming;
         this.clock = clock;
         this.endpoints = endpoints;
         this.facade = facade;
-        this.upstreams = upstreams;
-        this.figures = figures;
+        this.upstreamPool = upstreamPool;
+        this.metrics = metrics;
     }
 
     @Override
@@ -118,14 +119,14 @@
     private void awaitNextCall() throws InterruptedException {
         long begunUs = clock.getAsLong();
         long pauseUs;
-        int answersBefore;
+        int responsesBefore;
         synchronized (this) {
-            pauseUs = listClock.longestPauseUs(begunUs);
-            answersBefore = supersededAnswerCount;
+            pauseUs = callTiming.longestPauseUs(begunUs);
+            responsesBefore = supersededResponseCount;
         }
         facade.awaitListWanted(pauseUs);
         if (pauseUs != Long.MAX_VALUE) {
-            pauseUntil(begunUs + pauseUs, () -> listClock.keepsPause() && supersededAnswerCount == answersBefore);
+            pauseUntil(begunUs + pauseUs, () -> callTiming.keepsPause() && supersededResponseCount == responsesBefore);
         }
         synchronized (this) {
             pauseUntil(nextCallNotBeforeUs, () -> true);
@@ -144,12 +145,12 @@
      * would burden a discovery service that many clients ask.
      */
     private synchronized void awaitMovesApart() throws InterruptedException {
-        while (!isEnded && hasMoved && waitUntil(listClock.newAddressCallFromUs())) {
+        while (!isEnded && hasMoved && waitUntil(callTiming.newAddressCallFromUs())) {
             continue;
         }
     }
 
-    /** Waits until a notification or {@code untilUs}; false if that time has come. The caller holds the lock. */
+    /** Waits until a notification or {@code untilUs}; false if that time has passed. The caller holds the lock. */
     private boolean waitUntil(long untilUs) throws InterruptedException {
         long nowUs = clock.getAsLong();
         if (nowUs >= untilUs) {
@@ -179,7 +180,7 @@
             nextCallNotBeforeUs = NEVER;
             lastWholeListCallUs = NEVER;
             endpoints.discoveryMoved();
-            listClock.addressChanged();
+            callTiming.addressChanged();
         }
         facade.requestListNow();
     }
@@ -213,16 +214,17 @@
         }
         hasMoved = false;
         long nowUs = clock.getAsLong();
-        ListResponse.Request listCall = endpoints.nextCall(nowUs);
-        boolean isWholeList = listCall.after() == ListResponse.FULL_LIST;
-        long waitUs = listClock.callBegins(nowUs, isWholeList);
+        ListResponse.Request listRequest = endpoints.nextCall(nowUs);
+        boolean isWholeList = listRequest.after() == ListResponse.FULL_LIST;
+        long waitUs = callTiming.callBegins(nowUs, isWholeList);
         if (connection == null) {
             connection = new DiscoveryConnection(discovery, this, clock);
         }
-        currentCall = new Call(listCall, connection, Long.MAX_VALUE);
-        long connectUs = Math.max(1_000, Math.min(listClock.callLimitUs() - nowUs, CONNECT_TIMEOUT_US));
+        currentCall = new Call(listRequest, connection, Long.MAX_VALUE);
+        long connectUs = Math.max(1_000, Math.min(callTiming.callLimitUs() - nowUs, CONNECT_TIMEOUT_US));
         try {
-            connection.call(isWholeList ? "" : "?after=" + listCall.after() + "&wait_ms=" + Math.max(1, waitUs / 1_000),
+            connection.call(isWholeList ? ""
+                    : "?after=" + listRequest.after() + "&wait_ms=" + Math.max(1, waitUs / 1_000),
                     (int) ((connectUs + 999) / 1_000));
         } catch (OutOfMemoryError e) {
             callFailed(connection, e, false);   // no thread available
@@ -233,7 +235,7 @@
     /** Waits until the call has ended, is superseded, or has timed out. */
     private synchronized void awaitCallEnd(Call call) throws InterruptedException {
         while (call != null && currentCall == call && !isEnded) {
-            if (!waitUntil(listClock.callLimitUs())) {
+            if (!waitUntil(callTiming.callLimitUs())) {
                 supersede();
                 callFailed(new SocketTimeoutException("no answer in time; it is still read"), false);
             }
@@ -241,9 +243,9 @@
     }
 
     @Override
-    public synchronized void answerStarted(DiscoveryConnection from) {
+    public synchronized void responseStarted(DiscoveryConnection from) {
         if (isCurrent(from)) {
-            listClock.answerBegins(clock.getAsLong());
+            callTiming.answerBegins(clock.getAsLong());
             notifyAll();
         }
     }
@@ -253,8 +255,8 @@
     }
 
     @Override
-    public synchronized void answerReceived(DiscoveryConnection from, Endpoints.EndpointUpdate update, long receivedUs,
-            boolean isReusable) {
+    public synchronized void responseReceived(DiscoveryConnection from, Endpoints.EndpointUpdate update,
+            long receivedUs, boolean isReusable) {
         boolean isCurrent = isCurrent(from);
         Call call = isCurrent ? currentCall : removeSuperseded(from);
         if (call == null || isEnded) {
@@ -281,24 +283,24 @@
                     : lastWholeListCallUs + WHOLE_LIST_INTERVAL_US;
             lastWholeListCallUs = Math.max(receivedUs, nextCallNotBeforeUs);
         } else {
-            nextCallNotBeforeUs = listClock.watchFromUs(receivedUs);
+            nextCallNotBeforeUs = callTiming.watchFromUs(receivedUs);
             lastWholeListCallUs = lastWholeListCallUs != NEVER
                     && receivedUs - lastWholeListCallUs > WHOLE_LIST_INTERVAL_US ? NEVER : lastWholeListCallUs;
         }
-        heardFromDiscovery();
+        discoveryResponded();
     }
 
-    /** A late answer from the discovery address that still counts: nothing was missed. */
+    /** A late response from the discovery address that still counts: nothing was missed. */
     private void endOfSuperseded(Call call) {
-        if (call.listCall().addressGeneration() == endpoints.nextCall(0).addressGeneration()) {
-            heardFromDiscovery();
-            supersededAnswerCount++;
+        if (call.listRequest().addressGeneration() == endpoints.nextCall(0).addressGeneration()) {
+            discoveryResponded();
+            supersededResponseCount++;
             facade.requestListNow();
         }
     }
 
-    private void heardFromDiscovery() {
-        listClock.callSucceeded();
+    private void discoveryResponded() {
+        callTiming.callSucceeded();
         if (lastFault != null) {
             lastFault = null;
             LOG.info("discovery answers again");
@@ -317,11 +319,11 @@
     }
 
     @Override
-    public synchronized void callFailed(DiscoveryConnection from, Throwable failure, boolean gotAnswer) {
+    public synchronized void callFailed(DiscoveryConnection from, Throwable failure, boolean gotResponse) {
         if (isCurrent(from) && !isEnded) {
             currentCall = null;
             connection = null;
-            callFailed(failure, gotAnswer);
+            callFailed(failure, gotResponse);
             notifyAll();
         } else if (removeSuperseded(from) != null) {
             LOG.log(Level.FINE, "superseded discovery call at {0} ended: {1}",
@@ -329,31 +331,31 @@
         }
     }
 
-    private void callFailed(Throwable failure, boolean gotAnswer) {
+    private void callFailed(Throwable failure, boolean gotResponse) {
         String text = failure.toString();
         if (!text.equals(lastFault)) {   // one line for each cause: an agent is called again very soon
             lastFault = text;
             LOG.log(Level.WARNING, "discovery call failed: {0}", text);
         }
         if (!(failure instanceof SocketTimeoutException)) {
-            listClock.callFailed(clock.getAsLong(), gotAnswer);
-        } else if (listClock.callWasSilent()) {
+            callTiming.callFailed(clock.getAsLong(), gotResponse);
+        } else if (callTiming.callWasSilent()) {
             // Changes that it may have missed count soon: the next call is not put off.
             return;
         }
         facade.applyListUpdate(ListUpdate.failed());
         if (hasMoved) {
-            // The new address arrived just before the decision module was told of the failure at the old one.
+            // The new address arrived just before the decision module learned of the failure at the old one.
             facade.requestListNow();
         }
     }
 
-    /** Applies an answer: first to the endpoints, which each write checks, then to the decision module. */
+    /** Applies a response: first to the endpoints, which each write checks, then to the decision module. */
     private void apply(Endpoints.EndpointUpdate update, Call call, long receivedUs, boolean isCurrent) {
         boolean wasRegressed = endpoints.isRegressed();
         long knownRevision = endpoints.revision();
-        Endpoints.ApplyResult applied = endpoints.apply(update, call.listCall(), receivedUs,
-                listClock.graceLeftUs(receivedUs));
+        Endpoints.ApplyResult applied = endpoints.apply(update, call.listRequest(), receivedUs,
+                callTiming.graceLeftUs(receivedUs));
         if (endpoints.isRegressed() && !wasRegressed) {
             LOG.log(Level.WARNING, "a list with version {0}, older than {1}: what it brings back does not count yet",
                     new Object[] {Long.toString(update.revision()), Long.toString(knownRevision)});
@@ -363,7 +365,7 @@
         applyToModule(applied, isNews);
         String source = "version " + update.revision() + " of " + Sockets.hostAndPort(call.connection().address())
                 + (isCurrent ? "" : ", on a superseded call") + ", asked for "
-                + (receivedUs - call.listCall().startedUs()) / 1_000 + " ms before";
+                + (receivedUs - call.listRequest().startedUs()) / 1_000 + " ms before";
         logAndCount(applied.outcome(), source);
     }
 
@@ -388,13 +390,13 @@
             endpoints.wantWholeList();
             throw e;
         } finally {
-            upstreams.closeIdle(applied.retired());
+            upstreamPool.closeIdle(applied.retired());
         }
         persistence.save().accept(() -> Json.serialize(endpoints.toJsonTree()));
     }
 
     private void logAndCount(Result outcome, String source) {
-        TransitionLog.addFigures(outcome, figures);
+        TransitionLog.addMetrics(outcome, metrics);
         if (!outcome.transitions().isEmpty()) {
             LOG.info(() -> TransitionLog.format(outcome, source));
         }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryConnection.java
@@ -17,20 +17,20 @@
  * more.
  */
 final class DiscoveryConnection implements Runnable {
-    /** Is told about calls, on the connection's thread. */
+    /** Is notified about calls, on the connection's thread. */
     interface Listener {
         /** The first byte of a response has arrived. */
-        void answerStarted(DiscoveryConnection connection);
+        void responseStarted(DiscoveryConnection connection);
 
         /**
          * A whole response was read at {@code receivedUs}; {@code isReusable}: another call may follow on this
          * connection.
          */
-        void answerReceived(DiscoveryConnection connection, Endpoints.EndpointUpdate update, long receivedUs,
+        void responseReceived(DiscoveryConnection connection, Endpoints.EndpointUpdate update, long receivedUs,
                 boolean isReusable);
 
-        /** The call failed, and the connection with it; {@code gotAnswer}: discovery had responded, but not usably. */
-        void callFailed(DiscoveryConnection connection, Throwable failure, boolean gotAnswer);
+        /** The call failed, and the connection with it; {@code gotResponse}: discovery sent an unusable response. */
+        void callFailed(DiscoveryConnection connection, Throwable failure, boolean gotResponse);
     }
 
     private final InetSocketAddress address;
@@ -38,8 +38,8 @@
     private final LongSupplier clock;
     private final Socket socket = new Socket();
     private MessageReader reader;
-    private boolean hasAnswerStarted;
-    private boolean gotAnswer;
+    private boolean hasResponseStarted;
+    private boolean gotResponse;
     private boolean isStarted;
     private String pendingQuery;
     private int connectTimeoutMs;
@@ -92,7 +92,7 @@
             }
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
             Sockets.closeQuietly(socket);
-            listener.callFailed(this, e, gotAnswer);
+            listener.callFailed(this, e, gotResponse);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -103,7 +103,7 @@
     private void connect() throws IOException {
         socket.connect(address, connectTimeoutMs);
         socket.setTcpNoDelay(true);
-        reader = new MessageReader(new AnswerInput(socket.getInputStream()), MessageReader.MAX_SERVER_LIST_BYTES);
+        reader = new MessageReader(new ResponseInput(socket.getInputStream()), MessageReader.MAX_SERVER_LIST_BYTES);
     }
 
     /** Waits for the next call and returns its query; null if the connection was closed. */
@@ -117,8 +117,8 @@
     }
 
     private void makeCall(String callQuery) throws IOException {
-        gotAnswer = false;
-        hasAnswerStarted = false;
+        gotResponse = false;
+        hasResponseStarted = false;
         String request = "GET /v1/servers" + callQuery + " HTTP/1.1\r\nHost: " + Sockets.hostAndPort(address)
                 + "\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
@@ -128,29 +128,29 @@
         if (!head.startLine[1].equals("200")) {
             throw new IOException("discovery answered " + head.startLine[1]);
         }
-        gotAnswer = true;
+        gotResponse = true;
         Endpoints.EndpointUpdate update = Endpoints.parse(body);
         // Unexpected bytes would be read as the next response.
         boolean isReusable = !head.closesConnection(head.startLine[0]) && !MessageReader.isCloseDelimited(head)
                 && !reader.hasBufferedBytes();
-        listener.answerReceived(this, update, receivedUs, isReusable);
+        listener.responseReceived(this, update, receivedUs, isReusable);
         if (!isReusable) {
             close();
         }
     }
 
     /** Reports when the first byte of a response arrives. */
-    private final class AnswerInput extends FilterInputStream {
-        AnswerInput(InputStream in) {
+    private final class ResponseInput extends FilterInputStream {
+        ResponseInput(InputStream in) {
             super(in);
         }
 
         @Override
         public int read(byte[] into, int from, int length) throws IOException {
             int count = super.read(into, from, length);
-            if (count > 0 && !hasAnswerStarted) {
-                hasAnswerStarted = true;
-                listener.answerStarted(DiscoveryConnection.this);
+            if (count > 0 && !hasResponseStarted) {
+                hasResponseStarted = true;
+                listener.responseStarted(DiscoveryConnection.this);
             }
             return count;
         }
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -34,7 +34,7 @@
     record Endpoint(String uid, InetSocketAddress address, long bootMs) { }
 
     /** One parsed list of discovery, checked as a whole before any of it is applied. */
-    record EndpointUpdate(long revision, ListUpdate news, Map<String, InetSocketAddress> addresses) { }
+    record EndpointUpdate(long revision, ListUpdate listUpdate, Map<String, InetSocketAddress> addresses) { }
 
     /** The result of applying a list, and the endpoints that accept no new work any more. */
     record ApplyResult(ServerRegistry.Result outcome, Set<Endpoint> retired) { }
@@ -44,9 +44,9 @@
         this(true);
     }
 
-    /** {@code anyRevision} is explained at {@link ServerRegistry}. */
-    Endpoints(boolean anyRevision) {
-        registry = new ServerRegistry(anyRevision);
+    /** {@code acceptsAnyRevision} is explained at {@link ServerRegistry}. */
+    Endpoints(boolean acceptsAnyRevision) {
+        registry = new ServerRegistry(acceptsAnyRevision);
     }
 
     static EndpointUpdate parse(byte[] text) throws IOException {
@@ -58,7 +58,7 @@
         try {
             Map<?, ?> map = (Map<?, ?>) tree;
             boolean isWhole = (Boolean) map.get("all");
-            List<ServerEntry> lines = new ArrayList<>();
+            List<ServerEntry> entries = new ArrayList<>();
             Map<String, InetSocketAddress> addresses = new HashMap<>();
             Set<String> uids = new HashSet<>();
             for (Object target : (List<?>) map.get("targets")) {
@@ -74,11 +74,11 @@
                 if (state != State.DELETED) {
                     addresses.put(uid, address((String) entry.get("endpoint")));
                 }
-                lines.add(new ServerEntry(uid, (String) entry.get("az"), (int) number(entry, "pod_group", 0),
+                entries.add(new ServerEntry(uid, (String) entry.get("az"), (int) number(entry, "pod_group", 0),
                         state, number(entry, "capacity_hint", 1), (long) number(entry, "boot_ms", 0)));
             }
             ListUpdate.Kind kind = isWhole ? ListUpdate.Kind.FULL : ListUpdate.Kind.DELTA;
-            return new EndpointUpdate(revision(map.get("rev")), new ListUpdate(kind, lines), addresses);
+            return new EndpointUpdate(revision(map.get("rev")), new ListUpdate(kind, entries), addresses);
         } catch (ClassCastException | NullPointerException | IllegalArgumentException e) {
             throw new IOException("not a list of servers: " + e.getMessage(), e);
         }
@@ -118,21 +118,21 @@
         Set<Endpoint> before = serving();
         endpoints.clear();
         updateEndpoints(update);
-        registry.restore(update.revision(), update.news().entries());
+        registry.restore(update.revision(), update.listUpdate().entries());
         before.removeAll(serving());
         return before;
     }
 
-    /** Applies the answer to {@code call}; {@code graceLeftUs} is what is left of the drain grace for its changes. */
-    synchronized ApplyResult apply(EndpointUpdate update, ListResponse.Request call, long receivedUs,
+    /** Applies the response to {@code request}; {@code graceLeftUs}: the rest of the drain grace for its changes. */
+    synchronized ApplyResult apply(EndpointUpdate update, ListResponse.Request request, long receivedUs,
             long graceLeftUs) {
         Set<Endpoint> before = serving();
-        ListResponse answer = new ListResponse(update.revision(), update.news(), call, receivedUs);
-        ServerRegistry.Result outcome = registry.applyResponse(answer, graceLeftUs);
-        Set<String> takenOver = new HashSet<>();
-        outcome.update().entries().forEach(line -> takenOver.add(line.uid()));
+        ListResponse response = new ListResponse(update.revision(), update.listUpdate(), request, receivedUs);
+        ServerRegistry.Result outcome = registry.applyResponse(response, graceLeftUs);
+        Set<String> appliedUids = new HashSet<>();
+        outcome.update().entries().forEach(entry -> appliedUids.add(entry.uid()));
         Map<String, InetSocketAddress> addresses = new HashMap<>(update.addresses());
-        addresses.keySet().retainAll(takenOver);
+        addresses.keySet().retainAll(appliedUids);
         updateEndpoints(new EndpointUpdate(update.revision(), outcome.update(), addresses));
         return resultOf(outcome, before);
     }
@@ -153,16 +153,16 @@
     }
 
     /**
-     * Takes over the addresses of the lines. A line without an address keeps the known one; deleted servers are
+     * Takes over the addresses of the entries. An entry without an address keeps the known one; deleted servers are
      * skipped.
      */
     private void updateEndpoints(EndpointUpdate update) {
-        for (ServerEntry line : update.news().entries()) {
-            Endpoint known = endpoints.get(line.uid());
-            InetSocketAddress address = update.addresses().getOrDefault(line.uid(),
+        for (ServerEntry entry : update.listUpdate().entries()) {
+            Endpoint known = endpoints.get(entry.uid());
+            InetSocketAddress address = update.addresses().getOrDefault(entry.uid(),
                     known == null ? null : known.address());
-            if (address != null && line.state() != State.DELETED) {
-                endpoints.put(line.uid(), new Endpoint(line.uid(), address, line.bootMs()));
+            if (address != null && entry.state() != State.DELETED) {
+                endpoints.put(entry.uid(), new Endpoint(entry.uid(), address, entry.bootMs()));
             }
         }
     }
@@ -183,7 +183,7 @@
         registry.discoveryMoved();
     }
 
-    /** Returns the next call to make to discovery. */
+    /** Returns the next request to send to discovery. */
     synchronized ListResponse.Request nextCall(long nowUs) {
         return registry.nextRequest(nowUs);
     }
@@ -197,7 +197,7 @@
         return registry.refetchDelayUs(nowUs);
     }
 
-    /** Requests a whole list, as the decision module could not take over this table's content. */
+    /** Requests a whole list, as the decision module could not take over these endpoints. */
     synchronized void wantWholeList() {
         registry.requestFullList();
     }
@@ -209,15 +209,15 @@
     /** Returns the list in discovery's JSON form, so that a later process can start with it. */
     synchronized Map<String, Object> toJsonTree() {
         List<Object> targets = new ArrayList<>();
-        for (ServerEntry line : registry.listedEntries()) {
+        for (ServerEntry entry : registry.listedEntries()) {
             Map<String, Object> target = new LinkedHashMap<>();
-            target.put("uid", line.uid());
-            target.put("endpoint", Sockets.hostAndPort(endpoints.get(line.uid()).address()));
-            target.put("az", line.zone());
-            target.put("pod_group", line.cell());
-            target.put("state", line.state().name());
-            target.put("capacity_hint", line.weight());
-            target.put("boot_ms", line.bootMs());
+            target.put("uid", entry.uid());
+            target.put("endpoint", Sockets.hostAndPort(endpoints.get(entry.uid()).address()));
+            target.put("az", entry.zone());
+            target.put("pod_group", entry.cell());
+            target.put("state", entry.state().name());
+            target.put("capacity_hint", entry.weight());
+            target.put("boot_ms", entry.bootMs());
             targets.add(target);
         }
         Map<String, Object> tree = new LinkedHashMap<>();
--- a/sidecar/src/main/java/dapplequay/net/Exchange.java
+++ b/sidecar/src/main/java/dapplequay/net/Exchange.java
@@ -3,7 +3,7 @@
 import dapplequay.facade.RequestBodyState;
 import dapplequay.management.RequestCounts;
 
-/** One client request until its only response. Whoever claims it first answers or drops it. */
+/** One client request until its only response. The first thread to claim it sends the response or drops the request. */
 class Exchange {
     final long id;
     final ClientConnection client;
@@ -16,7 +16,7 @@
     private boolean received;
     private volatile long deadlineUs;
 
-    /** Counts the request as received now, or, for a long one, once its last byte has come. */
+    /** Counts the request as received now, or, for a long one, once its last byte has arrived. */
     Exchange(long id, ClientConnection client, ClientRequest request, RequestCounts counts) {
         this.id = id;
         this.client = client;
@@ -49,13 +49,13 @@
         return deadlineUs;
     }
 
-    /** Counts the outcome; called once, by whoever claimed the exchange. */
+    /** Counts the outcome; called once, by the thread that claimed the exchange. */
     void recordEnd(RequestCounts.End end) {
         markReceived();
         counts.ended(request.className(), end);
     }
 
-    /** Returns true for the first caller only: that one must answer. */
+    /** Returns true for the first caller only, which must send the response. */
     synchronized boolean claim() {
         boolean first = !claimed;
         claimed = true;
--- a/sidecar/src/main/java/dapplequay/net/LongBodyThrottle.java
+++ b/sidecar/src/main/java/dapplequay/net/LongBodyThrottle.java
@@ -28,7 +28,7 @@
         this.cores = cores;
     }
 
-    /** Records a wake-up that came {@code lateUs} microseconds late. */
+    /** Records a wake-up that was {@code lateUs} microseconds late. */
     void recordWakeUp(long lateUs) {
         if (lateUs > LATE_WAKE_UP_US) {
             grow(LATE_WAKE_UP_GROWTH);
--- a/sidecar/src/main/java/dapplequay/net/ProgressWatchdog.java
+++ b/sidecar/src/main/java/dapplequay/net/ProgressWatchdog.java
@@ -5,7 +5,7 @@
 
 /**
  * Watches a transfer that may take long as a whole but must not stall. Its timer is set again only when it fires, and
- * not for each piece: a long body comes in thousands of pieces, and each may be a single byte.
+ * not for each piece: a long body arrives in thousands of pieces, and each may be a single byte.
  */
 final class ProgressWatchdog implements AutoCloseable {
     private final DeadlineQueue deadlines;
--- a/sidecar/src/main/java/dapplequay/net/RequestBodyReader.java
+++ b/sidecar/src/main/java/dapplequay/net/RequestBodyReader.java
@@ -28,7 +28,7 @@
 
     /**
      * Reads all of a short body, or the part of a long one that is kept for another attempt. The buffer grows as the
-     * body comes.
+     * body arrives.
      */
     byte[] readReplayable(Body body) throws IOException {
         int maxBytes = body.length() < 0 ? MessageReader.SHORT_BODY_BYTES
--- a/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
+++ b/sidecar/src/main/java/dapplequay/net/RequestDispatcher.java
@@ -20,24 +20,24 @@
     private static final Logger LOG = Logger.getLogger(RequestDispatcher.class.getName());
 
     private final Facade facade;
-    private final UpstreamPool upstreams;
+    private final UpstreamPool upstreamPool;
     /** Attempts in progress, by the id of their exchange. */
     private final Map<Long, Attempt> activeAttempts = new ConcurrentHashMap<>();
 
-    RequestDispatcher(Facade facade, UpstreamPool upstreams) {
+    RequestDispatcher(Facade facade, UpstreamPool upstreamPool) {
         this.facade = facade;
-        this.upstreams = upstreams;
+        this.upstreamPool = upstreamPool;
     }
 
-    void begin(Exchange exchange, RequestInfo call) {
-        runGuarded(exchange, () -> execute(exchange, facade.pick(exchange.id, call)));
+    void begin(Exchange exchange, RequestInfo requestInfo) {
+        runGuarded(exchange, () -> execute(exchange, facade.pick(exchange.id, requestInfo)));
     }
 
     private void execute(Exchange exchange, Decision decision) {
         if (decision instanceof Decision.Send send) {
-            Attempt attempt = new Attempt(exchange, send, upstreams.now());
+            Attempt attempt = new Attempt(exchange, send, upstreamPool.now());
             activeAttempts.put(exchange.id, attempt);
-            upstreams.send(attempt);
+            upstreamPool.send(attempt);
         } else if (decision instanceof Decision.Refuse refuse && exchange.claim()) {
             LOG.fine(() -> "refused " + exchange.id);
             finish(exchange, End.THROTTLED, ClientResponses.refusal(refuse.retryAfterUs()));
@@ -47,10 +47,10 @@
         }
     }
 
-    /** Sends the only response; called by whoever claimed the exchange. Counted before the client can see it. */
-    private static void finish(Exchange exchange, End end, ClientResponses.Response answer) {
+    /** Sends the only response; called by the thread that claimed the exchange. Counted before the client sees it. */
+    private static void finish(Exchange exchange, End end, ClientResponses.Response response) {
         exchange.recordEnd(end);
-        exchange.client.writeResponse(answer);
+        exchange.client.writeResponse(response);
     }
 
     /** Called when an attempt is no longer held back: from now on it is being connected or written. */
@@ -62,9 +62,9 @@
     void attemptEnded(Attempt attempt, AttemptEnd end, HostLoad load, Head head, byte[] body) {
         Exchange exchange = attempt.exchange;
         activeAttempts.remove(exchange.id, attempt);
-        RequestBodyState upload = exchange.detach(attempt);
+        RequestBodyState bodyState = exchange.detach(attempt);
         if (LOG.isLoggable(Level.FINE)) {       // runs for each attempt: build the text only if it is logged
-            LOG.fine("attempt " + attempt.decision.host() + ' ' + end + ' ' + (upstreams.now() - attempt.startUs())
+            LOG.fine("attempt " + attempt.decision.host() + ' ' + end + ' ' + (upstreamPool.now() - attempt.startUs())
                     + ' ' + attempt.connectionIdleUs() + ' ' + exchange.id);
         }
         runGuarded(exchange, () -> {
@@ -72,7 +72,7 @@
             boolean answersClient = (end == AttemptEnd.SERVED || end == AttemptEnd.NOT_ACCEPTED) && exchange.claim();
             exchange.lastAttemptTimedOut(end == AttemptEnd.TIMED_OUT);
             Decision next = facade.reportAttempt(exchange.id, attempt.decision.attempt(), attempt.decision.host(), end,
-                    attempt.durationUs(end, upstreams.now()), exchange.isClaimed(), load, upload);
+                    attempt.durationUs(end, upstreamPool.now()), exchange.isClaimed(), load, bodyState);
             if (answersClient) {
                 if (end == AttemptEnd.SERVED) {
                     finish(exchange, End.FULFILLED, ClientResponses.fromUpstream(head, body));
@@ -87,15 +87,15 @@
 
     /**
      * Relays a long response that has begun, and returns whether all of it reached the client. The decision module is
-     * told at once that the attempt was served, as only the transfer is left.
+     * notified at once that the attempt was served, as only the transfer is left.
      */
     boolean relay(Attempt attempt, HostLoad load, Head head, Body body, byte[] start) {
         Exchange exchange = attempt.exchange;
         activeAttempts.remove(exchange.id, attempt);
-        RequestBodyState upload = exchange.detach(attempt);
+        RequestBodyState bodyState = exchange.detach(attempt);
         boolean claimed = exchange.claim();
         facade.reportAttempt(exchange.id, attempt.decision.attempt(), attempt.decision.host(), AttemptEnd.SERVED,
-                attempt.durationUs(AttemptEnd.SERVED, upstreams.now()), true, load, upload);
+                attempt.durationUs(AttemptEnd.SERVED, upstreamPool.now()), true, load, bodyState);
         if (!claimed) {
             return false;
         }
@@ -109,11 +109,11 @@
     }
 
     /**
-     * Called when the last byte of a long request has come and is about to be sent: its deadline counts from now on.
+     * Called when the last byte of a long request has arrived and is about to be sent: its deadline counts from now on.
      * Returns false if the attempt has ended.
      */
     boolean beginFinalWrite(Attempt attempt) {
-        if (!upstreams.beginFinalWrite(attempt, attempt.exchange.request.budgetUs())) {
+        if (!upstreamPool.beginFinalWrite(attempt, attempt.exchange.request.budgetUs())) {
             return false;
         }
         attempt.exchange.markReceived();
@@ -131,21 +131,21 @@
     }
 
     /** Answers a long request that can't continue through its client's fault, and gives up the attempt. */
-    void rejectUpload(Exchange exchange, ClientResponses.Response answer) {
-        giveUp(exchange, () -> finish(exchange, End.FAULTED, answer));
+    void rejectUpload(Exchange exchange, ClientResponses.Response response) {
+        giveUp(exchange, () -> finish(exchange, End.FAULTED, response));
     }
 
     /** Aborts these attempts as silent; each is reported by the thread of its connection. */
-    void abort(List<Facade.AttemptCancellation> cuts) {
-        for (Facade.AttemptCancellation cut : cuts) {
-            Attempt attempt = activeAttempts.get(cut.id());
-            if (attempt != null && attempt.decision.attempt() == cut.attempt()) {
+    void abort(List<Facade.AttemptCancellation> cancellations) {
+        for (Facade.AttemptCancellation cancellation : cancellations) {
+            Attempt attempt = activeAttempts.get(cancellation.id());
+            if (attempt != null && attempt.decision.attempt() == cancellation.attempt()) {
                 attempt.abort(AttemptEnd.SILENT);
             }
         }
     }
 
-    /** Called when the client has disconnected: no response is sent, and the attempt in progress is given up. */
+    /** Called when the client has disconnected: no response is sent, and the attempt in progress is abandoned. */
     void clientLeft(Exchange exchange) {
         giveUp(exchange, () -> exchange.recordEnd(End.FAULTED));
     }
--- a/sidecar/src/main/java/dapplequay/net/ResponseRelay.java
+++ b/sidecar/src/main/java/dapplequay/net/ResponseRelay.java
@@ -12,7 +12,7 @@
 import java.util.logging.Logger;
 
 /**
- * Relays a long response as it comes, and no faster than the client reads it, on the thread that reads from the host.
+ * Relays a long response as it arrives, and no faster than the client reads it, on the thread that reads from the host.
  * The read from the host times out every {@link #CHECK_INTERVAL_MS}: then the thread checks whether the client is still
  * connected and whether the response is overdue.
  */
@@ -23,7 +23,7 @@
     /** How long after the request's deadline a response ends whose host has stalled; up to 0.5 s is allowed. */
     private static final long STALLED_GRACE_US = 300_000;
     /**
-     * Time without any progress after which a transfer is given up; peers may take seconds for a piece of a long body.
+     * Time without any progress after which a transfer is aborted; peers may take seconds for a piece of a long body.
      */
     private static final long STALL_TIMEOUT_US = 10_000_000;
 
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Returns whether the response is given up because its host has stalled. A slow client is no cause: what the host
+     * Returns whether the response is aborted because its host has stalled. A slow client is no cause: what the host
      * had sent meanwhile would have been read. For a body over 64 KiB only the first bytes are timed, and a body that
      * makes progress may still complete.
      */
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -58,14 +58,14 @@
     private final DeadlineQueue deadlines;
     private final Facade facade;
     private final Options options;
-    private final RequestDispatcher conductor;
+    private final RequestDispatcher dispatcher;
     private final Endpoints endpoints;
     private final DiscoveryClient discovery;
-    private final DiscoveryMetrics figures = new DiscoveryMetrics();
-    private final UpstreamPool upstreams;
+    private final DiscoveryMetrics discoveryMetrics = new DiscoveryMetrics();
+    private final UpstreamPool upstreamPool;
     private final RequestCounts counts = new RequestCounts();
     private final SidecarLifecycle lifecycle;
-    private final LongBodyThrottle headroom;
+    private final LongBodyThrottle bodyThrottle;
     private final ThreadReserve threads;
     private long lastSampleUs;
     private long lastUsedUs;
@@ -76,7 +76,7 @@
     private volatile ClientListener clientListener;
     private volatile ManagementServer management;
     private final ListeningSocket.Opener opener;
-    /** Held while the listening socket is opened and while shutdown begins, so that one of the two comes first. */
+    /** Held while the listening socket is opened and while shutdown begins, so that one precedes the other. */
     private final Object openingLock = new Object();
     /** When shutdown was ordered, in microseconds; 0 if it was not. */
     private long endingSinceUs;
@@ -137,15 +137,15 @@
     }
 
     /**
-     * Keeps the list of servers beyond the life of the process. {@code isBinding}: the known list is the last one that
-     * this sidecar heard, so that an older one brings nothing back; {@code save} is given the list in discovery's JSON
-     * form whenever it was heard, and may not block.
+     * Keeps the list of servers beyond the life of the process. {@code enforcesVersion}: the known list is the last one
+     * that this sidecar received, so that an older one restores no server; {@code save} is called with the list in
+     * discovery's JSON form whenever one is received, and may not block.
      */
-    public record ListPersistence(boolean isBinding, Consumer<Supplier<byte[]>> save) {
+    public record ListPersistence(boolean enforcesVersion, Consumer<Supplier<byte[]>> save) {
         public static final ListPersistence NONE = new ListPersistence(false, list -> { });
     }
 
-    /** Returns how long the version of a kept list counts after it was heard, in microseconds. */
+    /** Returns how long the version of a kept list counts after it was received, in microseconds. */
     public static long versionValidityUs() {
         return DiscoveryClient.VERSION_VALIDITY_US;
     }
@@ -170,33 +170,35 @@
         setup = options.setup();
         facade = new Facade(setup, options.seed(), clock, Sidecar::logModuleLine);
         lifecycle = new SidecarLifecycle(clock);
-        headroom = new LongBodyThrottle(options.cores());
+        bodyThrottle = new LongBodyThrottle(options.cores());
         threads = new ThreadReserve(clock);
         counts.addClasses(setup.classes().keySet());
-        endpoints = restoreEndpoints(options, facade, persistence.isBinding());
-        upstreams = new UpstreamPool(endpoints, deadlines, () -> setup, options.maxUpstreams(), counts, figures);
-        conductor = new RequestDispatcher(facade, upstreams);
-        upstreams.setDispatcher(conductor);
-        upstreams.onThreadShortage(threads::reportShortage);
-        ListCallTiming listClock = new ListCallTiming(() -> setup.settings().discovery(),
+        endpoints = restoreEndpoints(options, facade, persistence.enforcesVersion());
+        upstreamPool = new UpstreamPool(endpoints, deadlines, () -> setup, options.maxUpstreams(), counts,
+                discoveryMetrics);
+        dispatcher = new RequestDispatcher(facade, upstreamPool);
+        upstreamPool.setDispatcher(dispatcher);
+        upstreamPool.onThreadShortage(threads::reportShortage);
+        ListCallTiming callTiming = new ListCallTiming(() -> setup.settings().discovery(),
                 new SplittableRandom(options.seed()));
-        discovery = new DiscoveryClient(options.discovery(), endpoints, facade, upstreams, persistence, listClock,
-                clock, figures);
+        discovery = new DiscoveryClient(options.discovery(), endpoints, facade, upstreamPool, persistence, callTiming,
+                clock, discoveryMetrics);
     }
 
     private static void logModuleLine(String line) {
         LOG.log(line.startsWith(Facade.FAULT_PREFIX) ? Level.SEVERE : Level.INFO, "{0}", line);
     }
 
-    private static Endpoints restoreEndpoints(Options options, Facade facade, boolean isBinding) throws IOException {
-        Endpoints endpoints = new Endpoints(!isBinding);
-        List<ListUpdate.ServerEntry> lines = List.of();
+    private static Endpoints restoreEndpoints(Options options, Facade facade, boolean enforcesVersion)
+            throws IOException {
+        Endpoints endpoints = new Endpoints(!enforcesVersion);
+        List<ListUpdate.ServerEntry> entries = List.of();
         if (options.knownList() != null) {
             Endpoints.EndpointUpdate knownList = Endpoints.parse(options.knownList());
             endpoints.restore(knownList);
-            lines = knownList.news().entries();
+            entries = knownList.listUpdate().entries();
         }
-        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, lines));
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, entries));
         return endpoints;
     }
 
@@ -217,7 +219,7 @@
 
     /**
      * Starts serving; throws IOException if an address is not available. The management address is opened first, so
-     * that callers are told that the sidecar is not ready yet. If shutdown was ordered meanwhile, no clients are
+     * that callers learn that the sidecar is not ready yet. If shutdown was ordered meanwhile, no clients are
      * accepted, as each that the system accepts would have to be served.
      */
     public void start() throws IOException {
@@ -232,8 +234,9 @@
                 LOG.info("told to end before it served");
                 return;
             }
-            clientListener = new ClientListener(opener.open(), () -> setup, facade, conductor, deadlines, counts,
-                    lifecycle, headroom, options.maxClients(), options.crowdThreshold(), options.maxUploads(), threads);
+            clientListener = new ClientListener(opener.open(), () -> setup, facade, dispatcher, deadlines, counts,
+                    lifecycle, bodyThrottle, options.maxClients(), options.crowdThreshold(), options.maxUploads(),
+                    threads);
             startDaemon(discovery, "discovery");
             new Thread(clientListener, "listener").start();
             lifecycle.listening();
@@ -253,7 +256,7 @@
             return MetricsText.render(counts.read(),
                     new MetricsText.ProcessValues(endpoints.size(), passedOver, acceptedConfigs.get(),
                             rejectedConfigs.get(),
-                            facade.moduleFaults())) + figures.text();
+                            facade.moduleFaults())) + discoveryMetrics.text();
         }
 
         @Override
@@ -318,7 +321,7 @@
     private void runTimekeeper() {
         for (long tick = 0; ; tick++) {
             try {
-                conductor.abort(facade.tick());
+                dispatcher.abort(facade.tick());
                 deadlines.runExpired();
                 discovery.tick(deadlines.now());
                 threads.tick();
@@ -329,7 +332,7 @@
                 if (listener != null) {
                     listener.tick();
                 }
-                headroom.recordWakeUp(deadlines.awaitNext(TICK_US));
+                bodyThrottle.recordWakeUp(deadlines.awaitNext(TICK_US));
                 sampleProcessorTime();
             } catch (InterruptedException e) {
                 return;
@@ -360,24 +363,24 @@
         }
         long totalUsedUs = ProcessCpuTime.usedUs();
         if (nowUs - lastSampleUs < 2 * PROCESSOR_SAMPLE_US) {
-            headroom.recordCpuUse(totalUsedUs - lastUsedUs, nowUs - lastSampleUs);
+            bodyThrottle.recordCpuUse(totalUsedUs - lastUsedUs, nowUs - lastSampleUs);
         }
         lastSampleUs = nowUs;
         lastUsedUs = totalUsedUs;
     }
 
-    /** Returns within what time after the order a shutdown has to be over, in microseconds, whatever may be stuck. */
+    /** Returns within what time after the order a shutdown has to be over, in microseconds, even if a step hangs. */
     public long maxEndingUs() {
-        return ending().exitByUs();
+        return shutdownSchedule().exitByUs();
     }
 
-    private ShutdownSchedule ending() {
+    private ShutdownSchedule shutdownSchedule() {
         return ShutdownSchedule.of(setup.shortestAimUs(), setup.longestDeadlineUs());
     }
 
     /** Shuts down in order and returns once no request is in progress. A second call uses the times of the first. */
     public void end() throws InterruptedException {
-        end(ending());
+        end(shutdownSchedule());
     }
 
     void end(ShutdownSchedule requested) throws InterruptedException {
@@ -390,16 +393,16 @@
         }
         if (listener != null) {
             boolean sharesSocket = listener.stopIfShared();
-            ShutdownSchedule ending = sharesSocket ? requested.forHandover() : requested;
+            ShutdownSchedule schedule = sharesSocket ? requested.forHandover() : requested;
             LOG.info(sharesSocket ? "shutting down: a successor takes the clients"
                     : "shutting down: connected clients are still served");
-            lifecycle.end(ending.keepAliveUntilUs());
-            listener.awaitEmpty(nowUs + ending.acceptUntilUs(), nowUs + ending.answerUntilUs(),
-                    nowUs + ending.closeConnectionsAtUs());
+            lifecycle.end(schedule.keepAliveUntilUs());
+            listener.awaitEmpty(nowUs + schedule.acceptUntilUs(), nowUs + schedule.answerUntilUs(),
+                    nowUs + schedule.closeConnectionsAtUs());
         }
         // Threads that still block in reads would delay the exit of the process by a third of a second.
         discovery.end();
-        upstreams.closeAllIdle();
+        upstreamPool.closeAllIdle();
         if (management != null) {
             management.close();
         }
--- a/sidecar/src/main/java/dapplequay/net/SidecarLifecycle.java
+++ b/sidecar/src/main/java/dapplequay/net/SidecarLifecycle.java
@@ -12,41 +12,41 @@
     private static final long FRONT_END_GRACE_US = 350_000;
 
     private final LongSupplier clock;
-    private final ServiceLifecycle life = new ServiceLifecycle(FRONT_END_GRACE_US);
+    private final ServiceLifecycle lifecycle = new ServiceLifecycle(FRONT_END_GRACE_US);
 
     SidecarLifecycle(LongSupplier clock) {
         this.clock = clock;
     }
 
     synchronized boolean isReadyForClients() {
-        return life.acceptsClients();
+        return lifecycle.acceptsClients();
     }
 
     synchronized boolean isEmptying() {
-        return life.closesConnections(clock.getAsLong());
+        return lifecycle.closesConnections(clock.getAsLong());
     }
 
     synchronized boolean isEnding() {
-        return life.phase() == ServiceLifecycle.Phase.ENDING;
+        return lifecycle.phase() == ServiceLifecycle.Phase.ENDING;
     }
 
     synchronized void listening() {
-        life.listenerOpened(clock.getAsLong());
+        lifecycle.listenerOpened(clock.getAsLong());
     }
 
     synchronized void drain() {
-        life.drain(clock.getAsLong());
+        lifecycle.drain(clock.getAsLong());
     }
 
     synchronized boolean resume() {
-        return life.resume();
+        return lifecycle.resume();
     }
 
     synchronized void end(long graceUs) {
-        life.beginShutdown(clock.getAsLong(), graceUs);
+        lifecycle.beginShutdown(clock.getAsLong(), graceUs);
     }
 
     synchronized void setOpenConnections(int connections) {
-        life.updateConnectionCount(connections, clock.getAsLong());
+        lifecycle.updateConnectionCount(connections, clock.getAsLong());
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/ThreadReserve.java
+++ b/sidecar/src/main/java/dapplequay/net/ThreadReserve.java
@@ -9,7 +9,7 @@
 /**
  * Keeps threads in reserve for work that has to go on when the system gives the process no more threads: signals, for
  * each of which the JVM starts a thread, shutdown, and calls to discovery. The threads only wait. At the first shortage
- * they end, which frees their places, and the holder of many threads is told to release some; after a while without a
+ * they end, which frees their places, and the holder of many threads is asked to release some; after a while without a
  * shortage they are started again. Times are in microseconds of a monotonic clock.
  */
 final class ThreadReserve {
--- a/sidecar/src/main/java/dapplequay/net/TransitionLog.java
+++ b/sidecar/src/main/java/dapplequay/net/TransitionLog.java
@@ -35,13 +35,13 @@
         return line.toString();
     }
 
-    static void addFigures(Result outcome, DiscoveryMetrics figures) {
+    static void addMetrics(Result outcome, DiscoveryMetrics metrics) {
         for (Transition transition : outcome.transitions()) {
-            figures.countTransition(transition.to().name().toLowerCase(Locale.ROOT));
+            metrics.countTransition(transition.to().name().toLowerCase(Locale.ROOT));
             if (transition.from() == ServerStatus.UNCONFIRMED) {
-                figures.recordUnconfirmed(transition.previousDurationUs());
+                metrics.recordUnconfirmed(transition.previousDurationUs());
             }
         }
-        outcome.rotationExits().forEach(server -> figures.recordLastSend(server.lastSendAfterNewsUs()));
+        outcome.rotationExits().forEach(server -> metrics.recordLastSend(server.lastSendAfterNewsUs()));
     }
 }
--- a/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamConnection.java
@@ -26,7 +26,7 @@
     private static final Logger LOG = Logger.getLogger(UpstreamConnection.class.getName());
 
     private static final int READ_BYTES = 8 * 1024;
-    /** How long a response of unknown length is buffered before it is relayed as it comes. */
+    /** How long a response of unknown length is buffered before it is relayed as it arrives. */
     private static final long BUFFER_RESPONSE_US = 100_000;
 
     final Endpoints.Endpoint endpoint;
@@ -42,7 +42,7 @@
     private boolean handedOver;
     /** The attempt's first byte has been sent or is about to be: what is read from now on may be its response. */
     private boolean attemptBegun;
-    /** Bytes or the end of the stream came while no attempt had begun: no further attempt may begin here. */
+    /** Bytes or the end of the stream arrived while no attempt had begun: no further attempt may begin here. */
     private boolean unusable;
     private DeadlineQueue.Deadline idleTimeout;
     private long idleSinceUs;
@@ -144,7 +144,7 @@
 
     /**
      * Called right before the attempt's first byte; returns whether the attempt has begun. It must not begin if any
-     * input came before: bytes still in the socket's receive buffer, or an end of stream that the reading thread has
+     * input arrived before: bytes still in the socket's receive buffer, or an end of stream that the reading thread has
      * just seen. The lock orders this against {@link #inputReceived}: only input after the beginning counts as the
      * response.
      */
@@ -169,7 +169,7 @@
         return attemptBegun ? attempt : null;
     }
 
-    /** Detaches the attempt, which has ended; the rest of its response may still come. */
+    /** Detaches the attempt, which has ended; the rest of its response may still arrive. */
     private synchronized void detachAttempt() {
         attempt = null;
     }
--- a/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
@@ -57,9 +57,9 @@
     private final Supplier<Setup> setup;
     private final int maxConnections;
     private final Map<Endpoints.Endpoint, Deque<UpstreamConnection>> idle = new HashMap<>();
-    private final IdleFailureRates idleFailures;
+    private final IdleFailureRates idleFailureRates;
     private final RequestCounts counts;
-    private final DiscoveryMetrics figures;
+    private final DiscoveryMetrics metrics;
     private final Supplier<Socket> socketFactory;
     /** Threads that wait for connections to settle: at most one for each such connection. */
     private final Executor settleWaiters = new ThreadPoolExecutor(0, Integer.MAX_VALUE, WAITER_KEEP_ALIVE_MS,
@@ -72,25 +72,25 @@
 
     UpstreamPool(Endpoints endpointTable, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
             RequestCounts counts,
-            DiscoveryMetrics figures) {
-        this(endpointTable, deadlines, setup, maxConnections, counts, figures, Socket::new);
+            DiscoveryMetrics metrics) {
+        this(endpointTable, deadlines, setup, maxConnections, counts, metrics, Socket::new);
     }
 
     /** {@code socketFactory} creates the sockets, not yet connected. */
     UpstreamPool(Endpoints endpointTable, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
             RequestCounts counts,
-            DiscoveryMetrics figures, Supplier<Socket> socketFactory) {
+            DiscoveryMetrics metrics, Supplier<Socket> socketFactory) {
         this.endpointTable = endpointTable;
         this.deadlines = deadlines;
         this.setup = setup;
         this.maxConnections = maxConnections;
         this.counts = counts;
-        this.figures = figures;
+        this.metrics = metrics;
         this.socketFactory = socketFactory;
-        idleFailures = new IdleFailureRates(deadlines::now);
+        idleFailureRates = new IdleFailureRates(deadlines::now);
     }
 
-    /** Sets the dispatcher, which is told of the attempts' ends; called once, before the first attempt. */
+    /** Sets the dispatcher, which is notified of the attempts' ends; called once, before the first attempt. */
     void setDispatcher(RequestDispatcher newDispatcher) {
         dispatcher = newDispatcher;
     }
@@ -120,7 +120,7 @@
     void send(Attempt attempt) {
         Endpoints.Endpoint endpoint = endpointTable.endpointOf(attempt.decision.host());
         if (endpoint == null) {
-            figures.countStoppedSend(stopReason(attempt));
+            metrics.countStoppedSend(stopReason(attempt));
         }
         if (endpoint == null || attempt.isUploading() && !attempt.exchange.client.isUploadAdmitted()) {
             dispatcher.attemptEnded(attempt, AttemptEnd.NOT_SENT, null, null, null);
@@ -287,7 +287,7 @@
                 : !endpoint.equals(endpointTable.endpointForSend(attempt.decision.host(), now)) ? stopReason(attempt)
                 : null;
         if (reason != null) {
-            figures.countStoppedSend(reason);
+            metrics.countStoppedSend(reason);
             attempt.tryEnd(AttemptEnd.NOT_SENT);
         }
         return reason == null;
@@ -338,7 +338,7 @@
             UpstreamConnection connection = newestFirst.next();
             long idleUs = now - connection.idleSinceUs();
             if (idleUs >= SETTLE_US && connection.reservedFor() == null) {
-                if (!idleFailures.isAcceptable(idleUs)) {
+                if (!idleFailureRates.isAcceptable(idleUs)) {
                     break;                  // the others have been idle for longer
                 }
                 newestFirst.remove();
@@ -350,7 +350,7 @@
         }
         UpstreamConnection first = idleHere.stream()
                 .filter(c -> now - c.idleSinceUs() < SETTLE_US && c.reservedFor() == null).findFirst().orElse(null);
-        if (first == null || !idleFailures.isAcceptable(SETTLE_US)
+        if (first == null || !idleFailureRates.isAcceptable(SETTLE_US)
                 || !attempt.mayBeginAt(first.idleSinceUs() + SETTLE_US)) {
             return null;
         }
@@ -397,7 +397,7 @@
     /** Called when the host has sent a whole response, or the start of a long one. */
     void responseReceived(Attempt attempt) {
         deadlines.cancel(attempt.timeout());
-        idleFailures.recordAttempt(attempt.connectionIdleUs(), false);
+        idleFailureRates.recordAttempt(attempt.connectionIdleUs(), false);
     }
 
     /** Reports a whole response to the dispatcher. */
@@ -460,7 +460,7 @@
         }
     }
 
-    /** Closes all idle connections; called when no more attempts come. */
+    /** Closes all idle connections; called when no more attempts follow. */
     void closeAllIdle() {
         List<Endpoints.Endpoint> endpoints;
         synchronized (this) {
@@ -482,7 +482,7 @@
             AttemptEnd end = unreported.endBroken();
             deadlines.cancel(unreported.timeout());
             if (end == AttemptEnd.RESET || end == AttemptEnd.NOT_CONNECTED) {
-                idleFailures.recordAttempt(unreported.connectionIdleUs(), true);
+                idleFailureRates.recordAttempt(unreported.connectionIdleUs(), true);
             }
             if (end == AttemptEnd.TIMED_OUT || end == AttemptEnd.SILENT) {
                 // A machine that has vanished leaves its idle connections open and silent. An attempt on another one
--- a/sidecar/src/main/java/dapplequay/net/WarmUp.java
+++ b/sidecar/src/main/java/dapplequay/net/WarmUp.java
@@ -22,7 +22,7 @@
 /**
  * Runs made-up requests through the parsers, the decisions and the responses, in memory only, before the listening
  * socket is opened. A process that is still loading and compiling its classes needs several times the CPU for a
- * request; if clients came from its first moment, it would fall behind and fail them.
+ * request; if clients connected from its first moment, it would fall behind and fail them.
  */
 final class WarmUp {
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
@@ -38,7 +38,7 @@
     private final DeadlineQueue deadlines;
     private final Facade facade;
 
-    /** Uses a facade of its own, which is discarded, so that the made-up responses don't count as news of a host. */
+    /** Uses a separate facade, which is discarded, so that the made-up responses don't count as a host's. */
     WarmUp(Setup setup, DeadlineQueue deadlines) {
         this.setup = setup;
         this.deadlines = deadlines;
@@ -50,12 +50,12 @@
         int rounds = 0;
         long endUs = deadlines.now() + MAX_DURATION_US;
         try {
-            List<ListUpdate.ServerEntry> lines = new ArrayList<>();
+            List<ListUpdate.ServerEntry> entries = new ArrayList<>();
             for (int i = 0; i < HOST_COUNT; i++) {
                 String zone = setup.settings().zones().get(i % setup.settings().zones().size());
-                lines.add(new ListUpdate.ServerEntry("w" + i, zone, i % 2, ListUpdate.State.SERVING, 1, 0));
+                entries.add(new ListUpdate.ServerEntry("w" + i, zone, i % 2, ListUpdate.State.SERVING, 1, 0));
             }
-            facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, lines));
+            facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, entries));
             while (rounds < MAX_ROUNDS && deadlines.now() < endUs) {
                 runRound(rounds++);
             }
@@ -71,7 +71,7 @@
         Head head = requestReader.readRequestHead();
         ClientRequest request = ClientRequest.parse(head, requestReader.readRequestBody(head), null, setup);
         long id = facade.nextRequestId();
-        Decision decision = facade.pick(id, request.toCall(request.budgetUs()));
+        Decision decision = facade.pick(id, request.toRequestInfo(request.budgetUs()));
         if (decision instanceof Decision.Send send) {
             DeadlineQueue.Deadline deadline = deadlines.schedule(send.timeoutUs(), () -> { });
             request.toBytes(new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), send.timeoutUs());
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -161,7 +161,7 @@
         Endpoints table = new Endpoints();
         Endpoints.EndpointUpdate known = Endpoints.parse(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
         table.restore(known);
-        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.listUpdate().entries()));
         RequestCounts counts = new RequestCounts();
         counts.addClasses(setup.classes().keySet());
         lifetime = new SidecarLifecycle(deadlines::now);
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -128,7 +128,7 @@
         Facade facade = new Facade(setup, 7, clock::get, line -> { });
         Endpoints.EndpointUpdate known = Endpoints.parse(initialList().getBytes());
         endpoints.restore(known);
-        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.listUpdate().entries()));
         facade.requestListNow();
         UpstreamPool upstreams = new UpstreamPool(endpoints, new DeadlineQueue(clock::get), () -> setup, 4,
                 new RequestCounts(),
