--- a/sidecar/src/main/java/dapplequay/net/ClientConnection.java
+++ b/sidecar/src/main/java/dapplequay/net/ClientConnection.java
@@ -239,8 +239,9 @@
     private void forwardBody(Exchange exchange, Body body) throws IOException {
         byte[] piece = BodyBuffers.acquire();
         boolean chunked = exchange.request.isChunked();
-        ProgressWatchdog.StallTimeout moves = new ProgressWatchdog.StallTimeout(listener.deadlines(), STALL_TIMEOUT_US);
-        try (ProgressWatchdog watchdog = new ProgressWatchdog(listener.deadlines(), moves, () -> {
+        ProgressWatchdog.StallTimeout stallTimeout =
+                new ProgressWatchdog.StallTimeout(listener.deadlines(), STALL_TIMEOUT_US);
+        try (ProgressWatchdog watchdog = new ProgressWatchdog(listener.deadlines(), stallTimeout, () -> {
             if (bodyReader.isWaiting()) {
                 requestTimedOut();
             } else {
@@ -270,12 +271,12 @@
                         return;
                     }
                 }
-                moves.progressed();
+                stallTimeout.progressed();
                 ChunkedFraming.Span span = ChunkedFraming.frameIfChunked(piece, count, chunked, last);
                 if (!attempt.connection().writePiece(attempt, piece, span, last)) {
                     return;
                 }
-                moves.progressed();
+                stallTimeout.progressed();
                 if (last) {
                     attempt.connection().uploadEnded(true);
                 }
--- a/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
+++ b/sidecar/src/main/java/dapplequay/net/DiscoveryClient.java
@@ -43,10 +43,10 @@
     /** Limit of superseded calls, as each holds a descriptor. */
     static final int MAX_SUPERSEDED_CALLS = 6;
     /**
-     * Minimum interval between the beginnings of calls for a whole list that a response made necessary, in
+     * Minimum interval between the beginnings of calls for a full list that a response made necessary, in
      * microseconds.
      */
-    static final long WHOLE_LIST_INTERVAL_US = 1_000_000;
+    static final long FULL_LIST_INTERVAL_US = 1_000_000;
     /**
      * How long a version counts after it was received, in microseconds: a quiet watch, and then the time for which an
      * older version is refused.
@@ -78,8 +78,8 @@
     private final Deque<Call> superseded = new ArrayDeque<>();
     private int supersededResponseCount;   // responses to superseded calls that counted as a success
     private long nextCallNotBeforeUs = NEVER;
-    /** When the last call for a whole list that a response made necessary began. */
-    private long lastWholeListCallUs = NEVER;
+    /** When the last call for a full list that a response made necessary began. */
+    private long lastFullListCallUs = NEVER;
     private String lastFault;
     private boolean isEnded;
 
@@ -178,7 +178,7 @@
             }
             connection = null;
             nextCallNotBeforeUs = NEVER;
-            lastWholeListCallUs = NEVER;
+            lastFullListCallUs = NEVER;
             endpoints.discoveryMoved();
             callTiming.addressChanged();
         }
@@ -214,16 +214,16 @@
         }
         hasMoved = false;
         long nowUs = clock.getAsLong();
-        ListResponse.Request listRequest = endpoints.nextCall(nowUs);
-        boolean isWholeList = listRequest.after() == ListResponse.FULL_LIST;
-        long waitUs = callTiming.callBegins(nowUs, isWholeList);
+        ListResponse.Request listRequest = endpoints.nextRequest(nowUs);
+        boolean isFullList = listRequest.after() == ListResponse.FULL_LIST;
+        long waitUs = callTiming.callBegins(nowUs, isFullList);
         if (connection == null) {
             connection = new DiscoveryConnection(discovery, this, clock);
         }
         currentCall = new Call(listRequest, connection, Long.MAX_VALUE);
         long connectUs = Math.max(1_000, Math.min(callTiming.callLimitUs() - nowUs, CONNECT_TIMEOUT_US));
         try {
-            connection.call(isWholeList ? ""
+            connection.call(isFullList ? ""
                     : "?after=" + listRequest.after() + "&wait_ms=" + Math.max(1, waitUs / 1_000),
                     (int) ((connectUs + 999) / 1_000));
         } catch (OutOfMemoryError e) {
@@ -277,22 +277,22 @@
     private void endOfCurrent(Call call, long receivedUs, boolean isReusable) {
         currentCall = null;
         connection = isReusable ? connection : null;
-        if (endpoints.wantsWholeList()) {
-            boolean isFirst = lastWholeListCallUs == NEVER;
-            nextCallNotBeforeUs = isFirst ? receivedUs + endpoints.pauseBeforeAskingAgainUs(receivedUs)
-                    : lastWholeListCallUs + WHOLE_LIST_INTERVAL_US;
-            lastWholeListCallUs = Math.max(receivedUs, nextCallNotBeforeUs);
+        if (endpoints.needsFullList()) {
+            boolean isFirst = lastFullListCallUs == NEVER;
+            nextCallNotBeforeUs = isFirst ? receivedUs + endpoints.refetchDelayUs(receivedUs)
+                    : lastFullListCallUs + FULL_LIST_INTERVAL_US;
+            lastFullListCallUs = Math.max(receivedUs, nextCallNotBeforeUs);
         } else {
             nextCallNotBeforeUs = callTiming.watchFromUs(receivedUs);
-            lastWholeListCallUs = lastWholeListCallUs != NEVER
-                    && receivedUs - lastWholeListCallUs > WHOLE_LIST_INTERVAL_US ? NEVER : lastWholeListCallUs;
+            lastFullListCallUs = lastFullListCallUs != NEVER
+                    && receivedUs - lastFullListCallUs > FULL_LIST_INTERVAL_US ? NEVER : lastFullListCallUs;
         }
         discoveryResponded();
     }
 
     /** A late response from the discovery address that still counts: nothing was missed. */
     private void endOfSuperseded(Call call) {
-        if (call.listRequest().addressGeneration() == endpoints.nextCall(0).addressGeneration()) {
+        if (call.listRequest().addressGeneration() == endpoints.nextRequest(0).addressGeneration()) {
             discoveryResponded();
             supersededResponseCount++;
             facade.requestListNow();
@@ -387,7 +387,7 @@
                 facade.applyListUpdate(applied.outcome().update());
             }
         } catch (RuntimeException e) {
-            endpoints.wantWholeList();
+            endpoints.requestFullList();
             throw e;
         } finally {
             upstreamPool.closeIdle(applied.retired());
--- a/sidecar/src/main/java/dapplequay/net/Endpoints.java
+++ b/sidecar/src/main/java/dapplequay/net/Endpoints.java
@@ -184,21 +184,21 @@
     }
 
     /** Returns the next request to send to discovery. */
-    synchronized ListResponse.Request nextCall(long nowUs) {
+    synchronized ListResponse.Request nextRequest(long nowUs) {
         return registry.nextRequest(nowUs);
     }
 
-    synchronized boolean wantsWholeList() {
+    synchronized boolean needsFullList() {
         return registry.needsFullList();
     }
 
-    /** See {@link ServerRegistry#pauseBeforeAskingAgainUs}. */
-    synchronized long pauseBeforeAskingAgainUs(long nowUs) {
+    /** See {@link ServerRegistry#refetchDelayUs}. */
+    synchronized long refetchDelayUs(long nowUs) {
         return registry.refetchDelayUs(nowUs);
     }
 
-    /** Requests a whole list, as the decision module could not take over these endpoints. */
-    synchronized void wantWholeList() {
+    /** Requests a full list, as the decision module could not apply the last one. */
+    synchronized void requestFullList() {
         registry.requestFullList();
     }
 
--- a/sidecar/src/main/java/dapplequay/net/Sidecar.java
+++ b/sidecar/src/main/java/dapplequay/net/Sidecar.java
@@ -52,8 +52,8 @@
     private static final long TICK_US = 10_000;
     /** Interval of the checks of the processor time used, in microseconds; it is counted in steps of 10 ms. */
     private static final long PROCESSOR_SAMPLE_US = 150_000;
-    /** Ticks between two updates of the number of servers that the decision module passes over. */
-    private static final int TICKS_PER_PASSED_OVER_CHECK = 10;
+    /** Ticks between two updates of the number of servers that are out of rotation. */
+    private static final int TICKS_PER_OUT_OF_ROTATION_CHECK = 10;
 
     private final DeadlineQueue deadlines;
     private final Facade facade;
@@ -72,7 +72,7 @@
     private final AtomicLong acceptedConfigs = new AtomicLong();
     private final AtomicLong rejectedConfigs = new AtomicLong();
     private volatile Setup setup;
-    private volatile int passedOver;
+    private volatile int hostsOutOfRotation;
     private volatile ClientListener clientListener;
     private volatile ManagementServer management;
     private final ListeningSocket.Opener opener;
@@ -254,7 +254,7 @@
         @Override
         public String metrics() {
             return MetricsText.render(counts.read(),
-                    new MetricsText.ProcessValues(endpoints.size(), passedOver, acceptedConfigs.get(),
+                    new MetricsText.ProcessValues(endpoints.size(), hostsOutOfRotation, acceptedConfigs.get(),
                             rejectedConfigs.get(),
                             facade.moduleFaults())) + discoveryMetrics.text();
         }
@@ -325,8 +325,8 @@
                 deadlines.runExpired();
                 discovery.tick(deadlines.now());
                 threads.tick();
-                if (management != null && tick % TICKS_PER_PASSED_OVER_CHECK == 0) {
-                    passedOver = facade.hostsOutOfRotation();
+                if (management != null && tick % TICKS_PER_OUT_OF_ROTATION_CHECK == 0) {
+                    hostsOutOfRotation = facade.hostsOutOfRotation();
                 }
                 ClientListener listener = clientListener;
                 if (listener != null) {
--- a/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
@@ -52,7 +52,7 @@
 
     private static final Deque<UpstreamConnection> NONE = new ArrayDeque<>();
 
-    private final Endpoints endpointTable;
+    private final Endpoints endpoints;
     private final DeadlineQueue deadlines;
     private final Supplier<Setup> setup;
     private final int maxConnections;
@@ -70,17 +70,17 @@
     private RequestDispatcher dispatcher;
     private volatile Runnable onThreadShortage = () -> { };
 
-    UpstreamPool(Endpoints endpointTable, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
+    UpstreamPool(Endpoints endpoints, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
             RequestCounts counts,
             DiscoveryMetrics metrics) {
-        this(endpointTable, deadlines, setup, maxConnections, counts, metrics, Socket::new);
+        this(endpoints, deadlines, setup, maxConnections, counts, metrics, Socket::new);
     }
 
     /** {@code socketFactory} creates the sockets, not yet connected. */
-    UpstreamPool(Endpoints endpointTable, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
+    UpstreamPool(Endpoints endpoints, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
             RequestCounts counts,
             DiscoveryMetrics metrics, Supplier<Socket> socketFactory) {
-        this.endpointTable = endpointTable;
+        this.endpoints = endpoints;
         this.deadlines = deadlines;
         this.setup = setup;
         this.maxConnections = maxConnections;
@@ -118,7 +118,7 @@
 
     /** Starts an attempt. Its end is reported to the dispatcher, on this thread if nothing was sent at all. */
     void send(Attempt attempt) {
-        Endpoints.Endpoint endpoint = endpointTable.endpointOf(attempt.decision.host());
+        Endpoints.Endpoint endpoint = endpoints.endpointOf(attempt.decision.host());
         if (endpoint == null) {
             metrics.countStoppedSend(stopReason(attempt));
         }
@@ -248,7 +248,7 @@
     boolean spareOpened(UpstreamConnection spare, String host, boolean isOpen) {
         synchronized (this) {
             sparePolicy.openEnded(spare.endpoint, isOpen, now());
-            if (!isOpen || isClosing || !spare.endpoint.equals(endpointTable.endpointOf(host))) {
+            if (!isOpen || isClosing || !spare.endpoint.equals(endpoints.endpointOf(host))) {
                 return false;
             }
             addIdle(spare, now() - SETTLE_US);
@@ -284,7 +284,7 @@
         long now = now();
         String reason = attempt.hasEnded() ? "cut" : attempt.exchange.isClaimed() ? "answered"
                 : !attempt.mayBeginAt(now) ? "late"
-                : !endpoint.equals(endpointTable.endpointForSend(attempt.decision.host(), now)) ? stopReason(attempt)
+                : !endpoint.equals(endpoints.endpointForSend(attempt.decision.host(), now)) ? stopReason(attempt)
                 : null;
         if (reason != null) {
             metrics.countStoppedSend(reason);
@@ -295,7 +295,7 @@
 
     /** Returns why the server accepts no new work: its status, or "serving" if the process has been replaced. */
     private String stopReason(Attempt attempt) {
-        return endpointTable.statusOf(attempt.decision.host()).name().toLowerCase(Locale.ROOT);
+        return endpoints.statusOf(attempt.decision.host()).name().toLowerCase(Locale.ROOT);
     }
 
     /** Ends and reports an attempt of which nothing was sent and which no connection has. */
@@ -415,8 +415,8 @@
         boolean kept;
         synchronized (this) {
             // If the list has changed, the next attempt goes to another process. Checked under the lock: changes reach
-            // the endpoint table before the idle connections to retired endpoints are closed.
-            kept = connection.endpoint.equals(endpointTable.endpointOf(host));
+            // the endpoints before the idle connections to retired endpoints are closed.
+            kept = connection.endpoint.equals(endpoints.endpointOf(host));
             if (kept) {
                 addIdle(connection, now());
             }
@@ -445,8 +445,8 @@
     }
 
     /** Closes the idle connections to endpoints that accept no more work. */
-    void closeIdle(Collection<Endpoints.Endpoint> endpoints) {
-        for (Endpoints.Endpoint endpoint : endpoints) {
+    void closeIdle(Collection<Endpoints.Endpoint> retired) {
+        for (Endpoints.Endpoint endpoint : retired) {
             Deque<UpstreamConnection> idleHere;
             synchronized (this) {
                 idleHere = idle.remove(endpoint);
@@ -462,12 +462,12 @@
 
     /** Closes all idle connections; called when no more attempts follow. */
     void closeAllIdle() {
-        List<Endpoints.Endpoint> endpoints;
+        List<Endpoints.Endpoint> withIdle;
         synchronized (this) {
             isClosing = true;
-            endpoints = List.copyOf(idle.keySet());
+            withIdle = List.copyOf(idle.keySet());
         }
-        closeIdle(endpoints);
+        closeIdle(withIdle);
     }
 
     /** Called when a connection has ended; reports its attempt if it has not been reported. */
--- a/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
+++ b/sidecar/src/test/java/dapplequay/net/DiscoveryClientTest.java
@@ -286,7 +286,7 @@
         assertThat(endpoints.endpointOf("s2")).isNotNull();
         assertThat(endpoints.endpointOf("s9") != null).as("a new server counts only from the current address")
                 .isEqualTo(!supersededByMove);
-        assertThat(endpoints.nextCall(0).after()).isEqualTo(supersededByMove ? -1 : 7);
+        assertThat(endpoints.nextRequest(0).after()).isEqualTo(supersededByMove ? -1 : 7);
     }
 
     /** Each superseded call holds a descriptor; the oldest ones are closed. */
--- a/sidecar/src/test/java/dapplequay/net/EndpointsTest.java
+++ b/sidecar/src/test/java/dapplequay/net/EndpointsTest.java
@@ -24,7 +24,7 @@
 
     /** Applies the answer to the current call; returns the endpoints that accept no new work any more. */
     private static Set<Endpoints.Endpoint> apply(Endpoints table, Endpoints.EndpointUpdate update) {
-        return table.apply(update, table.nextCall(0), 0, 0).retired();
+        return table.apply(update, table.nextRequest(0), 0, 0).retired();
     }
 
     @Test
