--- a/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
+++ b/sidecar/src/main/java/dapplequay/net/UpstreamPool.java
@@ -52,14 +52,14 @@
 
     private static final Deque<UpstreamConnection> NONE = new ArrayDeque<>();
 
-    private final Endpoints endpointTable;
+    private final Endpoints endpoints;
     private final DeadlineQueue deadlines;
     private final Supplier<Setup> setup;
     private final int maxConnections;
     private final Map<Endpoints.Endpoint, Deque<UpstreamConnection>> idle = new HashMap<>();
-    private final IdleFailureRates idleFailures;
+    private final IdleFailureRates idleFailureRates;
     private final RequestCounts counts;
-    private final DiscoveryMetrics figures;
+    private final DiscoveryMetrics metrics;
     private final Supplier<Socket> socketFactory;
     /** Threads that wait for connections to settle: at most one for each such connection. */
     private final Executor settleWaiters = new ThreadPoolExecutor(0, Integer.MAX_VALUE, WAITER_KEEP_ALIVE_MS,
@@ -70,27 +70,27 @@
     private RequestDispatcher dispatcher;
     private volatile Runnable onThreadShortage = () -> { };
 
-    UpstreamPool(Endpoints endpointTable, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
+    UpstreamPool(Endpoints endpoints, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
             RequestCounts counts,
-            DiscoveryMetrics figures) {
-        this(endpointTable, deadlines, setup, maxConnections, counts, figures, Socket::new);
+            DiscoveryMetrics metrics) {
+        this(endpoints, deadlines, setup, maxConnections, counts, metrics, Socket::new);
     }
 
     /** {@code socketFactory} creates the sockets, not yet connected. */
-    UpstreamPool(Endpoints endpointTable, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
+    UpstreamPool(Endpoints endpoints, DeadlineQueue deadlines, Supplier<Setup> setup, int maxConnections,
             RequestCounts counts,
-            DiscoveryMetrics figures, Supplier<Socket> socketFactory) {
-        this.endpointTable = endpointTable;
+            DiscoveryMetrics metrics, Supplier<Socket> socketFactory) {
+        this.endpoints = endpoints;
         this.deadlines = deadlines;
         this.setup = setup;
         this.maxConnections = maxConnections;
         this.counts = counts;
-        this.figures = figures;
+        this.metrics = metrics;
         this.socketFactory = socketFactory;
-        idleFailures = new IdleFailureRates(deadlines::now);
+        idleFailureRates = new IdleFailureRates(deadlines::now);
     }
 
-    /** Sets the dispatcher, which is told of the attempts' ends; called once, before the first attempt. */
+    /** Sets the dispatcher, which is notified of the attempts' ends; called once, before the first attempt. */
     void setDispatcher(RequestDispatcher newDispatcher) {
         dispatcher = newDispatcher;
     }
@@ -118,9 +118,9 @@
 
     /** Starts an attempt. Its end is reported to the dispatcher, on this thread if nothing was sent at all. */
     void send(Attempt attempt) {
-        Endpoints.Endpoint endpoint = endpointTable.endpointOf(attempt.decision.host());
+        Endpoints.Endpoint endpoint = endpoints.endpointOf(attempt.decision.host());
         if (endpoint == null) {
-            figures.countStoppedSend(stopReason(attempt));
+            metrics.countStoppedSend(stopReason(attempt));
         }
         if (endpoint == null || attempt.isUploading() && !attempt.exchange.client.isUploadAdmitted()) {
             dispatcher.attemptEnded(attempt, AttemptEnd.NOT_SENT, null, null, null);
@@ -248,7 +248,7 @@
     boolean spareOpened(UpstreamConnection spare, String host, boolean isOpen) {
         synchronized (this) {
             sparePolicy.openEnded(spare.endpoint, isOpen, now());
-            if (!isOpen || isClosing || !spare.endpoint.equals(endpointTable.endpointOf(host))) {
+            if (!isOpen || isClosing || !spare.endpoint.equals(endpoints.endpointOf(host))) {
                 return false;
             }
             addIdle(spare, now() - SETTLE_US);
@@ -284,10 +284,10 @@
         long now = now();
         String reason = attempt.hasEnded() ? "cut" : attempt.exchange.isClaimed() ? "answered"
                 : !attempt.mayBeginAt(now) ? "late"
-                : !endpoint.equals(endpointTable.endpointForSend(attempt.decision.host(), now)) ? stopReason(attempt)
+                : !endpoint.equals(endpoints.endpointForSend(attempt.decision.host(), now)) ? stopReason(attempt)
                 : null;
         if (reason != null) {
-            figures.countStoppedSend(reason);
+            metrics.countStoppedSend(reason);
             attempt.tryEnd(AttemptEnd.NOT_SENT);
         }
         return reason == null;
@@ -295,7 +295,7 @@
 
     /** Returns why the server accepts no new work: its status, or "serving" if the process has been replaced. */
     private String stopReason(Attempt attempt) {
-        return endpointTable.statusOf(attempt.decision.host()).name().toLowerCase(Locale.ROOT);
+        return endpoints.statusOf(attempt.decision.host()).name().toLowerCase(Locale.ROOT);
     }
 
     /** Ends and reports an attempt of which nothing was sent and which no connection has. */
@@ -338,7 +338,7 @@
             UpstreamConnection connection = newestFirst.next();
             long idleUs = now - connection.idleSinceUs();
             if (idleUs >= SETTLE_US && connection.reservedFor() == null) {
-                if (!idleFailures.isAcceptable(idleUs)) {
+                if (!idleFailureRates.isAcceptable(idleUs)) {
                     break;                  // the others have been idle for longer
                 }
                 newestFirst.remove();
@@ -350,7 +350,7 @@
         }
         UpstreamConnection first = idleHere.stream()
                 .filter(c -> now - c.idleSinceUs() < SETTLE_US && c.reservedFor() == null).findFirst().orElse(null);
-        if (first == null || !idleFailures.isAcceptable(SETTLE_US)
+        if (first == null || !idleFailureRates.isAcceptable(SETTLE_US)
                 || !attempt.mayBeginAt(first.idleSinceUs() + SETTLE_US)) {
             return null;
         }
@@ -397,7 +397,7 @@
     /** Called when the host has sent a whole response, or the start of a long one. */
     void responseReceived(Attempt attempt) {
         deadlines.cancel(attempt.timeout());
-        idleFailures.recordAttempt(attempt.connectionIdleUs(), false);
+        idleFailureRates.recordAttempt(attempt.connectionIdleUs(), false);
     }
 
     /** Reports a whole response to the dispatcher. */
@@ -415,8 +415,8 @@
         boolean kept;
         synchronized (this) {
             // If the list has changed, the next attempt goes to another process. Checked under the lock: changes reach
-            // the endpoint table before the idle connections to retired endpoints are closed.
-            kept = connection.endpoint.equals(endpointTable.endpointOf(host));
+            // the endpoints before the idle connections to retired endpoints are closed.
+            kept = connection.endpoint.equals(endpoints.endpointOf(host));
             if (kept) {
                 addIdle(connection, now());
             }
@@ -445,8 +445,8 @@
     }
 
     /** Closes the idle connections to endpoints that accept no more work. */
-    void closeIdle(Collection<Endpoints.Endpoint> endpoints) {
-        for (Endpoints.Endpoint endpoint : endpoints) {
+    void closeIdle(Collection<Endpoints.Endpoint> retired) {
+        for (Endpoints.Endpoint endpoint : retired) {
             Deque<UpstreamConnection> idleHere;
             synchronized (this) {
                 idleHere = idle.remove(endpoint);
@@ -460,14 +460,14 @@
         }
     }
 
-    /** Closes all idle connections; called when no more attempts come. */
+    /** Closes all idle connections; called when no more attempts follow. */
     void closeAllIdle() {
-        List<Endpoints.Endpoint> endpoints;
+        List<Endpoints.Endpoint> withIdle;
         synchronized (this) {
             isClosing = true;
-            endpoints = List.copyOf(idle.keySet());
+            withIdle = List.copyOf(idle.keySet());
         }
-        closeIdle(endpoints);
+        closeIdle(withIdle);
     }
 
     /** Called when a connection has ended; reports its attempt if it has not been reported. */
@@ -482,7 +482,7 @@
             AttemptEnd end = unreported.endBroken();
             deadlines.cancel(unreported.timeout());
             if (end == AttemptEnd.RESET || end == AttemptEnd.NOT_CONNECTED) {
-                idleFailures.recordAttempt(unreported.connectionIdleUs(), true);
+                idleFailureRates.recordAttempt(unreported.connectionIdleUs(), true);
             }
             if (end == AttemptEnd.TIMED_OUT || end == AttemptEnd.SILENT) {
                 // A machine that has vanished leaves its idle connections open and silent. An attempt on another one
--- a/sidecar/src/test/java/dapplequay/net/ClientRig.java
+++ b/sidecar/src/test/java/dapplequay/net/ClientRig.java
@@ -165,7 +165,7 @@
         Endpoints endpoints = new Endpoints();
         Endpoints.EndpointUpdate known = Endpoints.parse(Json.parse(list(ports).getBytes(StandardCharsets.UTF_8)));
         endpoints.restore(known);
-        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.news().entries()));
+        facade.applyListUpdate(new ListUpdate(ListUpdate.Kind.RESTORED, known.listUpdate().entries()));
         RequestCounts counts = new RequestCounts();
         counts.addClasses(setup.classes().keySet());
         lifecycle = new SidecarLifecycle(deadlines::now);
