--- a/lab/src/main/java/dapplequay/lab/cli/Command.java
+++ b/lab/src/main/java/dapplequay/lab/cli/Command.java
@@ -5,7 +5,7 @@
     int OK = 0;
     int BAD_USAGE = 2;
     int BAD_FILE = 3;
-    int BEHIND = 4;
+    int GENERATOR_BEHIND = 4;
 
     int run() throws Exception;
 }
--- a/lab/src/main/java/dapplequay/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/CompareCommand.java
@@ -11,21 +11,21 @@
 /** Two reports side by side: a table, and with --out a page that shows both. */
 public final class CompareCommand implements Command {
     @Argument(index = 0, required = true, metaVar = "DIR")
-    private String one;
+    private String firstFolder;
 
     @Argument(index = 1, required = true, metaVar = "DIR")
-    private String other;
+    private String secondFolder;
 
     @Option(name = "--out", metaVar = "DIR")
     private String out;
 
     @Override
     public int run() throws Exception {
-        JsonNode first = ReportJson.read(Path.of(one));
-        JsonNode second = ReportJson.read(Path.of(other));
-        System.out.print(Compare.text(first, one, second, other));
+        JsonNode first = ReportJson.read(Path.of(firstFolder));
+        JsonNode second = ReportJson.read(Path.of(secondFolder));
+        System.out.print(Compare.text(first, firstFolder, second, secondFolder));
         if (out != null) {
-            ReportHtml.compare(first, one, second, other, Path.of(out));
+            ReportHtml.compare(first, firstFolder, second, secondFolder, Path.of(out));
             System.out.println("page: " + Path.of(out).resolve("compare.html").toAbsolutePath());
         }
         return OK;
--- a/lab/src/main/java/dapplequay/lab/cli/DemoCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/DemoCommand.java
@@ -24,6 +24,6 @@
             Files.write(file, text.readAllBytes());
         }
         System.err.println("9 hosts and 4 sidecars for 24 seconds; trouble from the ninth on");
-        return RunCommand.play(ExperimentSpec.read(file, null), folder, null);
+        return RunCommand.runAndReport(ExperimentSpec.read(file, null), folder, null);
     }
 }
--- a/lab/src/main/java/dapplequay/lab/cli/LoadCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/LoadCommand.java
@@ -21,7 +21,7 @@
 
 /** Sends a load to one target and reports what came of it. */
 public final class LoadCommand implements Command {
-    private static final long LEAD_US = 100_000;
+    private static final long START_DELAY_US = 100_000;
 
     @Option(name = "--target", required = true, metaVar = "HOST:PORT")
     private String target;
@@ -55,7 +55,7 @@
         InetSocketAddress to = address();
         WarmUp.run();
         Generator generator = new Generator(load, schedule, List.of(to), connectionsMax);
-        generator.start(Loop.nowUs() + LEAD_US);
+        generator.start(Loop.nowUs() + START_DELAY_US);
         LoadResult result = generator.await();
         ObjectNode report = ReportJson.load(result);
         ReportJson.write(report, Path.of(out));
@@ -65,7 +65,7 @@
         System.out.println("report: " + Path.of(out).resolve("report.html").toAbsolutePath());
         if (result.isBehind()) {
             System.err.println("dapplequay lab: the generator fell behind: " + result.behindWhy());
-            return BEHIND;
+            return GENERATOR_BEHIND;
         }
         return OK;
     }
--- a/lab/src/main/java/dapplequay/lab/experiment/Wave.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Wave.java
@@ -30,13 +30,13 @@
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed ^ 0x7a7eL);
         List<Step> steps = new ArrayList<>();
         for (Wave wave : waves) {
-            List<Integer> left = new ArrayList<>();
+            List<Integer> remaining = new ArrayList<>();
             for (int i = 0; i < sidecars; i++) {
-                left.add(i);
+                remaining.add(i);
             }
             int count = (int) Math.round(wave.share() * sidecars);
             for (int i = 0; i < count; i++) {
-                int sidecar = left.remove(random.nextInt(left.size()));
+                int sidecar = remaining.remove(random.nextInt(remaining.size()));
                 steps.add(new Step(wave.atUs() + i / wave.batch() * wave.gapUs(), sidecar, wave.signal(),
                         wave.downUs()));
             }
--- a/lab/src/main/java/dapplequay/lab/fleet/HostFaults.java
+++ b/lab/src/main/java/dapplequay/lab/fleet/HostFaults.java
@@ -5,24 +5,24 @@
 
 /** The faults that are on at one host. Of two of one kind at a time the later counts. */
 final class HostFaults {
-    private final Map<FaultSpec.Kind, FaultSpec> on = new EnumMap<>(FaultSpec.Kind.class);
+    private final Map<FaultSpec.Kind, FaultSpec> active = new EnumMap<>(FaultSpec.Kind.class);
 
     void begin(FaultSpec fault) {
-        on.put(fault.kind(), fault);
+        active.put(fault.kind(), fault);
     }
 
     void end(FaultSpec fault) {
-        on.remove(fault.kind(), fault);
+        active.remove(fault.kind(), fault);
     }
 
     boolean has(FaultSpec.Kind kind) {
-        return on.containsKey(kind);
+        return active.containsKey(kind);
     }
 
     /** The strength of this fault, or what stands for its absence. */
-    double amount(FaultSpec.Kind kind, double absent) {
-        FaultSpec fault = on.get(kind);
-        return fault == null ? absent : fault.amount();
+    double amount(FaultSpec.Kind kind, double defaultAmount) {
+        FaultSpec fault = active.get(kind);
+        return fault == null ? defaultAmount : fault.amount();
     }
 
     /**
@@ -31,12 +31,12 @@
      * host; what befalls a connection is named by request and host, as another attempt is another matter.
      */
     boolean hits(FaultSpec.Kind kind, String name) {
-        FaultSpec fault = on.get(kind);
-        return fault != null && unit(name + kind.name()) < fault.partOfRequests();
+        FaultSpec fault = active.get(kind);
+        return fault != null && uniformHash(name + kind.name()) < fault.shareOfRequests();
     }
 
     /** Evenly spread over 0 to 1, by name alone. */
-    static double unit(String name) {
+    static double uniformHash(String name) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < name.length(); i++) {
             hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
--- a/lab/src/main/java/dapplequay/lab/report/Plots.java
+++ b/lab/src/main/java/dapplequay/lab/report/Plots.java
@@ -56,12 +56,12 @@
             }
             line(chart, name, times, values);
         }
-        decades(chart, least, most);
+        setDecadeRange(chart, least, most);
         return svg(chart);
     }
 
     /** Whole decades, as a log axis has labels at these alone. */
-    private static void decades(XYChart chart, double least, double most) {
+    private static void setDecadeRange(XYChart chart, double least, double most) {
         if (most > 0) {
             chart.getStyler().setYAxisMin(Math.pow(10, Math.floor(Math.log10(Math.max(0.01, least)))));
             chart.getStyler().setYAxisMax(Math.pow(10, Math.ceil(Math.log10(most))));
@@ -179,7 +179,7 @@
         if (all.isEmpty()) {
             all.add(root.path("latency_ms"));
         }
-        decades(chart, all.stream().mapToDouble(l -> l.path("p50").asDouble()).min().orElse(1),
+        setDecadeRange(chart, all.stream().mapToDouble(l -> l.path("p50").asDouble()).min().orElse(1),
                 all.stream().mapToDouble(l -> l.path("p999").asDouble()).max().orElse(1));
         return svg(chart);
     }
--- a/lab/src/main/java/dapplequay/lab/report/ReportHtml.java
+++ b/lab/src/main/java/dapplequay/lab/report/ReportHtml.java
@@ -40,11 +40,11 @@
     }
 
     /** One page with both reports side by side, {@code compare.html}, and the table of their figures above. */
-    public static void compare(JsonNode one, String oneName, JsonNode other, String otherName, Path folder)
+    public static void compare(JsonNode first, String firstName, JsonNode second, String secondName, Path folder)
             throws IOException {
-        String body = "<h1>" + escape(oneName) + " beside " + escape(otherName) + "</h1>"
-                + Compare.html(one, oneName, other, otherName) + "<div class=side><div>" + body(oneName, one)
-                + "</div><div>" + body(otherName, other) + "</div></div>";
+        String body = "<h1>" + escape(firstName) + " beside " + escape(secondName) + "</h1>"
+                + Compare.html(first, firstName, second, secondName) + "<div class=side><div>" + body(firstName, first)
+                + "</div><div>" + body(secondName, second) + "</div></div>";
         Files.createDirectories(folder);
         Files.writeString(folder.resolve("compare.html"), page("comparison", body));
     }
@@ -66,21 +66,22 @@
         }
         if (root.path("kind").asText().equals("load")) {
             body.append(latencies(List.of(root), node -> "load")).append(outcomes(root));
-            body.append("<div class=plots>").append(drawn(Plots::percentiles, root))
-                    .append(drawn(Plots::latency, root)).append(drawn(Plots::outcomes, root)).append("</div>");
+            body.append("<div class=plots>").append(drawOrNote(Plots::percentiles, root))
+                    .append(drawOrNote(Plots::latency, root)).append(drawOrNote(Plots::outcomes, root))
+                    .append("</div>");
             return body.toString();
         }
         List<JsonNode> variants = new ArrayList<>();
         root.path("variants").forEach(variants::add);
         body.append("<h2>Figures by variant</h2>").append(figures(variants));
         body.append("<h2>Latency, ms</h2>").append(latencies(variants, v -> v.path("name").asText()));
-        body.append("<div class=plots>").append(drawn(Plots::percentiles, root)).append("</div>");
+        body.append("<div class=plots>").append(drawOrNote(Plots::percentiles, root)).append("</div>");
         for (JsonNode run : root.path("runs")) {
             body.append("<h2>").append(escape(run.path("variant").asText())).append(", seed ")
                     .append(run.path("seed").asLong()).append("</h2>").append(rules(run)).append("<div class=plots>");
             for (Function<JsonNode, String> plot : List.<Function<JsonNode, String>>of(Plots::faults, Plots::latency,
                     Plots::outcomes, Plots::held, Plots::load)) {
-                body.append(drawn(plot, run));
+                body.append(drawOrNote(plot, run));
             }
             body.append("</div>");
         }
@@ -88,7 +89,7 @@
     }
 
     /** A machine without fonts can't draw: the figures are of use without plots, too. */
-    private static String drawn(Function<JsonNode, String> plot, JsonNode of) {
+    private static String drawOrNote(Function<JsonNode, String> plot, JsonNode of) {
         try {
             return plot.apply(of);
         } catch (RuntimeException | LinkageError | InternalError e) {
