--- a/lab/src/main/java/dapplequay/lab/cli/CheckCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/CheckCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import org.kohsuke.args4j.Argument;
 
-/** Reads a file as the other commands would, and says what it is. */
+/** Validates a laboratory file and prints what kind of file it is. */
 public final class CheckCommand implements Command {
     @Argument(required = true, metaVar = "FILE.toml")
     private String file;
--- a/lab/src/main/java/dapplequay/lab/cli/Command.java
+++ b/lab/src/main/java/dapplequay/lab/cli/Command.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.cli;
 
-/** One sub-command; what it returns is the exit status. */
+/** A subcommand; {@link #run} returns the exit status. */
 interface Command {
     int OK = 0;
     int BAD_USAGE = 2;
--- a/lab/src/main/java/dapplequay/lab/cli/CompareCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/CompareCommand.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Two reports side by side: a table, and with --out a page that shows both. */
+/** Compares two reports: prints a table, and with {@code --out} writes a page that shows both. */
 public final class CompareCommand implements Command {
     @Argument(index = 0, required = true, metaVar = "DIR")
     private String firstFolder;
--- a/lab/src/main/java/dapplequay/lab/cli/DemoCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/DemoCommand.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import org.kohsuke.args4j.Option;
 
-/** The first thing to try: a small fleet, some sidecars, a calm part and a troubled one. */
+/** Runs the demo experiment: a small fleet with sidecars, first without faults, then with faults. */
 public final class DemoCommand implements Command {
     @Option(name = "--out", metaVar = "DIR")
     private String out;
--- a/lab/src/main/java/dapplequay/lab/cli/FleetCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/FleetCommand.java
@@ -11,7 +11,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** A fleet alone, until it is told to end. Its faults count from its start. */
+/** Runs a fleet without sidecars until SIGTERM. Fault times are relative to its start. */
 public final class FleetCommand implements Command {
     @Argument(required = true, metaVar = "FILE.toml")
     private String file;
--- a/lab/src/main/java/dapplequay/lab/cli/LabFile.java
+++ b/lab/src/main/java/dapplequay/lab/cli/LabFile.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Tells what a file of the laboratory holds: a fleet, a profile of a load, or an experiment with both. */
+/** Reads a laboratory file, which holds a fleet, a load profile, or an experiment with both. */
 final class LabFile {
-    /** What a file held; what it did not hold is null or empty. */
+    /** The parsed contents of a file; parts that the file lacks are null or empty. */
     record Parsed(FleetSpec fleet, List<FaultSpec> faults, Profile load, ExperimentSpec experiment) { }
 
     private LabFile() { }
--- a/lab/src/main/java/dapplequay/lab/cli/LoadCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/LoadCommand.java
@@ -19,7 +19,7 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
 
-/** Sends a load to one target and reports what came of it. */
+/** Sends a load to one target and writes a report of the results. */
 public final class LoadCommand implements Command {
     private static final long START_DELAY_US = 100_000;
 
--- a/lab/src/main/java/dapplequay/lab/cli/MergeCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/MergeCommand.java
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Puts the latencies of several generators that ran at one time into one log. */
+/** Merges the latency logs of load generators that ran at the same time into one log. */
 public final class MergeCommand implements Command {
     @Argument(required = true, metaVar = "DIR...", multiValued = true)
     private List<String> folders = new ArrayList<>();
--- a/lab/src/main/java/dapplequay/lab/cli/Project.java
+++ b/lab/src/main/java/dapplequay/lab/cli/Project.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** Where the project lies: the launcher says so, else it is the folder that one stands in. */
+/** Locates the project's root directory: the property {@code dapplequay.root}, else the working directory. */
 final class Project {
     private Project() { }
 
--- a/lab/src/main/java/dapplequay/lab/cli/RunCommand.java
+++ b/lab/src/main/java/dapplequay/lab/cli/RunCommand.java
@@ -12,7 +12,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Plays an experiment and writes its report. */
+/** Runs an experiment and writes its report. */
 public final class RunCommand implements Command {
     @Argument(required = true, metaVar = "FILE.toml")
     private String file;
--- a/lab/src/main/java/dapplequay/lab/cli/Terminal.java
+++ b/lab/src/main/java/dapplequay/lab/cli/Terminal.java
@@ -1,6 +1,6 @@
 package dapplequay.lab.cli;
 
-/** Shows how far a run is: one line that is written over on a terminal, else a line now and then. */
+/** Prints progress to standard error: overwrites one line on a terminal, else prints a line at most every 5 s. */
 final class Terminal {
     private static final long PLAIN_INTERVAL_NANOS = 5_000_000_000L;
 
--- a/lab/src/main/java/dapplequay/lab/experiment/Variant.java
+++ b/lab/src/main/java/dapplequay/lab/experiment/Variant.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * One of the things that an experiment compares. What a variant leaves out is as the file says for all.
+ * One of the configurations that an experiment compares. Settings that a variant omits come from the file.
  *
- * @param direct  no sidecars: clients send to the hosts themselves, each request to the one it is drawn for
- * @param command how a sidecar is started, or null: the run line of deploy/balancer.toml
- * @param flags   added to that command's end
- * @param rate    requests a second, or 0: as in the load
- * @param faults  whether the file's faults are played
+ * @param direct  whether clients bypass the sidecars and send each request to a randomly drawn host
+ * @param command command that starts a sidecar, or null for the run line of deploy/balancer.toml
+ * @param flags   arguments appended to the command
+ * @param rate    requests per second, or 0 for the rate of the load
+ * @param faults  whether the file's faults are applied
  */
 public record Variant(String name, boolean direct, String command, List<String> flags, double rate,
                       boolean faults) {
--- a/lab/src/main/java/dapplequay/lab/report/ReportJson.java
+++ b/lab/src/main/java/dapplequay/lab/report/ReportJson.java
@@ -21,7 +21,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Writes and reads {@code report.json}; its form is described in docs/LAB.md. */
+/** Writes and reads {@code report.json}; its format is described in docs/LAB.md. */
 public final class ReportJson {
     static final int VERSION = 1;
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
@@ -29,7 +29,7 @@
 
     private ReportJson() { }
 
-    /** A run of the load generator alone. */
+    /** Returns the report of a run of the load generator alone. */
     public static ObjectNode load(LoadResult result) {
         ObjectNode root = JSON.createObjectNode();
         root.put("version", VERSION).put("kind", "load");
@@ -38,7 +38,7 @@
         return root;
     }
 
-    /** All runs of an experiment, with what they have in common. */
+    /** Returns the report of an experiment: all runs, and summaries for each variant and overall. */
     public static ObjectNode experiment(ExperimentSpec spec, List<Runner.FinishedRun> runs) {
         ObjectNode root = JSON.createObjectNode();
         root.put("version", VERSION).put("kind", "experiment").put("title", spec.title()).put("seed", spec.seed());
@@ -119,7 +119,7 @@
         });
     }
 
-    /** What every report has: counts, latencies and outcomes, of all these runs together. */
+    /** Adds the counts, latencies and outcomes of all these runs together, which every report has. */
     private static void add(ObjectNode node, List<LoadResult> results) {
         Histogram latency = LoadResult.histogram();
         Histogram sendLag = LoadResult.histogram();
@@ -160,7 +160,7 @@
         Files.writeString(folder.resolve("report.json"), JSON.writeValueAsString(root) + "\n");
     }
 
-    /** The report in this folder; BadFile where there is none that can be read. */
+    /** Reads the report in this folder; throws BadFile if it is missing, not JSON or of another version. */
     public static JsonNode read(Path folder) {
         Path file = folder.resolve("report.json");
         try {
--- a/lab/src/main/java/dapplequay/lab/report/Series.java
+++ b/lab/src/main/java/dapplequay/lab/report/Series.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How a run went over time, in buckets of half a second, by when a request was due. */
+/** Time series of a run, in buckets of half a second by the time at which a request was due. */
 final class Series {
     static final double BUCKET_S = 0.5;
 
     final Map<String, List<Double>> latencyMs = new TreeMap<>();
     final Map<String, List<Double>> outcomes = new TreeMap<>();
-    /** Held over all hosts: the median, the ninth decile and the most. */
+    /** Requests held by a host: the median, the ninth decile and the maximum over all hosts. */
     final Map<String, List<Double>> held = new TreeMap<>();
-    /** For each host: the requests that came to it. */
+    /** Requests that reached each host, by host index. */
     final long[] visits;
 
     Series(LoadResult result, FleetLog log) {
@@ -73,7 +73,7 @@
         return new ArrayList<>(Arrays.asList(zeros));
     }
 
-    /** 0 where there is nothing. */
+    /** Returns this quantile, or 0 if there are no values. */
     private static double quantile(List<Double> values, double at) {
         if (values.isEmpty()) {
             return 0;
