--- a/deploy/Archive.java
+++ b/deploy/Archive.java
@@ -22,15 +22,15 @@
 public final class Archive {
     private static final Path JAR = Path.of("sidecar/target/dapplequay.jar");
     private static final Path ARCHIVE = Path.of("sidecar/target/dapplequay.jsa");
-    private static final int TRIES = 4;
-    private static final int REQUESTS = 60;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int CLIENT_CONNECTIONS = 60;
     /** Seconds that a start or an ending may take before the process is given up and another is tried. */
-    private static final int PATIENCE_S = 20;
+    private static final int TIMEOUT_S = 20;
 
     public static void main(String[] args) throws Exception {
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             Files.deleteIfExists(ARCHIVE);
-            if (attempt() && Files.exists(ARCHIVE)) {
+            if (createArchive() && Files.exists(ARCHIVE)) {
                 return;
             }
             System.err.println("archive: attempt " + (i + 1) + " failed");
@@ -38,10 +38,10 @@
         System.exit(1);
     }
 
-    private static boolean attempt() throws Exception {
-        try (ServerSocket host = listen(); ServerSocket discovery = listen()) {
-            answerOn(host, false, host);
-            answerOn(discovery, true, host);
+    private static boolean createArchive() throws Exception {
+        try (ServerSocket host = openLoopbackListener(); ServerSocket discovery = openLoopbackListener()) {
+            acceptConnections(host, false, host);
+            acceptConnections(discovery, true, host);
             ProcessBuilder builder = new ProcessBuilder("java", "-XX:+UseSerialGC", "-XX:-UsePerfData",
                     "-XX:ArchiveClassesAtExit=" + ARCHIVE, "-jar", JAR.toString(), "serve", "--config",
                     "example/config.json");
@@ -50,11 +50,11 @@
             builder.redirectErrorStream(true);
             Process sidecar = builder.start();
             try {
-                CompletableFuture<Integer> serving = new CompletableFuture<>();
-                daemon(() -> readLog(sidecar, serving));
-                exercise(serving.get(PATIENCE_S, TimeUnit.SECONDS));
+                CompletableFuture<Integer> servingPort = new CompletableFuture<>();
+                startDaemon(() -> readLog(sidecar, servingPort));
+                sendRequests(servingPort.get(TIMEOUT_S, TimeUnit.SECONDS));
                 sidecar.destroy();                  // SIGTERM: it ends in order and writes its archive
-                return sidecar.waitFor(PATIENCE_S, TimeUnit.SECONDS);
+                return sidecar.waitFor(TIMEOUT_S, TimeUnit.SECONDS);
             } catch (java.util.concurrent.TimeoutException | IOException e) {
                 System.err.println("archive: " + e);
                 return false;
@@ -64,36 +64,36 @@
         }
     }
 
-    private static ServerSocket listen() throws IOException {
+    private static ServerSocket openLoopbackListener() throws IOException {
         return new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static void readLog(Process sidecar, CompletableFuture<Integer> serving) {
+    private static void readLog(Process sidecar, CompletableFuture<Integer> servingPort) {
         try (BufferedReader log = new BufferedReader(new InputStreamReader(sidecar.getInputStream()))) {
             for (String line = log.readLine(); line != null; line = log.readLine()) {
                 if (line.contains("serving on")) {
-                    serving.complete(Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).trim()));
+                    servingPort.complete(Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).trim()));
                 }
             }
-            serving.completeExceptionally(new IOException("ended before it served"));
+            servingPort.completeExceptionally(new IOException("ended before it served"));
         } catch (IOException e) {
-            serving.completeExceptionally(e);
+            servingPort.completeExceptionally(e);
         }
     }
 
     /** Every tenth answer turns away, every fifteenth ends its connection unsaid, the others serve. */
-    private static void answerOn(ServerSocket server, boolean isDiscovery, ServerSocket host) {
-        daemon(() -> {
+    private static void acceptConnections(ServerSocket server, boolean isDiscovery, ServerSocket host) {
+        startDaemon(() -> {
             while (!server.isClosed()) {
                 try {
                     Socket socket = server.accept();
-                    daemon(() -> answerAll(socket, isDiscovery, host.getLocalPort()));
+                    startDaemon(() -> serveConnection(socket, isDiscovery, host.getLocalPort()));
                 } catch (IOException e) {
                     return;
                 }
@@ -101,10 +101,10 @@
         });
     }
 
-    private static void answerAll(Socket socket, boolean isDiscovery, int hostPort) {
+    private static void serveConnection(Socket socket, boolean isDiscovery, int hostPort) {
         try (socket) {
             for (int i = 1; ; i++) {
-                String head = readHead(socket.getInputStream());
+                String head = readMessage(socket.getInputStream());
                 if (head == null) {
                     return;
                 }
@@ -112,13 +112,13 @@
                     if (i > 2) {
                         Thread.sleep(5_000);
                     }
-                    write(socket, "200 OK", "", list(hostPort, i));
+                    writeResponse(socket, "200 OK", "", serverListJson(hostPort, i));
                 } else if (i % 15 == 0) {
                     return;
                 } else if (i % 10 == 0) {
-                    write(socket, "503 Service Unavailable", "X-Rejected: 1\r\n", "full");
+                    writeResponse(socket, "503 Service Unavailable", "X-Rejected: 1\r\n", "full");
                 } else {
-                    write(socket, "200 OK", "X-Load-Report: inflight=" + i % 9 + ",queue=1,latency_ms=2.5\r\n", "done");
+                    writeResponse(socket, "200 OK", "X-Load-Report: inflight=" + i % 9 + ",queue=1,latency_ms=2.5\r\n", "done");
                 }
             }
         } catch (IOException | InterruptedException e) {
@@ -126,7 +126,7 @@
         }
     }
 
-    private static String list(int port, int revision) {
+    private static String serverListJson(int port, int revision) {
         StringBuilder targets = new StringBuilder();
         for (int i = 0; i < 4; i++) {
             targets.append(i == 0 ? "" : ",").append("{\"uid\":\"s-").append(i).append("\",\"endpoint\":\"127.0.0.1:")
@@ -139,7 +139,7 @@
         return "{\"rev\":" + (revision + 1) + ",\"all\":" + (revision == 1) + ",\"targets\":[" + targets + "]}";
     }
 
-    private static void write(Socket socket, String status, String headers, String body) throws IOException {
+    private static void writeResponse(Socket socket, String status, String headers, String body) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(("HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.ISO_8859_1));
@@ -147,7 +147,7 @@
     }
 
     /** A message's head, its body read and dropped; null at the end of the connection. */
-    private static String readHead(InputStream in) throws IOException {
+    private static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int next = in.read();
@@ -165,17 +165,17 @@
         return head;
     }
 
-    private static void exercise(int port) throws IOException {
-        for (int i = 0; i < REQUESTS; i++) {
+    private static void sendRequests(int port) throws IOException {
+        for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                client.setSoTimeout(PATIENCE_S * 1_000);
-                String path = i % 7 == 0 ? "GET /healthz" : i % 11 == 0 ? "POST /nothing/1" : "POST /pay/1";
+                client.setSoTimeout(TIMEOUT_S * 1_000);
+                String requestTarget = i % 7 == 0 ? "GET /healthz" : i % 11 == 0 ? "POST /nothing/1" : "POST /pay/1";
                 OutputStream out = client.getOutputStream();
-                for (int again = 0; again < 4; again++) {
-                    out.write((path + " HTTP/1.1\r\nHost: a\r\nX-Call-Id: " + i + "a" + again + "\r\nX-Caller: shop-"
+                for (int sendCount = 0; sendCount < 4; sendCount++) {
+                    out.write((requestTarget + " HTTP/1.1\r\nHost: a\r\nX-Call-Id: " + i + "a" + sendCount + "\r\nX-Caller: shop-"
                             + (i % 2 == 0 ? "a" : "b") + "\r\nX-Budget-Ms: 900\r\nIdempotency-Key: k" + i
                             + "\r\nContent-Length: 4\r\n\r\nbody").getBytes(StandardCharsets.ISO_8859_1));
-                    if (i % 13 == 12 || readHead(client.getInputStream()) == null) {
+                    if (i % 13 == 12 || readMessage(client.getInputStream()) == null) {
                         break;              // every thirteenth client leaves without waiting
                     }
                 }
--- a/deploy/lay-sites.sh
+++ b/deploy/lay-sites.sh
@@ -3,12 +3,12 @@
 # Usage: sh deploy/lay-sites.sh KIT, the kit's folder. Exit status 1, with the file's name, where the kit lacks one.
 set -u
 kit=${1:?usage: sh deploy/lay-sites.sh KIT}
-to=$(dirname "$0")/sites
+sites_dir=$(dirname "$0")/sites
 for file in real.json wire.json unlock.txt; do
     if [ ! -r "$kit/more/mass/other/$file" ]; then
         echo "lay-sites: no $kit/more/mass/other/$file" >&2
         exit 1
     fi
-    cp "$kit/more/mass/other/$file" "$to/$file" || exit 1
-    chmod u+w "$to/$file"
+    cp "$kit/more/mass/other/$file" "$sites_dir/$file" || exit 1
+    chmod u+w "$sites_dir/$file"
 done
--- a/experiments/wide.sh
+++ b/experiments/wide.sh
@@ -10,21 +10,21 @@
 list_down"}
 for kind in $kinds; do
     case "$kind" in
-        calm) more='share = 0' ;;
-        late_reports) more='share = 1' ;;
-        slow) more='share = 1
+        calm) fault_settings='share = 0' ;;
+        late_reports) fault_settings='share = 1' ;;
+        slow) fault_settings='share = 1
 amount = 1.8' ;;
-        heavy) more='share = 1
+        heavy) fault_settings='share = 1
 requests = 0.02' ;;
-        reset_* | cut | garbled | overlong | unasked | silent_connection) more='share = 1
+        reset_* | cut | garbled | overlong | unasked | silent_connection) fault_settings='share = 1
 requests = 0.05' ;;
-        list_*) more='' ;;
-        *) more='share = 0.15' ;;
+        list_*) fault_settings='' ;;
+        *) fault_settings='share = 0.15' ;;
     esac
     # A calm run still needs a fault that does nothing: no host slower than it is.
-    named=$kind
-    [ "$kind" = calm ] && named=slow && more='amount = 1'
-    awk -v kind="$named" -v more="$more" '{ gsub(/@KIND@/, kind); gsub(/@MORE@/, more); print }' \
+    fault_kind=$kind
+    [ "$kind" = calm ] && fault_kind=slow && fault_settings='amount = 1'
+    awk -v kind="$fault_kind" -v more="$fault_settings" '{ gsub(/@KIND@/, kind); gsub(/@MORE@/, more); print }' \
         experiments/wide.toml.in > "$out/wide-$kind.toml"
     ./dapplequay lab run "$out/wide-$kind.toml" --out "$out/$kind" > "$out/$kind.txt" 2> "$out/$kind.err"
     echo "$kind status $?: $(awk '/^(worth in time|late|refused|failed|no answer|lost|doubled|rules broken|latency ms p99)/ \
